--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/asking.rs
@@ -15,7 +15,9 @@
     control::{
         beliefs::{Basis, Lead},
         change::VersionedRecord,
-        evidence::{self, HeldRight, KnownLead, LeadByEvidence, may_give_right},
+        evidence::{
+            self, HeldPrimaryLease, KnownLeader, LeaderByEvidence, may_grant_primary_lease,
+        },
         outside::Outside,
         peers::Evidence,
         runner::{Ask, CommandAsk, Control},
@@ -45,7 +47,7 @@
     /// While the store is silent, asks the servers themselves who leads. Groups are asked each by itself: one
     /// whose servers don't answer takes all of its time, and must not make the others' evidence old.
     pub(crate) async fn evidence_loop(self: Rc<Self>) {
-        let every = self.evidence() / EVIDENCE_PER_TERM;
+        let every = self.evidence_duration() / EVIDENCE_PER_TERM;
         let mut running = FuturesUnordered::new();
         let mut asked = HashMap::new();
         loop {
@@ -128,13 +130,13 @@
     /// Asks one group's servers which primary a majority shows.
     async fn ask_for_evidence(self: Rc<Self>, service: Name) -> Option<Evidence> {
         let asked_at = Instant::now();
-        let deadline = asked_at + self.evidence().mul_f64(0.75);
+        let deadline = asked_at + self.evidence_duration().mul_f64(0.75);
         let servers: Vec<Name> = {
             let state = self.state.borrow();
             let entries = state.published_servers.get(&service);
             entries.into_iter().flatten().map(|entry| entry.server.clone()).collect()
         };
-        let held = self.held_right(&service, asked_at);
+        let held = self.held_primary_lease(&service, asked_at);
         let judge = |statuses: &[_]| evidence::judge(statuses, servers.len(), &held);
         let statuses = self.ask_statuses(&service, &servers, deadline, &judge).await;
         let Some(found) = judge(&statuses) else {
@@ -148,21 +150,21 @@
         Some(Evidence { service, server: found.server, term: found.term, asked_at })
     }
 
-    pub(crate) fn held_right(&self, service: &Name, now: Instant) -> HeldRight {
+    pub(crate) fn held_primary_lease(&self, service: &Name, now: Instant) -> HeldPrimaryLease {
         let state = self.state.borrow();
         let lead = state.leads.get(service);
         let in_force = lead.filter(|lead| lead.is_valid(now));
-        HeldRight {
+        HeldPrimaryLease {
             known_term: lead.map_or(Term(0), |lead| lead.term),
             in_force: in_force
-                .map(|lead| LeadByEvidence { server: lead.server.clone(), term: lead.term }),
+                .map(|lead| LeaderByEvidence { server: lead.server.clone(), term: lead.term }),
         }
     }
 
-    fn known_lead(&self, service: &Name) -> KnownLead {
+    fn known_leader(&self, service: &Name) -> KnownLeader {
         let state = self.state.borrow();
         let lead = state.leads.get(service);
-        KnownLead {
+        KnownLeader {
             term: lead.map_or(Term(0), |lead| lead.term),
             changing: lead.is_some_and(|lead| lead.changing),
             is_store_silent: state.is_store_silent(self.patience()),
@@ -172,10 +174,10 @@
     /// Takes the right to a primary that a majority showed, to this daemon or to another one.
     pub(crate) fn take_evidence(&self, found: &Evidence) {
         let service = &found.service;
-        if !may_give_right(found.term, self.known_lead(service)) {
+        if !may_grant_primary_lease(found.term, self.known_leader(service)) {
             return;
         }
-        let valid_until = found.asked_at + self.evidence();
+        let valid_until = found.asked_at + self.evidence_duration();
         if valid_until <= Instant::now() {
             return;
         }
@@ -213,7 +215,7 @@
         service: &Name,
         servers: &[Name],
         deadline: Instant,
-        judge: &impl Fn(&[(Name, EndpointStatus)]) -> Option<LeadByEvidence>,
+        judge: &impl Fn(&[(Name, EndpointStatus)]) -> Option<LeaderByEvidence>,
     ) -> Vec<(Name, EndpointStatus)> {
         let mut waiting = FuturesUnordered::new();
         for server in servers {
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -15,7 +15,7 @@
     control::{
         change::{ChangeEnd, ChangeRun, Reason, VersionedRecord, has_taken_over},
         commands::Commands,
-        evidence::{self, HeldRight, LeadByEvidence},
+        evidence::{self, HeldPrimaryLease, LeaderByEvidence},
         outside::Outside,
         record::{ChosenServer, LeadershipRecord},
         runner::Control,
@@ -55,10 +55,10 @@
         &self,
         service: &Name,
         record: &LeadershipRecord,
-    ) -> Option<LeadByEvidence> {
+    ) -> Option<LeaderByEvidence> {
         let entries = self.entries(service);
-        let held = self.held_right(service, Instant::now());
-        let held = HeldRight { known_term: held.known_term.max(Term(record.term)), ..held };
+        let held = self.held_primary_lease(service, Instant::now());
+        let held = HeldPrimaryLease { known_term: held.known_term.max(Term(record.term)), ..held };
         let mut commands = Commands::new(self);
         let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
         let answered = commands.ask_all(asks).await;
@@ -147,7 +147,7 @@
 /// Returns a record that says what the servers showed. Where they are in a later term than it knows, where that began is lost.
 fn confirmed(
     record: &LeadershipRecord,
-    found: &LeadByEvidence,
+    found: &LeaderByEvidence,
     life: Option<ServerLife>,
 ) -> LeadershipRecord {
     if found.term.0 == record.term && *found.server == *record.primary {
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/duty.rs
@@ -113,7 +113,9 @@
     pub(crate) async fn take_duty(&self) {
         let is_free = |control: &Self| {
             let state = control.state.borrow();
-            let fresh = state.last_read_at.is_some_and(|at| at.elapsed() < control.right());
+            let fresh = state
+                .last_read_at
+                .is_some_and(|at| at.elapsed() < control.primary_lease_duration());
             let is_member = state.lease.is_some_and(|lease| lease.id.era == state.mirror.era());
             let is_held = state.mirror.get(&control.duty_key()).is_some();
             fresh && is_member && (!is_held || control.ended_duty(&state).is_some())
--- a/crates/proxy/src/control/evidence.rs
+++ b/crates/proxy/src/control/evidence.rs
@@ -10,7 +10,7 @@
 
 /// Who leads by the word of a majority.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeadByEvidence {
+pub struct LeaderByEvidence {
     /// The server.
     pub server: Name,
     /// Its term.
@@ -19,7 +19,7 @@
 
 /// What a daemon knows of a group when evidence reaches it, its own or another daemon's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KnownLead {
+pub struct KnownLeader {
     /// The latest term that it knows of.
     pub term: Term,
     /// Whether the record that it knows shows a change under way.
@@ -33,17 +33,17 @@
 /// Another daemon that is cut off from the store may have asked the servers before they were stopped. A daemon
 /// that knows from the store of the change has told whoever drives it that it stopped, and must not begin again:
 /// a write would be acknowledged at a primary whose replicas receive nothing any more, and be rolled back.
-pub fn may_give_right(found: Term, known: KnownLead) -> bool {
+pub fn may_grant_primary_lease(found: Term, known: KnownLeader) -> bool {
     found >= known.term && (!known.changing || known.is_store_silent)
 }
 
 /// What a daemon holds of a group at the moment at which it asks the group's servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HeldRight {
+pub struct HeldPrimaryLease {
     /// The latest term that it knows of: an earlier one is never taken up again.
     pub known_term: Term,
     /// The primary that it may use at that moment, if any.
-    pub in_force: Option<LeadByEvidence>,
+    pub in_force: Option<LeaderByEvidence>,
 }
 
 /// Judges the statuses of a group's servers; `servers` counts those that did not answer too.
@@ -55,8 +55,8 @@
 pub fn judge(
     statuses: &[(Name, EndpointStatus)],
     servers: usize,
-    held: &HeldRight,
-) -> Option<LeadByEvidence> {
+    held: &HeldPrimaryLease,
+) -> Option<LeaderByEvidence> {
     let term = statuses.iter().map(|(_, status)| status.term).max()?;
     if term < held.known_term {
         return None;
@@ -70,7 +70,7 @@
     if leading.next().is_some() {
         return None;
     }
-    let found = LeadByEvidence { server: server.clone(), term };
+    let found = LeaderByEvidence { server: server.clone(), term };
     let needed = match held.in_force == Some(found.clone()) {
         true => majority(servers),
         false => servers,
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -13,7 +13,7 @@
         change::{ChangeEnd, ChangeRun},
         commands::{ASK_EVERY, Commands},
         outside::Outside,
-        record::{LeadershipRecord, RightBounds, StopProgress, StoppedServer, majority},
+        record::{LeadershipRecord, PrimaryLeaseDurations, StopProgress, StoppedServer, majority},
         runner::Control,
         state::SeenMember,
     },
@@ -135,7 +135,10 @@
         run: &ChangeRun,
         fenced_at: Instant,
     ) -> Result<(), ChangeEnd> {
-        let bounds = RightBounds { store: self.right(), evidence: self.evidence() };
+        let bounds = PrimaryLeaseDurations {
+            store: self.primary_lease_duration(),
+            evidence: self.evidence_duration(),
+        };
         loop {
             let progress = StopProgress {
                 recorded_at: run.recorded_at,
@@ -163,7 +166,7 @@
     pub(crate) fn all_answered(&self, service: &Name, run: &ChangeRun) -> bool {
         let state = self.state.borrow();
         // A daemon that vanished before this one began to watch may still hold a right.
-        let lasting = self.right().mul_f64(1.1);
+        let lasting = self.primary_lease_duration().mul_f64(1.1);
         let watched = state
             .watching_since
             .is_some_and(|since| run.recorded_at.saturating_duration_since(since) > lasting);
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -83,7 +83,7 @@
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
     pub(crate) fn is_reading_shared(&self) -> bool {
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let state = self.state.borrow();
         state.shared_reading_at.is_some_and(|at| at.elapsed() < lasts)
     }
@@ -109,7 +109,7 @@
     /// Passes the zone's reader over if its readings are old although the store answers this daemon.
     pub(crate) fn doubt_reader(&self) {
         let heard_of = self.state.borrow().heard_of;
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let is_old = heard_of.reading_at.is_none_or(|at| at.elapsed() > lasts);
         // Readings wait behind changes that are on their way.
         let is_old = is_old && self.asker.receives_for(Instant::now()).is_none();
@@ -201,7 +201,7 @@
     fn take_reading(&self, reading: StoreReading) {
         let now = Instant::now();
         self.state.borrow_mut().note_sighting(&reading);
-        let useful_for = self.right().mul_f64(USEFUL_PART);
+        let useful_for = self.primary_lease_duration().mul_f64(USEFUL_PART);
         let judged = judge_reading(&reading, now, useful_for, &self.own_keys());
         let SharedReading::Renews(services) = judged else { return };
         let is_back = {
@@ -213,7 +213,7 @@
         if is_back {
             self.try_suspected_again();
         }
-        self.grant_rights(reading.asked_at, Some(&services));
+        self.grant_primary_leases(reading.asked_at, Some(&services));
     }
 
     /// Returns what this daemon knows of the daemons' own keys.
@@ -316,7 +316,7 @@
             evidence: state
                 .evidence
                 .iter()
-                .filter(|it| now.duration_since(it.asked_at) < self.evidence())
+                .filter(|it| now.duration_since(it.asked_at) < self.evidence_duration())
                 .map(|it| it.told_at(now))
                 .collect(),
             evidence_number: state.evidence_number,
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -55,7 +55,7 @@
                 continue;
             }
             let asked_at = Instant::now();
-            match self.renew_rights(asked_at).await {
+            match self.renew_primary_leases(asked_at).await {
                 Ok(()) => {
                     pause.reset();
                     self.doubt_reader();
@@ -108,7 +108,10 @@
     /// bytes instead of some hundred for each daemon of the fleet; the whole is read only by who is behind, in a large
     /// fleet only where the changes that are missing can't be had by themselves. There hundreds are behind together as
     /// soon as a link is full, and all that they would read would keep it so.
-    pub(crate) async fn renew_rights(&self, asked_at: Instant) -> Result<(), MetadataError> {
+    pub(crate) async fn renew_primary_leases(
+        &self,
+        asked_at: Instant,
+    ) -> Result<(), MetadataError> {
         let own = self.read_below(&self.member_key()).await?;
         if own.revision.era() > self.state.borrow().mirror.era() {
             return self.meet_era(StoreReading { asked_at, revision: own.revision }).await;
@@ -162,7 +165,7 @@
     }
 
     async fn read_below(&self, prefix: &str) -> Result<Snapshot, MetadataError> {
-        let timeout = self.read_timeout().min(self.right());
+        let timeout = self.read_timeout().min(self.primary_lease_duration());
         let read = self.store.range(prefix, Consistency::Linearizable, timeout.into()).await;
         self.count_call("range", &read);
         read
@@ -173,8 +176,8 @@
         let reading = StoreReading { asked_at, revision };
         let now = Instant::now();
         self.note_own_reading(reading, now);
-        match judge_reading(&reading, now, self.right(), &self.own_keys()) {
-            SharedReading::Renews(services) => self.grant_rights(asked_at, Some(&services)),
+        match judge_reading(&reading, now, self.primary_lease_duration(), &self.own_keys()) {
+            SharedReading::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
             SharedReading::Useless if self.is_key_gone() => self.rejoin.notify_one(),
             SharedReading::Useless => {}
         }
@@ -186,7 +189,7 @@
         let mut state = self.state.borrow_mut();
         state.note_sighting(&reading);
         let before = state.own_read_at.replace(reading.asked_at);
-        if before.is_none_or(|before| now.duration_since(before) > self.right()) {
+        if before.is_none_or(|before| now.duration_since(before) > self.primary_lease_duration()) {
             // Members that came and went meanwhile were not seen; another's reading does not tell of
             // them.
             state.watching_since = Some(now);
@@ -217,7 +220,7 @@
         self.take_over(changes);
         self.note_own_reading(StoreReading { asked_at, revision }, now);
         if is_member {
-            self.grant_rights(asked_at, None);
+            self.grant_primary_leases(asked_at, None);
         } else if self.is_key_gone() {
             self.rejoin.notify_one();
         }
@@ -225,7 +228,7 @@
     }
 
     /// Gives up a right that an answer contradicts, with the samples that came by it; the store is read anew.
-    pub(crate) fn drop_right(&self, service: &Name, term: Term) {
+    pub(crate) fn drop_primary_lease(&self, service: &Name, term: Term) {
         {
             let mut state = self.state.borrow_mut();
             let leads = Arc::make_mut(&mut state.leads);
@@ -241,8 +244,8 @@
 
     /// Whoever promotes waits for every member, so only a member's reading gives a right. `services`
     /// are those that the reading speaks of; `None` for all.
-    pub(crate) fn grant_rights(&self, asked_at: Instant, services: Option<&[Name]>) {
-        let valid_until = asked_at + self.right();
+    pub(crate) fn grant_primary_leases(&self, asked_at: Instant, services: Option<&[Name]>) {
+        let valid_until = asked_at + self.primary_lease_duration();
         let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
         let State { leads, records, servers, mirror, .. } = &mut *state;
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -251,7 +251,7 @@
 
 /// The bounds that rights are given for.
 #[derive(Clone, Copy, Debug)]
-pub struct RightBounds {
+pub struct PrimaryLeaseDurations {
     /// How long a read of the records gives the right.
     pub store: Duration,
     /// How long the statuses of a majority give it.
@@ -263,7 +263,7 @@
 
 impl StopProgress {
     /// Returns when the stop is complete if nothing else is heard; `None` without a majority.
-    pub fn complete_at(&self, bounds: RightBounds) -> Option<Instant> {
+    pub fn complete_at(&self, bounds: PrimaryLeaseDurations) -> Option<Instant> {
         let fenced = self.fenced_at? + bounds.evidence.mul_f64(CLOCK_RATE_MARGIN);
         if self.all_answered {
             return Some(fenced);
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -231,7 +231,7 @@
         Duration::from_millis(self.settings.metadata.write_timeout_ms)
     }
 
-    pub(crate) fn right(&self) -> Duration {
+    pub(crate) fn primary_lease_duration(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.right_ms)
     }
 
@@ -240,7 +240,7 @@
         Duration::from_millis(self.settings.leadership.refresh_ms) * 2
     }
 
-    pub(crate) fn evidence(&self) -> Duration {
+    pub(crate) fn evidence_duration(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.evidence_ms)
     }
 
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -94,7 +94,7 @@
     /// Reads this daemon's own key, which shows whether everything up to now was heard: readings of whoever is followed
     /// are late where links are full, and are of no use then.
     async fn look_at_own_key(&self) {
-        if let Err(error) = self.renew_rights(Instant::now()).await {
+        if let Err(error) = self.renew_primary_leases(Instant::now()).await {
             log::info!(
                 event = "store_unreachable", call = "refresh", why = error.to_string().as_str();
                 "the store did not answer"
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -63,7 +63,7 @@
                 self.state.borrow_mut().used_at.insert(service, Instant::now());
             }
             Observation::SampleWanted => self.ask_for_samples(),
-            Observation::Contradicted { service, term } => self.drop_right(&service, term),
+            Observation::Contradicted { service, term } => self.drop_primary_lease(&service, term),
             Observation::ReplicasBehind { service } => self.tell_behind(service),
         }
         false
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -7,11 +7,13 @@
 use proxy::{
     catalog::ServerEntry,
     control::{
-        evidence::{HeldRight, KnownLead, LeadByEvidence, judge, may_give_right},
+        evidence::{
+            HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge, may_grant_primary_lease,
+        },
         mirror::{Mirror, News},
         move_times::MoveTimes,
         record::{
-            ChosenServer, CountingRecord, LeadershipRecord, PrimaryChange, RightBounds,
+            ChosenServer, CountingRecord, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations,
             StopProgress, StoppedServer, Succession, is_primary_lost,
         },
         servers::{Lapsed, ServerList},
@@ -38,14 +40,15 @@
     let paused = |name: &str| (Name::from(name), status(false, 3, 9, 4));
     let newer = |name: &str| (Name::from(name), status(true, 4, 9, 0));
     let follower = |name: &str| (Name::from(name), status(false, 4, 9, 0));
-    let found =
-        |server: &str, term| Some(LeadByEvidence { server: Name::from(server), term: Term(term) });
-    let right = |known: u64, server: &str, term: u64| HeldRight {
+    let found = |server: &str, term| {
+        Some(LeaderByEvidence { server: Name::from(server), term: Term(term) })
+    };
+    let right = |known: u64, server: &str, term: u64| HeldPrimaryLease {
         known_term: Term(known),
         in_force: found(server, term),
     };
     // A right that ends while nobody can be asked may have ended for a change of primary.
-    let ended = |known: u64| HeldRight { known_term: Term(known), in_force: None };
+    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), in_force: None };
     let cases = [
         ("primary and a replica", vec![primary(), replica("b")], 3, found("a", 3)),
         ("the primary alone", vec![primary()], 3, None),
@@ -62,7 +65,9 @@
     for (name, statuses, known, expected) in cases {
         // What was in force is what the answers are to show again.
         let held = match &expected {
-            Some(lead) => HeldRight { known_term: Term(known), in_force: Some(lead.clone()) },
+            Some(lead) => {
+                HeldPrimaryLease { known_term: Term(known), in_force: Some(lead.clone()) }
+            }
             None => right(known, "a", 3),
         };
         assert_eq!(judge(&statuses, 3, &held), expected, "{name}");
@@ -83,8 +88,11 @@
 
 #[test]
 fn evidence_gives_no_right_to_a_daemon_that_knows_better() {
-    let known =
-        |term, changing, is_store_silent| KnownLead { term: Term(term), changing, is_store_silent };
+    let known = |term, changing, is_store_silent| KnownLeader {
+        term: Term(term),
+        changing,
+        is_store_silent,
+    };
     let cases = [
         ("the term in force", 3, known(3, false, false), true),
         ("a later term", 4, known(3, false, true), true),
@@ -94,7 +102,7 @@
         ("a change that was seen before the store fell silent", 3, known(3, true, true), true),
     ];
     for (name, found, known, expected) in cases {
-        assert_eq!(may_give_right(Term(found), known), expected, "{name}");
+        assert_eq!(may_grant_primary_lease(Term(found), known), expected, "{name}");
     }
 }
 
@@ -211,8 +219,10 @@
 #[test]
 fn a_stop_waits_for_evidence_and_for_those_that_did_not_answer() {
     let recorded_at = Instant::now();
-    let bounds =
-        RightBounds { store: Duration::from_millis(1_500), evidence: Duration::from_millis(300) };
+    let bounds = PrimaryLeaseDurations {
+        store: Duration::from_millis(1_500),
+        evidence: Duration::from_millis(300),
+    };
     let after = |ms| recorded_at + Duration::from_millis(ms);
     let progress = |fenced_at, all_answered| StopProgress { recorded_at, fenced_at, all_answered };
     let complete = |progress: StopProgress| progress.complete_at(bounds);
--- a/crates/proxy/tests/leadership_model.rs
+++ b/crates/proxy/tests/leadership_model.rs
@@ -16,8 +16,8 @@
 };
 use proxy::{
     control::{
-        evidence::{HeldRight, LeadByEvidence, judge},
-        record::{RightBounds, StopProgress, majority},
+        evidence::{HeldPrimaryLease, LeaderByEvidence, judge},
+        record::{PrimaryLeaseDurations, StopProgress, majority},
     },
     statement::EndpointStatus,
 };
@@ -174,7 +174,7 @@
         let last = *stops.get(needed - 1)?;
         let fenced_at_ms = recorded_at_ms + last + self.stop_known_ms;
         let answered_at_ms = self.all_answered_at_ms(recorded_at_ms);
-        let bounds = RightBounds {
+        let bounds = PrimaryLeaseDurations {
             store: Duration::from_millis(match broken {
                 Broken::NoStoreWait => 0,
                 _ => STORE_RIGHT_MS,
@@ -265,7 +265,7 @@
 
     /// Until when a daemon believes that it may use the old primary.
     fn right_until_ms(&self, daemon: &Daemon, ordered_at_ms: u64, broken: Broken) -> u64 {
-        let old = LeadByEvidence { server: Name::from("0"), term: Term(1) };
+        let old = LeaderByEvidence { server: Name::from("0"), term: Term(1) };
         let mut rights = self.rights_by_store(daemon, broken);
         let mut askings: Vec<&Asking> = daemon.askings.iter().collect();
         askings.sort_by_key(|asking| asking.question.sent_at_ms);
@@ -281,7 +281,7 @@
                     .iter()
                     .any(|right| right.known_at_ms <= asked_at_ms && asked_at_ms < right.until_ms);
             let in_force = is_in_force.then(|| old.clone());
-            let held = HeldRight { known_term: Term(1), in_force };
+            let held = HeldPrimaryLease { known_term: Term(1), in_force };
             if judge(&statuses, SERVERS, &held) == Some(old.clone()) {
                 rights.push(HeldUntil {
                     known_at_ms: question.known_at_ms(),
