--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -16,8 +16,8 @@
     catalog::ServerEntry,
     control::{
         commands::{ASK_EVERY, Commands},
-        duty::LOOK_EVERY,
         outside::Outside,
+        promoter::LOOK_EVERY,
         record::{
             ChosenServer, LeadershipRecord, PrimaryChange, StoppedServer, Succession, majority,
         },
@@ -183,13 +183,13 @@
         record: &LeadershipRecord,
         expected: Revision,
     ) -> Result<Revision, ChangeEnd> {
-        let duty = self.held_duty().ok_or(ChangeEnd::Superseded)?;
+        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
         let record = self.state.borrow_mut().next_edition(service, record);
         let value = serde_json::to_vec(&record).expect("a record is plain data");
         let value = Bytes::from(value);
         let key = self.record_key(service);
         let transaction = Transaction {
-            expected: vec![(self.duty_key(), duty.revision), (key.clone(), expected)],
+            expected: vec![(self.promoter_key(), lease.revision), (key.clone(), expected)],
             puts: vec![(key.clone(), value.clone(), None)],
             removes: Vec::new(),
         };
@@ -205,7 +205,7 @@
                 // The answer to an earlier attempt may have been lost: what stands there decides.
                 let read = self.store.get(&key, self.read_timeout()).await;
                 self.count_call("get", &read);
-                let in_era = |item: &Item| item.revision.era() == duty.revision.era();
+                let in_era = |item: &Item| item.revision.era() == lease.revision.era();
                 match read.map_err(ChangeEnd::Store)? {
                     Some(item) if item.value == value && in_era(&item) => Ok(item.revision),
                     _ => Err(ChangeEnd::Superseded),
@@ -329,8 +329,8 @@
         reason: Reason,
     ) -> Result<ChangeRun, ChangeEnd> {
         self.change_count.set(self.change_count.get() + 1);
-        let duty = self.held_duty().ok_or(ChangeEnd::Superseded)?;
-        let id = format!("{}.{}", duty.fencing_token, self.change_count.get());
+        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
+        let id = format!("{}.{}", lease.fencing_token, self.change_count.get());
         let chosen = known.record.change.as_ref().and_then(|change| change.chosen.clone());
         let reason = match known.record.change.as_ref() {
             Some(change) => change.reason.clone(),
@@ -389,7 +389,7 @@
         let confirmed_at = Instant::now();
         run.set_chosen(chosen.clone());
         run.revision = self.write_record(service, &run.record, run.revision).await?;
-        let duty = self.held_duty().ok_or(ChangeEnd::Superseded)?;
+        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
         if confirmed_at.elapsed() > ORDER_WITHIN {
             // Another daemon may have taken the duty meanwhile; it is confirmed anew.
             return Ok(true);
@@ -398,7 +398,7 @@
             service: service.clone(),
             server: Name::from(chosen.server.as_str()),
             holder: self.settings.host.clone(),
-            fencing_token: duty.fencing_token,
+            fencing_token: lease.fencing_token,
         };
         let timeout = Duration::from_millis(self.settings.leadership.order_timeout_ms);
         match self.orders.promote(&order, timeout).await {
@@ -406,7 +406,7 @@
             Err(error) => {
                 log::info!(
                     event = "order_failed", service = &**service, server = chosen.server.as_str(),
-                    fencing_token = duty.fencing_token, why = error.to_string().as_str();
+                    fencing_token = lease.fencing_token, why = error.to_string().as_str();
                     "a promotion's order was not answered with success"
                 );
                 Ok(error != OrderError::NotRunning)
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -115,18 +115,18 @@
     }
 
     /// Returns where the duty's key stands if it is of an era that has ended: nobody holds the duty by it.
-    pub(crate) fn ended_duty(&self, state: &State) -> Option<Revision> {
-        let item = state.mirror.get(&self.duty_key())?;
+    pub(crate) fn expired_promoter_key(&self, state: &State) -> Option<Revision> {
+        let item = state.mirror.get(&self.promoter_key())?;
         let text = std::str::from_utf8(&item.value).ok()?;
         let era = text.rsplit_once('@').and_then(|(_, era)| era.parse().ok()).unwrap_or(0);
         (era < state.mirror.era().0).then_some(item.revision)
     }
 
     /// Takes the key of a duty away whose era has ended; the duty is free once that is heard of.
-    pub(crate) async fn remove_ended_duty(&self, revision: Revision) {
+    pub(crate) async fn remove_expired_promoter_key(&self, revision: Revision) {
         let transaction = Transaction {
-            expected: vec![(self.duty_key(), revision)],
-            removes: vec![self.duty_key()],
+            expected: vec![(self.promoter_key(), revision)],
+            removes: vec![self.promoter_key()],
             ..Transaction::default()
         };
         let removed = self.store.commit(&transaction, self.write_timeout()).await;
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -150,7 +150,7 @@
             if now >= complete_at {
                 return Ok(());
             }
-            if self.duty_left(now) < DUTY_LEFT_TO_RESUME {
+            if self.promoter_lease_left(now) < DUTY_LEFT_TO_RESUME {
                 let why = "the duty could not be renewed".to_owned();
                 return Err(ChangeEnd::Store(MetadataError::NotDone(why)));
             }
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -58,7 +58,7 @@
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
     pub(crate) fn zone_reader(&self) -> Option<SocketAddr> {
-        if self.held_duty().is_some() {
+        if self.held_promoter_lease().is_some() {
             return None;
         }
         let now = Instant::now();
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -172,7 +172,7 @@
     pub(crate) async fn stop(self: Rc<Self>) {
         let leases = {
             let mut state = self.state.borrow_mut();
-            [state.duty_lease.take(), state.lease.take()]
+            [state.promoter_lease.take(), state.lease.take()]
         };
         for lease in leases.into_iter().flatten() {
             let ended = self.store.revoke(lease.id, self.read_timeout()).await;
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -47,14 +47,14 @@
 
 /// The duty as this daemon holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HeldDuty {
+pub(crate) struct PromoterLease {
     pub(crate) fencing_token: u64,
     pub(crate) revision: Revision,
 }
 
 impl<P: Outside> Control<P> {
     /// Returns the key of the duty.
-    pub(crate) fn duty_key(&self) -> String {
+    pub(crate) fn promoter_key(&self) -> String {
         self.key("duty")
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Takes the duty when nobody has it, and looks after the groups while this daemon holds it.
-    pub(crate) async fn duty_loop(self: Rc<Self>) {
+    pub(crate) async fn promoter_loop(self: Rc<Self>) {
         loop {
             tokio::select! {
                 () = tokio::time::sleep(LOOK_EVERY) => {}
@@ -72,11 +72,11 @@
             }
             let stopping = self.stopping.borrow().is_some();
             let looks_at = Instant::now();
-            match self.held_duty() {
-                Some(duty) if stopping => self.leave_duty(duty).await,
-                Some(_) => self.look_after_groups(),
+            match self.held_promoter_lease() {
+                Some(lease) if stopping => self.release_promoter_lease(lease).await,
+                Some(_) => self.check_groups(),
                 None if stopping => {}
-                None => self.take_duty().await,
+                None => self.acquire_promoter_lease().await,
             }
             // A burst of changes is looked at once, and looks leave time for everything else that this thread does:
             // where there are a thousand groups, a look takes some milliseconds.
@@ -86,39 +86,40 @@
     }
 
     /// Returns the duty if this daemon holds it by what it knows.
-    pub(crate) fn held_duty(&self) -> Option<HeldDuty> {
+    pub(crate) fn held_promoter_lease(&self) -> Option<PromoterLease> {
         let state = self.state.borrow();
-        let item = state.mirror.get(&self.duty_key())?;
-        let lease = state.duty_lease?;
-        let ours = item.value == self.duty_value(lease.id) && Instant::now() < lease.valid_until;
-        ours.then_some(HeldDuty {
+        let item = state.mirror.get(&self.promoter_key())?;
+        let lease = state.promoter_lease?;
+        let ours =
+            item.value == self.promoter_value(lease.id) && Instant::now() < lease.valid_until;
+        ours.then_some(PromoterLease {
             fencing_token: item.created.fencing_token(),
             revision: item.revision,
         })
     }
 
     /// Returns how much is left of the duty's lease by this daemon's own clock; nothing if it does not hold the duty.
-    pub(crate) fn duty_left(&self, now: Instant) -> Duration {
-        let held = self.held_duty();
-        let lease = self.state.borrow().duty_lease.filter(|_| held.is_some());
+    pub(crate) fn promoter_lease_left(&self, now: Instant) -> Duration {
+        let held = self.held_promoter_lease();
+        let lease = self.state.borrow().promoter_lease.filter(|_| held.is_some());
         lease.map_or(Duration::ZERO, |lease| lease.valid_until.saturating_duration_since(now))
     }
 
     /// The value names the lease too, so that a restarted daemon does not take over its former life's.
-    pub(crate) fn duty_value(&self, lease: LeaseId) -> Bytes {
+    pub(crate) fn promoter_value(&self, lease: LeaseId) -> Bytes {
         Bytes::from(format!("{} {lease}", self.settings.host))
     }
 
     /// Takes the duty if nobody has it.
-    pub(crate) async fn take_duty(&self) {
+    pub(crate) async fn acquire_promoter_lease(&self) {
         let is_free = |control: &Self| {
             let state = control.state.borrow();
             let fresh = state
                 .last_read_at
                 .is_some_and(|at| at.elapsed() < control.primary_lease_duration());
             let is_member = state.lease.is_some_and(|lease| lease.id.era == state.mirror.era());
-            let is_held = state.mirror.get(&control.duty_key()).is_some();
-            fresh && is_member && (!is_held || control.ended_duty(&state).is_some())
+            let is_held = state.mirror.get(&control.promoter_key()).is_some();
+            fresh && is_member && (!is_held || control.expired_promoter_key(&state).is_some())
         };
         if !is_free(self) {
             return;
@@ -129,15 +130,15 @@
         if !is_free(self) {
             return;
         }
-        let ended = self.ended_duty(&self.state.borrow());
+        let ended = self.expired_promoter_key(&self.state.borrow());
         if let Some(revision) = ended {
             // Its key goes first, so that whoever takes the duty creates it: that is what makes the fencing token.
-            return self.remove_ended_duty(revision).await;
+            return self.remove_expired_promoter_key(revision).await;
         }
-        let Some(lease) = self.duty_lease().await else { return };
+        let Some(lease) = self.obtain_promoter_lease().await else { return };
         let transaction = Transaction {
-            expected: vec![(self.duty_key(), Revision::ABSENT)],
-            puts: vec![(self.duty_key(), self.duty_value(lease.id), Some(lease.id))],
+            expected: vec![(self.promoter_key(), Revision::ABSENT)],
+            puts: vec![(self.promoter_key(), self.promoter_value(lease.id), Some(lease.id))],
             removes: Vec::new(),
         };
         let taken = self.store.commit(&transaction, self.write_timeout()).await;
@@ -148,7 +149,7 @@
                 "this daemon promotes from now on"
             ),
             Ok(TransactionOutcome::Conflict) => {}
-            Ok(TransactionOutcome::LeaseOver) => self.state.borrow_mut().duty_lease = None,
+            Ok(TransactionOutcome::LeaseOver) => self.state.borrow_mut().promoter_lease = None,
             // If it was done after all, the next reading shows it.
             Err(error) => log::info!(
                 event = "duty_unclear", why = error.to_string().as_str();
@@ -165,9 +166,10 @@
 
     /// Returns the lease that the duty stands under, shorter than a member's: while it lasts after its
     /// holder's death, nobody promotes.
-    pub(crate) async fn duty_lease(&self) -> Option<HeldLease> {
+    pub(crate) async fn obtain_promoter_lease(&self) -> Option<HeldLease> {
         let now = Instant::now();
-        if let Some(lease) = self.state.borrow().duty_lease.filter(|lease| now < lease.valid_until)
+        if let Some(lease) =
+            self.state.borrow().promoter_lease.filter(|lease| now < lease.valid_until)
         {
             return Some(lease);
         }
@@ -177,7 +179,7 @@
         match granted {
             Ok(id) => {
                 let lease = HeldLease { id, valid_until: now + lasts };
-                self.state.borrow_mut().duty_lease = Some(lease);
+                self.state.borrow_mut().promoter_lease = Some(lease);
                 Some(lease)
             }
             Err(error) => {
@@ -192,12 +194,14 @@
     }
 
     /// Renews the duty's lease while this daemon holds the duty.
-    pub(crate) async fn duty_lease_loop(self: Rc<Self>) {
+    pub(crate) async fn promoter_lease_loop(self: Rc<Self>) {
         let lasts = Duration::from_millis(self.settings.metadata.duty_lease_ms);
         loop {
             tokio::time::sleep(lasts / RENEWALS_PER_LEASE).await;
-            let lease = self.state.borrow().duty_lease;
-            let Some(lease) = lease.filter(|_| self.held_duty().is_some()) else { continue };
+            let lease = self.state.borrow().promoter_lease;
+            let Some(lease) = lease.filter(|_| self.held_promoter_lease().is_some()) else {
+                continue;
+            };
             let sent_at = Instant::now();
             let renewed = self.store.renew(lease.id, self.read_timeout()).await;
             self.count_call("renew", &renewed);
@@ -205,11 +209,11 @@
             match renewed {
                 Ok(true) => {
                     let valid_until = sent_at + lasts;
-                    state.duty_lease = Some(HeldLease { valid_until, ..lease });
+                    state.promoter_lease = Some(HeldLease { valid_until, ..lease });
                 }
                 Ok(false) => {
                     log::info!(event = "duty_lost"; "the duty's lease was over");
-                    state.duty_lease = None;
+                    state.promoter_lease = None;
                 }
                 Err(error) => log::info!(
                     event = "store_unreachable", call = "duty_lease",
@@ -221,14 +225,14 @@
     }
 
     /// Leaves the duty to another daemon before this one stops; a change under way is finished first.
-    pub(crate) async fn leave_duty(&self, duty: HeldDuty) {
+    pub(crate) async fn release_promoter_lease(&self, lease: PromoterLease) {
         if !self.changes_running.borrow().is_empty() {
             return;
         }
         let transaction = Transaction {
-            expected: vec![(self.duty_key(), duty.revision)],
+            expected: vec![(self.promoter_key(), lease.revision)],
             puts: Vec::new(),
-            removes: vec![self.duty_key()],
+            removes: vec![self.promoter_key()],
         };
         let left = self.store.commit(&transaction, self.write_timeout()).await;
         self.count_call("commit", &left);
@@ -244,7 +248,7 @@
     }
 
     /// Starts a change for each group that needs one.
-    pub(crate) fn look_after_groups(self: &Rc<Self>) {
+    pub(crate) fn check_groups(self: &Rc<Self>) {
         let services: Vec<Name> = self.state.borrow().catalog.services.keys().cloned().collect();
         for service in services {
             if self.changes_running.borrow().contains_key(&service) {
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -31,11 +31,11 @@
     /// own callers may ask that service little, and then it would not notice for seconds.
     pub(crate) fn tell_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
-        if self.held_duty().is_some() {
+        if self.held_promoter_lease().is_some() {
             self.note_behind(service);
             return;
         }
-        let Some(holder) = self.duty_holder() else { return };
+        let Some(holder) = self.promoter_address() else { return };
         let told_at = self.state.borrow_mut().behind_told.insert(service.clone(), now);
         if told_at.is_some_and(|at| now.duration_since(at) < BEHIND_TOLD_EVERY) {
             // The time of the report that was sent counts, not of those that were not.
@@ -57,10 +57,10 @@
     }
 
     /// Returns where the daemon that holds the duty to promote is asked, if that is another one.
-    fn duty_holder(&self) -> Option<SocketAddr> {
+    fn promoter_address(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        let duty = state.mirror.get(&self.duty_key())?;
-        let value = std::str::from_utf8(&duty.value).ok()?;
+        let item = state.mirror.get(&self.promoter_key())?;
+        let value = std::str::from_utf8(&item.value).ok()?;
         let (holder, _) = value.split_once(' ')?;
         let member = state.members.get(holder)?;
         let is_silent = |address: &SocketAddr| self.asker.is_silent(*address, Instant::now());
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -165,7 +165,7 @@
             doubted: BTreeSet::new(),
         };
         // The duty ended with its lease, and what was missing while nothing was heard can't be known.
-        state.duty_lease = None;
+        state.promoter_lease = None;
         state.watching_since = Some(now);
         state.reading = None;
         state.acknowledged.clear();
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -193,10 +193,10 @@
             control.clone().lease_loop(),
             control.clone().evidence_loop(),
             control.clone().observation_loop(),
-            control.clone().duty_loop(),
+            control.clone().promoter_loop(),
             control.clone().write_loop(),
             control.clone().suspicion_loop(),
-            control.clone().duty_lease_loop(),
+            control.clone().promoter_lease_loop(),
             control.clone().peer_loop(parts.peer_listener),
             control.clone().put_back_loop(),
         );
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -74,7 +74,7 @@
     pub(crate) used_at: HashMap<Name, Instant>,
     pub(crate) lease: Option<HeldLease>,
     /// The lease of the duty to promote, while this daemon holds the duty or tries to.
-    pub(crate) duty_lease: Option<HeldLease>,
+    pub(crate) promoter_lease: Option<HeldLease>,
     /// When this daemon itself last asked for a reading of the store.
     pub(crate) own_read_at: Option<Instant>,
     /// The youngest reading of the store, by whomever.
