--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -106,15 +106,15 @@
     pub claims_lead: bool,
     /// When it was started, by its own word; `None` where servers don't say. A server that starts again under its
     /// identity holds nothing of before, so it is another one to whoever knew it.
-    pub life: Option<ServerLife>,
+    pub incarnation: Option<ServerIncarnation>,
 }
 
-/// One life of a server: the Unix millisecond of its start.
+/// One incarnation of a server: the Unix millisecond of its start.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
-pub struct ServerLife(pub u64);
+pub struct ServerIncarnation(pub u64);
 
 /// An item that can't be understood. A configuration that was known before stays in force; a server whose entry can't be
 /// read is none that may be used.
--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -84,7 +84,7 @@
     /// The primary's entry is gone.
     Gone,
     /// The primary started again and holds nothing of what it led with.
-    Reborn,
+    Restarted,
     /// The primary is leaving.
     Leaving,
     /// Too many daemons can't reach the primary.
@@ -101,7 +101,7 @@
             Reason::LeftUnfinished => "left_unfinished",
             Reason::Restored => "restored",
             Reason::Gone => "gone",
-            Reason::Reborn => "reborn",
+            Reason::Restarted => "reborn",
             Reason::Leaving => "leaving",
             Reason::Unreachable => "unreachable",
             Reason::ReplicasBehind => "replicas_behind",
@@ -471,7 +471,7 @@
         let record = LeadershipRecord {
             term: status.term.0,
             primary: entry.server.to_string(),
-            primary_life: entry.life,
+            primary_incarnation: entry.incarnation,
             ..LeadershipRecord::default()
         };
         self.write_record(service, &record, Revision::ABSENT).await?;
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -11,7 +11,7 @@
 use model::{Name, Term};
 
 use crate::{
-    catalog::{ServerEntry, ServerLife},
+    catalog::{ServerEntry, ServerIncarnation},
     control::{
         change::{ChangeEnd, ChangeRun, Reason, VersionedRecord, has_taken_over},
         commands::Commands,
@@ -39,7 +39,7 @@
         let Some(found) = self.ask_who_leads(service, &known.record).await else {
             return self.settle_without_word(service, &known).await;
         };
-        let record = confirmed(&known.record, &found, self.life_of(service, &found.server));
+        let record = confirmed(&known.record, &found, self.incarnation_of(service, &found.server));
         self.write_record(service, &record, known.revision).await?;
         self.metrics.restores.with_label_values(&["confirmed"]).inc();
         log::info!(
@@ -105,8 +105,8 @@
         term: u64,
         commands: &mut Commands<'_, P>,
     ) -> Result<(), ChangeEnd> {
-        let life = self.life_of(service, &chosen.server);
-        let record = run.record.settled(chosen, life, term);
+        let incarnation = self.incarnation_of(service, &chosen.server);
+        let record = run.record.settled(chosen, incarnation, term);
         self.write_record(service, &record, run.revision).await?;
         self.step("settled", service, run);
         let old = run.record.primary.as_str();
@@ -148,12 +148,12 @@
 fn confirmed(
     record: &LeadershipRecord,
     found: &LeaderByEvidence,
-    life: Option<ServerLife>,
+    incarnation: Option<ServerIncarnation>,
 ) -> LeadershipRecord {
     if found.term.0 == record.term && *found.server == *record.primary {
         return record.clone();
     }
     let (term, primary) = (found.term.0, found.server.to_string());
     let starts = Vec::new();
-    LeadershipRecord { term, primary, primary_life: life, starts, ..record.clone() }
+    LeadershipRecord { term, primary, primary_incarnation: incarnation, starts, ..record.clone() }
 }
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -259,7 +259,7 @@
             // may be older than the change that followed it.
             if record.change.is_some()
                 || record.era != mirror.era().0
-                || servers.is_reborn(service, &record.primary, record.primary_life)
+                || servers.is_restarted(service, &record.primary, record.primary_incarnation)
             {
                 continue;
             }
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -15,7 +15,7 @@
 use rand::RngExt;
 
 use crate::{
-    catalog::{ServerEntry, ServerLife},
+    catalog::{ServerEntry, ServerIncarnation},
     control::{
         change::{Reason, VersionedRecord},
         move_times::MoveTimes,
@@ -308,8 +308,8 @@
             return is_gone.then_some(Reason::Gone);
         };
         self.state.borrow_mut().primary_missing_since.remove(service);
-        if self.state.borrow_mut().is_primary_reborn(service, &known.record) {
-            return Some(Reason::Reborn);
+        if self.state.borrow_mut().is_primary_restarted(service, &known.record) {
+            return Some(Reason::Restarted);
         }
         if primary.leaving {
             let other = entries.iter().any(|entry| !entry.leaving);
@@ -342,8 +342,8 @@
     }
 
     /// Returns the life of a service's server as its entry tells it.
-    pub(crate) fn life_of(&self, service: &Name, server: &str) -> Option<ServerLife> {
-        self.state.borrow_mut().servers.life_of(service, server)
+    pub(crate) fn incarnation_of(&self, service: &Name, server: &str) -> Option<ServerIncarnation> {
+        self.state.borrow_mut().servers.incarnation_of(service, server)
     }
 
     /// Whether the primary's entry has been missing for so long, in readings of a store that answered
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use session::{Standing, TermHistory};
 
-use crate::{catalog::ServerLife, metadata::Era, statement::EndpointStatus};
+use crate::{catalog::ServerIncarnation, metadata::Era, statement::EndpointStatus};
 
 /// The record of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,8 +19,8 @@
     /// The server that leads in it.
     pub primary: String,
     /// The life of that server as it came to lead, where servers tell of lives: in another one it leads nothing.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub primary_life: Option<ServerLife>,
+    #[serde(rename = "primary_life", default, skip_serializing_if = "Option::is_none")]
+    pub primary_incarnation: Option<ServerIncarnation>,
     /// Where terms began, oldest first, as far as promotions of this system made them.
     pub starts: Vec<TermStart>,
     /// A change of primary that is under way.
@@ -132,7 +132,7 @@
     pub fn settled(
         &self,
         chosen: &ChosenServer,
-        life: Option<ServerLife>,
+        incarnation: Option<ServerIncarnation>,
         term: u64,
     ) -> LeadershipRecord {
         let mut starts = self.starts.clone();
@@ -145,7 +145,14 @@
         starts.drain(..surplus);
         let primary = chosen.server.clone();
         let change = None;
-        LeadershipRecord { term, primary, primary_life: life, starts, change, ..self.clone() }
+        LeadershipRecord {
+            term,
+            primary,
+            primary_incarnation: incarnation,
+            starts,
+            change,
+            ..self.clone()
+        }
     }
 }
 
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -134,7 +134,9 @@
         }
         let is_against = match self.servers.at(&item.key) {
             None => true,
-            Some(known) if known.life != entry.life => known.life > entry.life,
+            Some(known) if known.incarnation != entry.incarnation => {
+                known.incarnation > entry.incarnation
+            }
             Some(known) => known.leaving && !entry.leaving,
         };
         if is_against {
--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -8,7 +8,7 @@
 
 use model::Name;
 
-use crate::catalog::{ServerEntry, ServerLife};
+use crate::catalog::{ServerEntry, ServerIncarnation};
 
 struct Known {
     entry: Arc<ServerEntry>,
@@ -51,21 +51,26 @@
 
     /// Returns the life of the server whose entry has this key, if it is known and tells of lives. It makes no list of all
     /// servers: a daemon that read the entries of three thousand and made that list for each did little else.
-    pub fn life_at(&self, key: &str) -> Option<ServerLife> {
-        self.known.get(key)?.entry.life
+    pub fn incarnation_at(&self, key: &str) -> Option<ServerIncarnation> {
+        self.known.get(key)?.entry.incarnation
     }
 
     /// Returns the life of a service's server that is listed now, if servers tell of lives.
-    pub fn life_of(&mut self, service: &str, server: &str) -> Option<ServerLife> {
+    pub fn incarnation_of(&mut self, service: &str, server: &str) -> Option<ServerIncarnation> {
         let by_service = self.by_service();
         let entries = by_service.get(service)?;
-        entries.iter().find(|entry| &*entry.server == server)?.life
+        entries.iter().find(|entry| &*entry.server == server)?.incarnation
     }
 
     /// Whether a server that was known in the life `then` is listed in another one.
-    pub fn is_reborn(&mut self, service: &str, server: &str, then: Option<ServerLife>) -> bool {
+    pub fn is_restarted(
+        &mut self,
+        service: &str,
+        server: &str,
+        then: Option<ServerIncarnation>,
+    ) -> bool {
         let Some(then) = then else { return false };
-        self.life_of(service, server).is_some_and(|now| now != then)
+        self.incarnation_of(service, server).is_some_and(|now| now != then)
     }
 
     /// Takes over an entry; returns whether anything that matters changed.
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -170,7 +170,7 @@
 
     /// Forgets what was believed of a server's former life: rights to use it, what it showed of its log, and that it was out
     /// of reach.
-    pub(crate) fn forget_life(&mut self, service: &Name, server: &Name) {
+    pub(crate) fn forget_incarnation(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
         if let Some(lead) = Arc::make_mut(&mut self.leads).get_mut(service)
             && lead.server == *server
@@ -182,8 +182,12 @@
     }
 
     /// Whether the server that a record names as primary has started again since it came to lead.
-    pub(crate) fn is_primary_reborn(&mut self, service: &Name, record: &LeadershipRecord) -> bool {
-        self.servers.is_reborn(service, &record.primary, record.primary_life)
+    pub(crate) fn is_primary_restarted(
+        &mut self,
+        service: &Name,
+        record: &LeadershipRecord,
+    ) -> bool {
+        self.servers.is_restarted(service, &record.primary, record.primary_incarnation)
     }
 
     /// Keeps a reading for others if it is the youngest.
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -313,8 +313,8 @@
                 }
                 let (server, leaving, leads) =
                     (entry.server.clone(), entry.leaving, entry.claims_lead);
-                let (service, life) = (entry.service.clone(), entry.life);
-                let before = state.servers.life_at(&item.key);
+                let (service, incarnation) = (entry.service.clone(), entry.incarnation);
+                let before = state.servers.incarnation_at(&item.key);
                 if state.servers.put(&item.key, entry) {
                     log::info!(
                         event = "server", server = &*server, leaving = leaving,
@@ -322,8 +322,8 @@
                         "a server's entry changed"
                     );
                 }
-                if before.is_some() && before != life {
-                    state.forget_life(&service, &server);
+                if before.is_some() && before != incarnation {
+                    state.forget_incarnation(&service, &server);
                     log::info!(
                         event = "server_reborn", service = &*service, server = &*server,
                         revision = item.revision.number();
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     accounts::Principal,
-    catalog::{ServerEntry, ServerLife},
+    catalog::{ServerEntry, ServerIncarnation},
     control::{detour::open_detour, peers::DetourRequest},
     dialect::{EndpointDialect, EndpointMessage, EndpointStartup},
     links::{bound_silence, drop_unreceived_at_end, end_in_order},
@@ -106,8 +106,8 @@
     pub server: Name,
     /// For whom it works, for as long as it stands.
     pub principal: Principal,
-    /// The server's life as it was opened, by the entry; nothing is true of it in another one.
-    pub life: Option<ServerLife>,
+    /// The server's incarnation as its entry stated it when the connection was opened.
+    pub incarnation: Option<ServerIncarnation>,
     /// What the server's side holds for sessions.
     pub environment: Environment,
     /// Whether it goes to the server itself, and not through another daemon.
@@ -174,7 +174,7 @@
             unanswered: 0,
             server: entry.server.clone(),
             principal: introduction.principal.clone(),
-            life: entry.life,
+            incarnation: entry.incarnation,
             environment: Environment::default(),
             last_point: None,
         };
--- a/crates/proxy/src/serve/lent.rs
+++ b/crates/proxy/src/serve/lent.rs
@@ -207,8 +207,8 @@
     /// Whether the server at the other end has started again since this connection was opened.
     fn is_of_former_life(&self) -> bool {
         let Held::Own(connection) = &self.held else { return false };
-        let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.life);
-        connection.life != now
+        let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.incarnation);
+        connection.incarnation != now
     }
 
     /// Whether whoever has this wish may use this very connection.
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -400,7 +400,7 @@
         self.with_slot(&server, |slot| {
             slot.leave(false);
             let is_wanted = (connection.is_direct || !slot.detours.is_empty())
-                && connection.life == slot.entry.life;
+                && connection.incarnation == slot.entry.incarnation;
             if is_wanted
                 && slot.listed
                 && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.loan
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -147,9 +147,9 @@
     }
 
     /// Takes over what the server says of itself. One that started again is another server under the same name: what was
-    /// known of its former life, and the connections to that, are dropped.
+    /// known of its former incarnation, and the connections to that, are dropped.
     pub(crate) fn set_entry(&mut self, entry: Arc<ServerEntry>) {
-        if self.entry.life != entry.life {
+        if self.entry.incarnation != entry.incarnation {
             self.idle.clear();
             self.point = None;
             self.latency = LatencyAverage::default();
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -261,7 +261,7 @@
         slots: 3,
         leaving,
         claims_lead: false,
-        life: None,
+        incarnation: None,
     }
 }
 
