--- a/crates/proxy/src/control/pause.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -24,25 +24,25 @@
 
 /// A pause that grows with each failure, with jitter so that daemons do not move in step.
 #[derive(Default)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     failures: u32,
 }
 
-impl Pause {
+impl Backoff {
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
     pub(crate) async fn wait(&mut self) {
-        let pause = self.next();
-        tokio::time::sleep(pause).await;
+        let backoff = self.next();
+        tokio::time::sleep(backoff).await;
     }
 
     /// The pause of a daemon that hears of the store's return from another one, if that is there.
     pub(crate) async fn wait_as_follower(&mut self, reader_answers: bool) {
         let times = if reader_answers { LISTENER_PAUSES } else { FOLLOWER_PAUSES };
-        let pause = self.next() * times;
-        tokio::time::sleep(pause).await;
+        let backoff = self.next() * times;
+        tokio::time::sleep(backoff).await;
     }
 
     fn next(&mut self) -> Duration {
@@ -62,14 +62,14 @@
 
     /// Waits after a call that failed until the store is worth another try: until a reading by whomever shows that it
     /// is back, or for a while that grows.
-    pub(crate) async fn await_store(&self, pause: &mut Pause) {
+    pub(crate) async fn await_store(&self, backoff: &mut Backoff) {
         let is_silent = || self.state.borrow().is_store_silent(self.patience());
         if self.zone_reader().is_none() {
-            return pause.wait().await;
+            return backoff.wait().await;
         }
         if !is_silent() {
             // Others reach it: only this daemon is turned away, and no reading tells when that ends.
-            return pause.wait_as_follower(false).await;
+            return backoff.wait_as_follower(false).await;
         }
         let is_back = async {
             while is_silent() {
@@ -77,8 +77,8 @@
             }
         };
         tokio::select! {
-            () = pause.wait_as_follower(self.does_reader_answer()) => {}
-            () = is_back => pause.reset(),
+            () = backoff.wait_as_follower(self.does_reader_answer()) => {}
+            () = is_back => backoff.reset(),
         }
     }
 }
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 
 use crate::{
+    control::backoff::Backoff,
     control::outside::Outside,
-    control::pause::Pause,
     control::runner::{Control, RENEWALS_PER_LEASE},
     control::state::{HeldLease, MemberValue},
     metadata::{LeaseId, MetadataError, MetadataStore, Transaction, TransactionOutcome},
@@ -19,7 +19,7 @@
     /// Keeps this daemon a member: takes a lease, renews it, takes another when it is over.
     pub(crate) async fn lease_loop(self: Rc<Self>) {
         let lasts = Duration::from_millis(self.settings.metadata.lease_ms);
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             let held = self.state.borrow().lease;
             let era = self.state.borrow().mirror.era();
@@ -34,7 +34,7 @@
             };
             match outcome {
                 Ok(()) => {
-                    pause.reset();
+                    backoff.reset();
                     tokio::select! {
                         () = tokio::time::sleep(lasts / RENEWALS_PER_LEASE) => {}
                         () = self.rejoin.notified() => {}
@@ -47,11 +47,11 @@
                         "the lease was not renewed"
                     );
                     if !self.is_member() {
-                        pause.wait().await;
+                        backoff.wait().await;
                         continue;
                     }
                     tokio::select! {
-                        () = self.await_store(&mut pause) => {}
+                        () = self.await_store(&mut backoff) => {}
                         () = self.await_last_try() => {}
                     }
                 }
@@ -85,7 +85,7 @@
         let mut state = self.state.borrow_mut();
         state.lease = Some(HeldLease { id, valid_until: sent_at + lasts });
         state.acknowledged.clear();
-        state.suspicions_told.forget_written();
+        state.reported_suspicions.forget_written();
         let is_read_before = state.servers_known;
         drop(state);
         log::info!(event = "joined", lease = id.number; "this daemon is a member");
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     control::{
+        backoff::Backoff,
         beliefs::Basis,
         outside::Outside,
-        pause::Pause,
         peers::{SharedReading, StoreReading, judge_reading},
         runner::Control,
         state::State,
@@ -32,7 +32,7 @@
     /// Renews the rights again and again, by a reading of the store or of another daemon.
     pub(crate) async fn refresh_loop(self: Rc<Self>) {
         let every = Duration::from_millis(self.settings.leadership.refresh_ms);
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         // The first reading is that of everything, which brings what the rights are about.
         while !self.state.borrow().servers_known {
             self.has_read.notified().await;
@@ -57,7 +57,7 @@
             let asked_at = Instant::now();
             match self.renew_primary_leases(asked_at).await {
                 Ok(()) => {
-                    pause.reset();
+                    backoff.reset();
                     self.doubt_reader();
                     let rest = every.saturating_sub(asked_at.elapsed());
                     tokio::select! {
@@ -72,8 +72,8 @@
                         "the store did not answer"
                     );
                     match self.zone_reader() {
-                        Some(_) => self.await_shared_reading(&mut pause).await,
-                        None => pause.wait().await,
+                        Some(_) => self.await_shared_reading(&mut backoff).await,
+                        None => backoff.wait().await,
                     }
                 }
             }
@@ -81,15 +81,15 @@
     }
 
     /// Waits until the store is to be tried again, unless another daemon's reading comes first.
-    async fn await_shared_reading(&self, pause: &mut Pause) {
+    async fn await_shared_reading(&self, backoff: &mut Backoff) {
         let shared = async {
             while !self.is_reading_shared() {
                 self.news.notified().await;
             }
         };
         tokio::select! {
-            () = pause.wait_as_follower(self.does_reader_answer()) => {}
-            () = shared => pause.reset(),
+            () = backoff.wait_as_follower(self.does_reader_answer()) => {}
+            () = shared => backoff.reset(),
         }
     }
 
--- a/crates/proxy/src/control/looks.rs
+++ b/crates/proxy/src/control/probe_schedule.rs
@@ -11,31 +11,31 @@
 use model::Name;
 
 /// How long after a look the next word of others is no reason for another one.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A look at a server, and whether somebody has suspected it since.
 #[derive(Clone, Copy, Debug)]
-struct Look {
+struct Probe {
     at: Instant,
     is_asked_again: bool,
 }
 
 /// The looks of the last moments, by service and server.
 #[derive(Debug, Default)]
-pub struct Looks {
-    made: HashMap<(Name, Name), Look>,
+pub struct ProbeSchedule {
+    made: HashMap<(Name, Name), Probe>,
 }
 
-impl Looks {
+impl ProbeSchedule {
     /// Notes that somebody suspects a server; whether to look at it now.
     pub fn on_suspected(&mut self, pair: &(Name, Name), now: Instant) -> bool {
         match self.made.get_mut(pair) {
-            Some(look) if now.duration_since(look.at) < LOOK_AGAIN_AFTER => {
+            Some(look) if now.duration_since(look.at) < PROBE_INTERVAL => {
                 look.is_asked_again = true;
                 false
             }
             _ => {
-                self.made.insert(pair.clone(), Look { at: now, is_asked_again: false });
+                self.made.insert(pair.clone(), Probe { at: now, is_asked_again: false });
                 true
             }
         }
@@ -43,13 +43,13 @@
 
     /// Returns the servers that were suspected soon after a look and whose next one is due.
     pub fn take_due(&mut self, now: Instant) -> Vec<(Name, Name)> {
-        let is_recent = |look: &Look| now.duration_since(look.at) < LOOK_AGAIN_AFTER;
-        let is_due = |look: &Look| look.is_asked_again && !is_recent(look);
+        let is_recent = |look: &Probe| now.duration_since(look.at) < PROBE_INTERVAL;
+        let is_due = |look: &Probe| look.is_asked_again && !is_recent(look);
         let made = self.made.iter().filter(|(_, look)| is_due(look));
         let due: Vec<(Name, Name)> = made.map(|(pair, _)| pair.clone()).collect();
         self.made.retain(|_, look| is_recent(look));
         for pair in &due {
-            self.made.insert(pair.clone(), Look { at: now, is_asked_again: false });
+            self.made.insert(pair.clone(), Probe { at: now, is_asked_again: false });
         }
         due
     }
--- a/crates/proxy/src/control/records.rs
+++ b/crates/proxy/src/control/records.rs
@@ -14,8 +14,8 @@
         beliefs::{Basis, Lead},
         change::VersionedRecord,
         outside::Outside,
-        put_back::KEPT_CONFIGURATION,
         record::{CountingRecord, LeadershipRecord, PrimaryChange},
+        republish::BACKUP_CONFIGURATION_KEY,
         runner::Control,
         state::{MemberValue, SeenMember, State},
     },
@@ -49,8 +49,8 @@
         }
         if let Some(host) = rest.strip_prefix("members/") {
             self.on_member(key, host);
-        } else if rest == KEPT_CONFIGURATION {
-            self.on_kept_configuration(key);
+        } else if rest == BACKUP_CONFIGURATION_KEY {
+            self.on_backup_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
             self.note_own_suspicion(key);
             self.look_at_suspicion(key, suspicion);
@@ -126,7 +126,7 @@
                 stored?
             }
             CountingRecord::Known => {
-                self.put_back.notify_one();
+                self.republish.notify_one();
                 let item = state.mirror.get(&self.record_key(service));
                 let revision = item.map_or(Revision::ABSENT, |item| item.revision);
                 VersionedRecord { record: known?.record.clone(), revision }
--- a/crates/proxy/src/control/telling.rs
+++ b/crates/proxy/src/control/reported_suspicions.rs
@@ -15,14 +15,14 @@
 
 /// What is to be written, by one transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Untold {
+pub struct PendingSuspicionWrites {
     /// Suspicions to be put.
     pub puts: Vec<String>,
     /// Suspicions to be taken back.
     pub removes: Vec<String>,
 }
 
-impl Untold {
+impl PendingSuspicionWrites {
     /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.puts.is_empty() && self.removes.is_empty()
@@ -35,13 +35,13 @@
 
 /// The keys of this daemon's suspicions, as the store shows them and as they were told since.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct ReportedSuspicions {
     shown: BTreeSet<String>,
     /// What was written a moment ago: whether the key was put, and when.
     written: BTreeMap<String, (bool, Instant)>,
 }
 
-impl Told {
+impl ReportedSuspicions {
     /// Notes whether the store shows a key.
     pub fn on_shown(&mut self, key: &str, is_there: bool) {
         match is_there {
@@ -54,7 +54,7 @@
     }
 
     /// Notes that the store did a write.
-    pub fn on_written(&mut self, untold: &Untold, now: Instant) {
+    pub fn on_written(&mut self, untold: &PendingSuspicionWrites, now: Instant) {
         for key in &untold.puts {
             self.written.insert(key.clone(), (true, now));
         }
@@ -75,9 +75,9 @@
         wanted: &BTreeSet<String>,
         now: Instant,
         mut may_put: impl FnMut(&str) -> bool,
-    ) -> Untold {
+    ) -> PendingSuspicionWrites {
         self.written.retain(|_, (_, at)| now.duration_since(*at) < SHOWN_WITHIN);
-        let mut untold = Untold::default();
+        let mut untold = PendingSuspicionWrites::default();
         let put_lately = self.written.iter().filter(|(_, (put, _))| *put).map(|(key, _)| key);
         let known: BTreeSet<&String> = self.shown.iter().chain(put_lately).collect();
         for key in known.into_iter().filter(|key| !wanted.contains(*key)) {
--- a/crates/proxy/src/control/put_back.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     control::{
-        outside::Outside, pause::Pause, record::CountingRecord, runner::Control, state::State,
+        backoff::Backoff, outside::Outside, record::CountingRecord, runner::Control, state::State,
     },
     metadata::{
         Era, Item, MetadataError, MetadataStore, Revision, Transaction, TransactionOutcome,
@@ -19,7 +19,7 @@
 };
 
 /// Where the newest configuration is kept while the operators' own key holds an older one: daemons may not write that.
-pub(crate) const KEPT_CONFIGURATION: &str = "configuration";
+pub(crate) const BACKUP_CONFIGURATION_KEY: &str = "configuration";
 /// Records in one transaction, of a condition and a value each; the store takes 32 of both together.
 const RECORDS_AT_ONCE: usize = 16;
 /// The time between the turns of two daemons: a write, and its news on the way through the fleet.
@@ -31,7 +31,7 @@
 
 /// Which configurations the store holds, by their versions, and the newest that was seen.
 #[derive(Default)]
-pub(crate) struct ConfigurationsHeard {
+pub(crate) struct ConfigurationVersions {
     /// The version of the operators'; 0 for none that can be read.
     pub(crate) operators: u64,
     /// That of the one that daemons keep for them.
@@ -40,7 +40,7 @@
     newest_value: Bytes,
 }
 
-impl ConfigurationsHeard {
+impl ConfigurationVersions {
     /// Notes a configuration of the store; returns whether something is to be written because of it.
     pub(crate) fn note(&mut self, version: u64, value: &Bytes, is_operators: bool) -> bool {
         match is_operators {
@@ -51,24 +51,24 @@
             self.newest = version;
             self.newest_value = value.clone();
         }
-        self.due() != KeptConfiguration::AsItIs
+        self.due() != BackupAction::Keep
     }
 
-    fn due(&self) -> KeptConfiguration {
+    fn due(&self) -> BackupAction {
         if self.newest > self.operators.max(self.kept) {
-            return KeptConfiguration::Write;
+            return BackupAction::Write;
         }
         if self.kept > 0 && self.operators >= self.kept {
-            return KeptConfiguration::Remove;
+            return BackupAction::Remove;
         }
-        KeptConfiguration::AsItIs
+        BackupAction::Keep
     }
 }
 
 /// What is to become of the configuration that daemons keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum KeptConfiguration {
-    AsItIs,
+enum BackupAction {
+    Keep,
     Write,
     /// The operators have written one that is as new.
     Remove,
@@ -83,21 +83,21 @@
 
 impl<P: Outside> Control<P> {
     /// Writes what the store lost, whenever something was found missing, until nothing is.
-    pub(crate) async fn put_back_loop(self: Rc<Self>) {
+    pub(crate) async fn republish_loop(self: Rc<Self>) {
         loop {
-            self.put_back.notified().await;
-            let mut pause = Pause::default();
+            self.republish.notified().await;
+            let mut backoff = Backoff::default();
             loop {
                 self.await_turn_to_write().await;
                 let Some(due) = self.due_write() else { break };
                 let written = self.store.commit(&due.transaction, self.write_timeout()).await;
                 self.count_call("commit", &written);
-                self.tell_put_back(&due, &written);
+                self.log_republish(&due, &written);
                 if matches!(written, Ok(TransactionOutcome::Done(_))) {
-                    pause.reset();
+                    backoff.reset();
                 }
                 // The mirror hears of it by the watch; others may have been first.
-                pause.wait().await;
+                backoff.wait().await;
             }
         }
     }
@@ -144,19 +144,19 @@
 
     fn due_configuration(&self, state: &State) -> Option<DueWrite> {
         let heard = &state.configurations;
-        let key = self.key(KEPT_CONFIGURATION);
+        let key = self.key(BACKUP_CONFIGURATION_KEY);
         let expected = vec![(key.clone(), expected_of(state.mirror.get(&key)))];
         let (puts, removes) = match heard.due() {
-            KeptConfiguration::AsItIs => return None,
-            KeptConfiguration::Write => (vec![(key, heard.newest_value.clone(), None)], Vec::new()),
-            KeptConfiguration::Remove => (Vec::new(), vec![key]),
+            BackupAction::Keep => return None,
+            BackupAction::Write => (vec![(key, heard.newest_value.clone(), None)], Vec::new()),
+            BackupAction::Remove => (Vec::new(), vec![key]),
         };
         let what = if puts.is_empty() { "configuration_removed" } else { "configuration" };
         let transaction = Transaction { expected, puts, removes };
         Some(DueWrite { transaction, what, count: 1 })
     }
 
-    fn tell_put_back(&self, due: &DueWrite, written: &Result<TransactionOutcome, MetadataError>) {
+    fn log_republish(&self, due: &DueWrite, written: &Result<TransactionOutcome, MetadataError>) {
         match written {
             Ok(TransactionOutcome::Done(_)) => {
                 let count = due.count as u64;
@@ -176,7 +176,7 @@
     }
 
     /// Takes over the configuration that daemons keep: it counts as the operators' would.
-    pub(crate) fn on_kept_configuration(&self, key: &str) {
+    pub(crate) fn on_backup_configuration(&self, key: &str) {
         let item = self.state.borrow().mirror.get(key).cloned();
         match item {
             Some(item) => self.on_configuration(&item),
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -184,7 +184,7 @@
             "the store came back from an older copy; what it lost is put back"
         );
         self.rejoin.notify_one();
-        self.put_back.notify_one();
+        self.republish.notify_one();
     }
 
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -144,7 +144,7 @@
     /// Wakes whoever tells of suspicions when the store may not show them as it should.
     pub(crate) suspicions_due: Notify,
     /// Wakes whoever writes again what the store lost.
-    pub(crate) put_back: Notify,
+    pub(crate) republish: Notify,
     pub(crate) writes: (flume::Sender<PendingWrite>, flume::Receiver<PendingWrite>),
 }
 
@@ -181,7 +181,7 @@
         epoch: Instant::now(),
         rejoin: Notify::new(),
         suspicions_due: Notify::new(),
-        put_back: Notify::new(),
+        republish: Notify::new(),
         writes: flume::bounded(MOST_PENDING_WRITES),
     });
     let mut ended = parts.ended;
@@ -198,7 +198,7 @@
             control.clone().suspicion_loop(),
             control.clone().promoter_lease_loop(),
             control.clone().peer_loop(parts.peer_listener),
-            control.clone().put_back_loop(),
+            control.clone().republish_loop(),
         );
     };
     tokio::select! {
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -17,14 +17,14 @@
         change::VersionedRecord,
         following::HeardOf,
         knowledge::{Knowledge, Sighting},
-        looks::Looks,
         mirror::Mirror,
         peers::{Evidence, PrimarySample, StoreReading},
-        put_back::ConfigurationsHeard,
+        probe_schedule::ProbeSchedule,
         record::LeadershipRecord,
+        reported_suspicions::ReportedSuspicions,
+        republish::ConfigurationVersions,
         restored::Restore,
         servers::{ServerList, ServersByService},
-        telling::Told,
         witnesses::Witnessing,
     },
     metadata::{LeaseId, Revision},
@@ -116,9 +116,9 @@
     /// Servers that this daemon can't reach, and when it last tried.
     pub(crate) suspected: HashMap<(Name, Name), Instant>,
     /// What the store was told of that.
-    pub(crate) suspicions_told: Told,
+    pub(crate) reported_suspicions: ReportedSuspicions,
     /// When servers were looked at that others suspect, and of which this daemon is a witness.
-    pub(crate) looks: Looks,
+    pub(crate) probe_schedule: ProbeSchedule,
     pub(crate) witnessing: Witnessing,
     /// When the store was last found again after a time without it.
     pub(crate) store_back_at: Option<Instant>,
@@ -137,7 +137,7 @@
     pub(crate) editions: HashMap<Name, u64>,
     /// Records that this daemon wrote last; the watch may not have told of them yet.
     pub(crate) written: HashMap<Name, VersionedRecord>,
-    pub(crate) configurations: ConfigurationsHeard,
+    pub(crate) configurations: ConfigurationVersions,
 }
 
 impl State {
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -14,12 +14,12 @@
 
 use crate::{
     control::{
+        backoff::Backoff,
         beliefs::{Detours, Observation},
         outside::Outside,
-        pause::Pause,
+        reported_suspicions::PendingSuspicionWrites,
         runner::{Ask, Control},
         state::State,
-        telling::Untold,
         witnesses::is_witness,
     },
     metadata::{LeaseId, MetadataStore, Transaction, TransactionOutcome},
@@ -88,10 +88,10 @@
     /// A write for each suspicion, without a rest, is what a large fleet can't bear: daemons that start together and
     /// are slow to reach many servers fill the store's rate and every daemon's link with them.
     pub(crate) async fn suspicion_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             self.suspicions_due.notified().await;
-            let Some((untold, lease)) = self.untold_suspicions() else { continue };
+            let Some((untold, lease)) = self.pending_suspicion_writes() else { continue };
             let put = |key: &String| (key.clone(), Bytes::from_static(b"{}"), Some(lease));
             let transaction = Transaction {
                 puts: untold.puts.iter().map(put).collect(),
@@ -102,15 +102,15 @@
             self.count_call("commit", &written);
             match written {
                 Ok(TransactionOutcome::Done(_)) => {
-                    pause.reset();
-                    self.state.borrow_mut().suspicions_told.on_written(&untold, Instant::now());
+                    backoff.reset();
+                    self.state.borrow_mut().reported_suspicions.on_written(&untold, Instant::now());
                     // What did not fit is told next.
                     self.suspicions_due.notify_one();
                     tokio::time::sleep(TELL_EVERY).await;
                 }
                 Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseOver) => {
                     log::info!(event = "write_failed", what = "suspicions"; "the lease was over");
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
                 Err(error) => {
                     log::info!(
@@ -118,7 +118,7 @@
                         why = error.to_string().as_str();
                         "a write to the store may not have been done"
                     );
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
             }
         }
@@ -131,7 +131,7 @@
     /// daemons found behind a partition would have a healthy primary replaced.
     ///
     /// Of daemons that are no witnesses of a server a few are enough to have the witnesses look at it.
-    fn untold_suspicions(&self) -> Option<(Untold, LeaseId)> {
+    fn pending_suspicion_writes(&self) -> Option<(PendingSuspicionWrites, LeaseId)> {
         let mut state = self.state.borrow_mut();
         let lease = state.lease?.id;
         let is_confirmed =
@@ -139,7 +139,7 @@
         let suspected = state.suspected.iter().filter(|(_, asked_at)| is_confirmed(asked_at));
         let wanted: BTreeSet<String> =
             suspected.map(|((service, server), _)| self.suspicion_key(service, server)).collect();
-        let State { suspicions_told, witnessing, members, members_version, mirror, .. } =
+        let State { reported_suspicions, witnessing, members, members_version, mirror, .. } =
             &mut *state;
         let may_put = |key: &str| {
             let Some((below, _)) = key.rsplit_once('/') else { return false };
@@ -149,7 +149,7 @@
             witnessing.is_witness(&Name::from(server), *members_version, look)
                 || mirror.below(&format!("{below}/")).nth(MOST_OTHERS - 1).is_none()
         };
-        let untold = suspicions_told.untold(&wanted, Instant::now(), may_put);
+        let untold = reported_suspicions.untold(&wanted, Instant::now(), may_put);
         (!untold.is_empty()).then_some((untold, lease))
     }
 
@@ -159,7 +159,7 @@
         if is_own {
             let mut state = self.state.borrow_mut();
             let is_there = state.mirror.get(key).is_some();
-            state.suspicions_told.on_shown(key, is_there);
+            state.reported_suspicions.on_shown(key, is_there);
         }
     }
 
@@ -175,11 +175,11 @@
             if state.mirror.get(key).is_none() || state.suspected.contains_key(&pair) {
                 return;
             }
-            let State { witnessing, members, members_version, looks, .. } = &mut *state;
+            let State { witnessing, members, members_version, probe_schedule, .. } = &mut *state;
             let hosts = || members.keys().map(|host| &**host);
             let look = || is_witness(server, &self.settings.host, hosts());
             if !witnessing.is_witness(&pair.1, *members_version, look)
-                || !looks.on_suspected(&pair, Instant::now())
+                || !probe_schedule.on_suspected(&pair, Instant::now())
             {
                 return;
             }
@@ -196,7 +196,7 @@
 
     /// Looks again at servers that somebody still suspects a while after this daemon found them alive.
     fn look_again(&self) {
-        let due = self.state.borrow_mut().looks.take_due(Instant::now());
+        let due = self.state.borrow_mut().probe_schedule.take_due(Instant::now());
         for (service, server) in due {
             let prefix = self.key(&format!("suspicions/{service}/{server}/"));
             let is_suspected = self.state.borrow().mirror.below(&prefix).next().is_some();
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -10,9 +10,9 @@
 
 use crate::{
     catalog::CatalogFormat,
+    control::backoff::Backoff,
     control::knowledge::{BEHIND_FOR, asks_later_by, must_ask_store},
     control::outside::Outside,
-    control::pause::Pause,
     control::runner::Control,
     metadata::{
         Change, Changes, Consistency, Item, MetadataError, MetadataStore, Patience, Snapshot,
@@ -34,14 +34,14 @@
 impl<P: Outside> Control<P> {
     /// Reads everything once, then follows the changes; starts over when a change may be missed.
     pub(crate) async fn watch_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         // A store that does not let this daemon join may still let it read.
         let _ = tokio::time::timeout(JOINED_WITHIN, self.has_joined.notified()).await;
         loop {
             match self.learn_everything().await {
                 Ok(()) => {
-                    pause.reset();
-                    let error = self.follow(&mut pause).await;
+                    backoff.reset();
+                    let error = self.follow(&mut backoff).await;
                     log::info!(
                         event = "watch_ended", why = error.to_string().as_str();
                         "the watch ended and everything is read again"
@@ -53,7 +53,7 @@
                     "the store did not answer"
                 ),
             }
-            pause.wait().await;
+            backoff.wait().await;
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Follows the changes, through the zone's reader where there is one, until they can't be followed any more.
-    async fn follow(&self, pause: &mut Pause) -> MetadataError {
+    async fn follow(&self, backoff: &mut Backoff) -> MetadataError {
         let wait = Duration::from_millis(self.settings.metadata.watch_wait_ms);
         let mut followed = None;
         loop {
@@ -94,7 +94,7 @@
             }
             let asked_at = Instant::now();
             match self.watch_once(wait).await {
-                Ok(()) => pause.reset(),
+                Ok(()) => backoff.reset(),
                 Err(error) if self.may_watch_on(&error) => {
                     log::info!(
                         event = "store_unreachable", call = "watch",
@@ -103,7 +103,7 @@
                     );
                     // Servers may have been unable to renew their entries in the same time.
                     self.state.borrow_mut().servers.restart_grace(Instant::now());
-                    pause.wait().await;
+                    backoff.wait().await;
                     continue;
                 }
                 Err(error) => return error,
@@ -151,11 +151,11 @@
     /// store served by a former configuration for as long as those that they followed were cut off, seven seconds. It
     /// takes no time of the rights, which are renewed beside it. See `docs/CONFIGURATION-SPREAD.md`.
     pub(crate) async fn catch_up_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             tokio::time::sleep(LOOK_BEHIND_EVERY).await;
             if !self.is_behind() {
-                pause.reset();
+                backoff.reset();
                 continue;
             }
             let age_ms = self.knowledge_age_ms();
@@ -170,7 +170,7 @@
                         why = error.to_string().as_str();
                         "the store did not answer"
                     );
-                    self.await_store(&mut pause).await;
+                    self.await_store(&mut backoff).await;
                 }
             }
         }
@@ -268,7 +268,7 @@
             }
             Change::Removed { key, .. } if self.is_operators_configuration(&key) => {
                 self.state.borrow_mut().configurations.operators = 0;
-                self.put_back.notify_one();
+                self.republish.notify_one();
             }
             Change::Put(_) | Change::Removed { .. } => {}
         }
@@ -290,7 +290,7 @@
         let mut state = self.state.borrow_mut();
         let is_operators = self.is_operators_configuration(&item.key);
         if state.configurations.note(catalog.version, &item.value, is_operators) {
-            self.put_back.notify_one();
+            self.republish.notify_one();
         }
         if catalog.version <= state.catalog.version {
             return;
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -7,8 +7,8 @@
 
 use model::Name;
 use proxy::control::{
-    looks::Looks,
-    telling::{Told, Untold},
+    probe_schedule::ProbeSchedule,
+    reported_suspicions::{PendingSuspicionWrites, ReportedSuspicions},
     witnesses::{MOST_WITNESSES, is_witness, witnesses_of},
 };
 
@@ -50,7 +50,7 @@
     let other = (Name::from("s"), Name::from("i-2"));
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut looks = Looks::default();
+    let mut looks = ProbeSchedule::default();
     let now: Vec<bool> = (0..45).map(|word| looks.on_suspected(&pair, at(word * 20))).collect();
     assert_eq!(now.iter().filter(|look| **look).count(), 1);
     assert!(looks.on_suspected(&other, at(500)), "each server by itself");
@@ -69,7 +69,7 @@
 #[test]
 fn many_suspicions_are_told_in_a_few_writes_and_each_once() {
     let (start, wanted) = (Instant::now(), keys(300));
-    let mut told = Told::default();
+    let mut told = ReportedSuspicions::default();
     let mut writes = 0;
     let mut put = BTreeSet::new();
     loop {
@@ -91,9 +91,9 @@
     let at = |ms| start + Duration::from_millis(ms);
     let (wanted, none) = (keys(1), BTreeSet::new());
     let key = wanted.first().unwrap().clone();
-    let put = Untold { puts: vec![key.clone()], removes: Vec::new() };
-    let take_back = Untold { puts: Vec::new(), removes: vec![key.clone()] };
-    let mut told = Told::default();
+    let put = PendingSuspicionWrites { puts: vec![key.clone()], removes: Vec::new() };
+    let take_back = PendingSuspicionWrites { puts: Vec::new(), removes: vec![key.clone()] };
+    let mut told = ReportedSuspicions::default();
     assert_eq!(told.untold(&wanted, at(0), |_| true), put);
     told.on_written(&put, at(0));
     assert!(told.untold(&wanted, at(500), |_| true).is_empty(), "it is on its way back");
@@ -115,7 +115,7 @@
     let start = Instant::now();
     let wanted = keys(3);
     let key = wanted.first().unwrap().clone();
-    let mut told = Told::default();
+    let mut told = ReportedSuspicions::default();
     told.on_shown(&key, true);
     assert!(told.untold(&wanted, start, |_| false).is_empty());
     assert_eq!(told.untold(&BTreeSet::new(), start, |_| false).removes, [key]);
