--- a/crates/proxy/src/control/outside.rs
+++ b/crates/proxy/src/control/adapter.rs
@@ -11,7 +11,7 @@
 };
 
 /// The four types that an adapter fills.
-pub trait Outside: 'static {
+pub trait Adapter: 'static {
     /// The client of the store.
     type Store: MetadataStore;
     /// Where promotions are ordered.
@@ -23,9 +23,9 @@
 }
 
 /// Joins four types; no value of it exists.
-pub struct Joined<M, O, F, E>(PhantomData<(M, O, F, E)>);
+pub struct AdapterTypes<M, O, F, E>(PhantomData<(M, O, F, E)>);
 
-impl<M, O, F, E> Outside for Joined<M, O, F, E>
+impl<M, O, F, E> Adapter for AdapterTypes<M, O, F, E>
 where
     M: MetadataStore,
     O: PromotionOrders,
--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/asking.rs
@@ -13,10 +13,10 @@
 
 use crate::{
     control::{
-        beliefs::{Basis, Lead},
+        adapter::Adapter,
         change::VersionedRecord,
+        control_view::{Basis, GroupLeader},
         evidence::{self, HeldRight, KnownLead, LeadByEvidence, may_give_right},
-        outside::Outside,
         peers::Evidence,
         runner::{Ask, CommandAsk, Control},
     },
@@ -41,7 +41,7 @@
 /// between availability zones and the server's own work.
 const LAST_WORD_WITHIN: Duration = Duration::from_millis(40);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// While the store is silent, asks the servers themselves who leads. Groups are asked each by itself: one
     /// whose servers don't answer takes all of its time, and must not make the others' evidence old.
     pub(crate) async fn evidence_loop(self: Rc<Self>) {
@@ -112,7 +112,7 @@
         state.used_at.retain(|_, used_at| now.duration_since(*used_at) < USED_FOR);
         let state = &*state;
         let is_known = |service: &Name| {
-            let lead = state.leads.get(service);
+            let lead = state.leaders.get(service);
             lead.is_some_and(|lead| !lead.changing && lead.valid_until > now + ASK_BEFORE_END)
         };
         let services = state.published_servers.keys();
@@ -150,7 +150,7 @@
 
     pub(crate) fn held_right(&self, service: &Name, now: Instant) -> HeldRight {
         let state = self.state.borrow();
-        let lead = state.leads.get(service);
+        let lead = state.leaders.get(service);
         let in_force = lead.filter(|lead| lead.is_valid(now));
         HeldRight {
             known_term: lead.map_or(Term(0), |lead| lead.term),
@@ -161,7 +161,7 @@
 
     fn known_lead(&self, service: &Name) -> KnownLead {
         let state = self.state.borrow();
-        let lead = state.leads.get(service);
+        let lead = state.leaders.get(service);
         KnownLead {
             term: lead.map_or(Term(0), |lead| lead.term),
             changing: lead.is_some_and(|lead| lead.changing),
@@ -181,7 +181,7 @@
         }
         let mut state = self.state.borrow_mut();
         state.keep_evidence(found);
-        let known = state.leads.get(service);
+        let known = state.leaders.get(service);
         if known.is_none_or(|lead| !lead.is_valid(found.asked_at)) {
             log::info!(
                 event = "right_gained", service = &**service, server = &*found.server,
@@ -193,7 +193,7 @@
         let same = known.filter(|lead| lead.server == found.server && lead.term == found.term);
         let still = same.filter(|lead| !lead.changing).map(|lead| lead.valid_until);
         let history = known.map(|lead| lead.history.clone()).unwrap_or_default();
-        let lead = Lead {
+        let lead = GroupLeader {
             server: found.server.clone(),
             term: found.term,
             valid_until: still.map_or(valid_until, |until| until.max(valid_until)),
@@ -202,7 +202,7 @@
             planned: false,
             history,
         };
-        Arc::make_mut(&mut state.leads).insert(service.clone(), lead);
+        Arc::make_mut(&mut state.leaders).insert(service.clone(), lead);
     }
 
     /// Asks servers over the connections that sessions share; returns the answers in time. Once they are
--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -15,9 +15,9 @@
 use crate::{
     catalog::ServerEntry,
     control::{
+        adapter::Adapter,
         commands::{ASK_EVERY, Commands},
         duty::LOOK_EVERY,
-        outside::Outside,
         record::{
             ChosenServer, LeadershipRecord, PrimaryChange, StoppedServer, Succession, majority,
         },
@@ -149,7 +149,7 @@
     }
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Changes a group's primary and tells the log how that ended.
     pub(crate) async fn change_and_log(&self, service: &Name, reason: Reason) {
         let began = Instant::now();
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -12,7 +12,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::outside::Outside,
+    control::adapter::Adapter,
     control::runner::{Ask, CommandAsk, Control, join_all},
     dialect::EndpointDialect,
     serve::connection::{ConnectionLost, EndpointConnection, Introduction},
@@ -27,14 +27,14 @@
 pub(crate) const ASK_EVERY: Duration = Duration::from_millis(30);
 
 /// Connections of the control thread's own, for the commands of one change.
-pub(crate) struct Commands<'a, P: Outside> {
+pub(crate) struct Commands<'a, P: Adapter> {
     pub(crate) control: &'a Control<P>,
     pub(crate) open: HashMap<Name, EndpointConnection<P::Dialect>>,
     /// How long a server may take to answer.
     pub(crate) within: Duration,
 }
 
-impl<'a, P: Outside> Commands<'a, P> {
+impl<'a, P: Adapter> Commands<'a, P> {
     pub(crate) fn new(control: &'a Control<P>) -> Commands<'a, P> {
         Commands { control, open: HashMap::new(), within: COMMAND_WITHIN }
     }
@@ -111,7 +111,7 @@
 /// A server's status, with the connection that it came over if that is the control thread's own.
 pub(crate) type Commanded<E> = (Option<EndpointConnection<E>>, EndpointStatus);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Gives a server a command over a connection of the control thread's own; where the server
     /// grants no more of them, over those that sessions share.
     pub(crate) async fn command(
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -13,10 +13,10 @@
 use crate::{
     catalog::{ServerEntry, ServerLife},
     control::{
+        adapter::Adapter,
         change::{ChangeEnd, ChangeRun, Reason, VersionedRecord, has_taken_over},
         commands::Commands,
         evidence::{self, HeldRight, LeadByEvidence},
-        outside::Outside,
         record::{ChosenServer, LeadershipRecord},
         runner::Control,
         state::State,
@@ -29,7 +29,7 @@
 /// agree gets a new primary: a driver that died may have left them paused, and nobody know of it.
 const ASKS_FOR_SETTLES: u32 = 2;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Confirms a record of an era that has ended, by what the group's servers say; changes the primary where it has to be.
     pub(crate) async fn confirm_record(&self, service: &Name) -> Result<(), ChangeEnd> {
         let known = self.known_record(service).ok_or(ChangeEnd::Superseded)?;
--- a/crates/proxy/src/control/beliefs.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -1,7 +1,7 @@
 //! What a daemon holds to be true, as one value that is replaced as a whole.
 //!
 //! The control thread publishes it, the serving thread reads it. Nothing in it is believed for longer
-//! than it says: the right to use a primary ends by itself ([`Lead::valid_until`]).
+//! than it says: the right to use a primary ends by itself ([`GroupLeader::valid_until`]).
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -41,7 +41,7 @@
 
 /// Who leads a group, as far as this daemon may act on it.
 #[derive(Clone, Debug)]
-pub struct Lead {
+pub struct GroupLeader {
     /// The primary.
     pub server: Name,
     /// Its term.
@@ -58,7 +58,7 @@
     pub history: Arc<TermHistory>,
 }
 
-impl Lead {
+impl GroupLeader {
     /// Whether the primary may be used at `now`.
     pub fn is_valid(&self, now: Instant) -> bool {
         !self.changing && now < self.valid_until
@@ -116,13 +116,13 @@
 
 /// Everything that the serving thread needs to know.
 #[derive(Clone, Debug, Default)]
-pub struct Beliefs {
+pub struct ControlView {
     /// The configuration in force.
     pub catalog: Arc<Catalog>,
     /// Servers by service.
     pub servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
     /// Who leads, by service.
-    pub leads: Arc<HashMap<Name, Lead>>,
+    pub leaders: Arc<HashMap<Name, GroupLeader>>,
     /// Daemons that share the servers' connections.
     pub sharers: Sharers,
     /// Ways around to the servers that this daemon can't reach itself.
@@ -139,7 +139,7 @@
     pub member_until: Option<Instant>,
 }
 
-impl Beliefs {
+impl ControlView {
     /// Whether callers can be served at all.
     pub fn is_ready(&self) -> bool {
         self.catalog.version > 0 && self.servers_known
@@ -156,18 +156,18 @@
     }
 
     /// Returns who leads a service if that may be acted on now.
-    pub fn lead_in_force(&self, service: &str, now: Instant) -> Option<&Lead> {
-        self.leads.get(service).filter(|lead| lead.is_valid(now))
+    pub fn usable_leader(&self, service: &str, now: Instant) -> Option<&GroupLeader> {
+        self.leaders.get(service).filter(|lead| lead.is_valid(now))
     }
 
     /// Whether there is no primary only because of a planned change, which is over within a second.
     pub fn is_planned_gap(&self, service: &str, now: Instant) -> bool {
-        self.leads.get(service).is_some_and(|lead| lead.planned && !lead.is_valid(now))
+        self.leaders.get(service).is_some_and(|lead| lead.planned && !lead.is_valid(now))
     }
 
     /// Whether the primary is being replaced.
     pub fn is_changing(&self, service: &str) -> bool {
-        self.leads.get(service).is_some_and(|lead| lead.changing)
+        self.leaders.get(service).is_some_and(|lead| lead.changing)
     }
 }
 
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/duty.rs
@@ -17,9 +17,9 @@
 use crate::{
     catalog::{ServerEntry, ServerLife},
     control::{
+        adapter::Adapter,
         change::{Reason, VersionedRecord},
         move_times::MoveTimes,
-        outside::Outside,
         record::is_primary_lost,
         runner::{Control, RENEWALS_PER_LEASE},
         state::{HeldLease, State},
@@ -52,7 +52,7 @@
     pub(crate) revision: Revision,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Returns the key of the duty.
     pub(crate) fn duty_key(&self) -> String {
         self.key("duty")
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -10,9 +10,9 @@
 use crate::{
     catalog::ServerEntry,
     control::{
+        adapter::Adapter,
         change::{ChangeEnd, ChangeRun},
         commands::{ASK_EVERY, Commands},
-        outside::Outside,
         record::{LeadershipRecord, RightBounds, StopProgress, StoppedServer, majority},
         runner::Control,
         state::SeenMember,
@@ -38,7 +38,7 @@
     pub(crate) fenced: usize,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Stops the servers, and waits until no daemon can hold a right to the old primary.
     pub(crate) async fn await_stop(
         &self,
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     control::{
+        adapter::Adapter,
         mirror::News,
-        outside::Outside,
         peer_link::{SplitAnswer, answer_askers},
         peers::{
             ClockMessage, DetourRequest, FollowAnswer, FollowRequest, OwnKeys, SharedReading,
@@ -54,7 +54,7 @@
 /// Samples older than this are not told; no configuration asks for fresher data than that by far.
 const SAMPLES_TOLD_FOR: Duration = Duration::from_secs(3);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
     pub(crate) fn zone_reader(&self) -> Option<SocketAddr> {
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 
 use crate::{
-    control::outside::Outside,
+    control::adapter::Adapter,
     control::pause::Pause,
     control::runner::{Control, RENEWALS_PER_LEASE},
     control::state::{HeldLease, MemberValue},
     metadata::{LeaseId, MetadataError, MetadataStore, Transaction, TransactionOutcome},
 };
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Keeps this daemon a member: takes a lease, renews it, takes another when it is over.
     pub(crate) async fn lease_loop(self: Rc<Self>) {
         let lasts = Duration::from_millis(self.settings.metadata.lease_ms);
--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,11 +1,12 @@
 //! What a daemon believes and how it comes to believe it: the configuration, the servers, the other
 //! daemons, who leads each group.
 
+pub mod adapter;
 mod asking;
-pub mod beliefs;
 mod change;
 mod commands;
 mod confirming;
+pub mod control_view;
 pub(crate) mod detour;
 mod duty;
 pub mod evidence;
@@ -16,7 +17,6 @@
 mod membership;
 pub mod mirror;
 pub mod move_times;
-pub mod outside;
 mod owning;
 pub mod packing;
 mod pause;
--- a/crates/proxy/src/control/owning.rs
+++ b/crates/proxy/src/control/owning.rs
@@ -4,9 +4,9 @@
 
 use model::Name;
 
-use crate::control::{beliefs::Owners, outside::Outside, runner::Control, state::State};
+use crate::control::{adapter::Adapter, control_view::Owners, runner::Control, state::State};
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Takes over which daemons stand where, after members have changed.
     pub(crate) fn renew_owners(&self, state: &mut State) {
         if state.owners_of_members == Some(state.members_version) {
--- a/crates/proxy/src/control/pause.rs
+++ b/crates/proxy/src/control/pause.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use crate::control::{outside::Outside, runner::Control};
+use crate::control::{adapter::Adapter, runner::Control};
 
 /// The pause after a failed call, at first; it doubles with each failure, with jitter.
 const FIRST_PAUSE: Duration = Duration::from_millis(80);
@@ -53,7 +53,7 @@
     }
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Whether the daemon that this one follows the store through answered a moment ago.
     pub(crate) fn does_reader_answer(&self) -> bool {
         let heard_of = self.state.borrow().heard_of;
--- a/crates/proxy/src/control/put_back.rs
+++ b/crates/proxy/src/control/put_back.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     control::{
-        outside::Outside, pause::Pause, record::CountingRecord, runner::Control, state::State,
+        adapter::Adapter, pause::Pause, record::CountingRecord, runner::Control, state::State,
     },
     metadata::{
         Era, Item, MetadataError, MetadataStore, Revision, Transaction, TransactionOutcome,
@@ -81,7 +81,7 @@
     count: usize,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Writes what the store lost, whenever something was found missing, until nothing is.
     pub(crate) async fn put_back_loop(self: Rc<Self>) {
         loop {
--- a/crates/proxy/src/control/records.rs
+++ b/crates/proxy/src/control/records.rs
@@ -11,9 +11,9 @@
 
 use crate::{
     control::{
-        beliefs::{Basis, Lead},
+        adapter::Adapter,
         change::VersionedRecord,
-        outside::Outside,
+        control_view::{Basis, GroupLeader},
         put_back::KEPT_CONFIGURATION,
         record::{CountingRecord, LeadershipRecord, PrimaryChange},
         runner::Control,
@@ -26,7 +26,7 @@
 /// seen: one that is cut off from the store keeps its connections, and a cut may last this long.
 const MEMBER_LASTS: Duration = Duration::from_secs(20);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Notes when each member was last seen.
     pub(crate) fn note_members(&self, now: Instant) {
         let own_zone = &*self.settings.availability_zone;
@@ -173,7 +173,7 @@
         let now = Instant::now();
         {
             let mut state = self.state.borrow_mut();
-            let known = state.leads.get(&service);
+            let known = state.leaders.get(&service);
             let unchanged = known
                 .is_some_and(|lead| *lead.server == *record.primary && lead.term.0 == record.term);
             // A right by evidence may be of a later term than the record; it ends by itself.
@@ -182,9 +182,9 @@
                 let known = known.filter(|_| unchanged);
                 let valid_until = known.map_or(now, |lead| lead.valid_until);
                 // Once the change is over, the first right to the new primary ends the gap.
-                let was_planned = state.leads.get(&service).is_some_and(|lead| lead.planned);
+                let was_planned = state.leaders.get(&service).is_some_and(|lead| lead.planned);
                 let planned = record.change.as_ref().map_or(was_planned, PrimaryChange::is_planned);
-                let lead = Lead {
+                let lead = GroupLeader {
                     server: Name::from(record.primary.as_str()),
                     term: Term(record.term),
                     valid_until,
@@ -193,7 +193,7 @@
                     planned,
                     history: Arc::new(TermHistory::new(record.starts.clone())),
                 };
-                Arc::make_mut(&mut state.leads).insert(service.clone(), lead);
+                Arc::make_mut(&mut state.leaders).insert(service.clone(), lead);
             }
         }
         log::info!(
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     control::{
-        outside::Outside,
+        adapter::Adapter,
         peers::{FollowRequest, PrimarySample, SampleMessage},
         runner::Control,
     },
@@ -26,7 +26,7 @@
 /// How often another zone is asked for samples at the most; a fraction of the bounds that routes name.
 const SAMPLES_ASKED_EVERY: Duration = Duration::from_millis(200);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Tells whoever promotes that the replicas of a service are too far behind for the reads there are. Its
     /// own callers may ask that service little, and then it would not notice for seconds.
     pub(crate) fn tell_behind(self: &Rc<Self>, service: Name) {
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -16,8 +16,8 @@
 use crate::{
     catalog::{CatalogFormat, ServerEntry},
     control::{
+        adapter::Adapter,
         change::VersionedRecord,
-        outside::Outside,
         peers::StoreReading,
         record::{EraSeen, LeadershipRecord},
         runner::Control,
@@ -144,7 +144,7 @@
     }
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Begins the era of a whole reading that stands at this revision, if it is a later one.
     pub(crate) fn enter_era(&self, revision: Revision) {
         let era = revision.era();
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/rights.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     control::{
-        beliefs::Basis,
-        outside::Outside,
+        adapter::Adapter,
+        control_view::Basis,
         pause::Pause,
         peers::{SharedReading, StoreReading, judge_reading},
         runner::Control,
@@ -28,7 +28,7 @@
 /// each they are a tenth of a megabyte.
 const MOST_MISSING_ASKED: u64 = 500;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Renews the rights again and again, by a reading of the store or of another daemon.
     pub(crate) async fn refresh_loop(self: Rc<Self>) {
         let every = Duration::from_millis(self.settings.leadership.refresh_ms);
@@ -228,7 +228,7 @@
     pub(crate) fn drop_right(&self, service: &Name, term: Term) {
         {
             let mut state = self.state.borrow_mut();
-            let leads = Arc::make_mut(&mut state.leads);
+            let leads = Arc::make_mut(&mut state.leaders);
             if let Some(lead) = leads.get_mut(service).filter(|lead| lead.term == term) {
                 lead.valid_until = Instant::now();
             }
@@ -245,7 +245,7 @@
         let valid_until = asked_at + self.right();
         let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
-        let State { leads, records, servers, mirror, .. } = &mut *state;
+        let State { leaders: leads, records, servers, mirror, .. } = &mut *state;
         let leads = Arc::make_mut(leads);
         for (service, known) in records {
             let record = &known.record;
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -18,9 +18,9 @@
 
 use crate::{
     control::{
-        beliefs::{Beliefs, Observation},
+        adapter::Adapter,
         change::Reason,
-        outside::Outside,
+        control_view::{ControlView, Observation},
         packing::Packer,
         peer_link::{Asker, HandedOver},
         state::State,
@@ -83,7 +83,7 @@
 }
 
 /// The pieces from which the control thread is made.
-pub struct ControlParts<P: Outside> {
+pub struct ControlParts<P: Adapter> {
     /// The settings.
     pub settings: ControlSettings,
     /// The store.
@@ -94,8 +94,8 @@
     pub format: P::Format,
     /// How servers speak.
     pub dialect: P::Dialect,
-    /// Where beliefs go.
-    pub beliefs: watch::Sender<Arc<Beliefs>>,
+    /// Where control_view go.
+    pub control_view: watch::Sender<Arc<ControlView>>,
     /// What the serving thread observes.
     pub observations: flume::Receiver<Observation>,
     /// Questions that the serving thread asks.
@@ -111,7 +111,7 @@
 }
 
 /// The control thread's shared state and means.
-pub struct Control<P: Outside> {
+pub struct Control<P: Adapter> {
     pub(crate) settings: ControlSettings,
     pub(crate) store: P::Store,
     pub(crate) orders: P::Orders,
@@ -126,7 +126,7 @@
     pub(crate) changes_running: RefCell<BTreeMap<Name, Reason>>,
     pub(crate) change_count: Cell<u64>,
     pub(crate) format: P::Format,
-    pub(crate) beliefs: watch::Sender<Arc<Beliefs>>,
+    pub(crate) control_view: watch::Sender<Arc<ControlView>>,
     pub(crate) observations: flume::Receiver<Observation>,
     pub(crate) asks: flume::Sender<Ask>,
     pub(crate) stopping: watch::Receiver<Option<Instant>>,
@@ -155,7 +155,7 @@
 const MOST_PENDING_WRITES: usize = 64;
 
 /// Runs the control thread's tasks until the daemon has stopped.
-pub async fn run_control<P: Outside>(parts: ControlParts<P>) {
+pub async fn run_control<P: Adapter>(parts: ControlParts<P>) {
     let control = Rc::new(Control::<P> {
         settings: parts.settings,
         store: parts.store,
@@ -168,7 +168,7 @@
         changes_running: RefCell::default(),
         change_count: Cell::new(0),
         format: parts.format,
-        beliefs: parts.beliefs,
+        control_view: parts.control_view,
         observations: parts.observations,
         asks: parts.asks,
         stopping: parts.stopping,
@@ -209,7 +209,7 @@
     control.clone().stop().await;
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Returns a key below this installation's prefix.
     pub(crate) fn key(&self, rest: &str) -> String {
         format!("{}{rest}", self.settings.metadata.prefix)
@@ -286,10 +286,10 @@
             .now
             .with_label_values(&["configuration_version"])
             .set(state.catalog.version as i64);
-        let beliefs = Beliefs {
+        let control_view = ControlView {
             catalog: state.catalog.clone(),
             servers: state.published_servers.clone(),
-            leads: state.leads.clone(),
+            leaders: state.leaders.clone(),
             sharers,
             detours: state.published_detours.clone(),
             owners: state.published_owners.clone(),
@@ -299,7 +299,7 @@
             member_until: state.lease.map(|lease| lease.valid_until),
         };
         drop(state);
-        self.beliefs.send_replace(Arc::new(beliefs));
+        self.control_view.send_replace(Arc::new(control_view));
     }
 }
 
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     control::{
-        outside::Outside,
+        adapter::Adapter,
         runner::Control,
         state::MemberValue,
         tree::{TreeMember, daemon_to_follow},
@@ -50,7 +50,7 @@
     value: MemberValue,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Learns everything that the store holds, the first time from another daemon where the fleet is large.
     pub(crate) async fn learn_everything(&self) -> Result<(), MetadataError> {
         let is_first = !self.state.borrow().servers_known;
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -13,8 +13,8 @@
 use crate::{
     catalog::Catalog,
     control::{
-        beliefs::{Detours, Lead, Owners},
         change::VersionedRecord,
+        control_view::{Detours, GroupLeader, Owners},
         following::HeardOf,
         knowledge::{Knowledge, Sighting},
         looks::Looks,
@@ -63,7 +63,7 @@
     pub(crate) servers: ServerList,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) servers_known: bool,
-    pub(crate) leads: Arc<HashMap<Name, Lead>>,
+    pub(crate) leaders: Arc<HashMap<Name, GroupLeader>>,
     /// Every leadership record that can be read, by service.
     pub(crate) records: HashMap<Name, Arc<VersionedRecord>>,
     /// Every daemon that has a key, by host.
@@ -172,7 +172,7 @@
     /// of reach.
     pub(crate) fn forget_life(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
-        if let Some(lead) = Arc::make_mut(&mut self.leads).get_mut(service)
+        if let Some(lead) = Arc::make_mut(&mut self.leaders).get_mut(service)
             && lead.server == *server
         {
             lead.valid_until = now;
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     control::{
-        beliefs::{Detours, Observation},
-        outside::Outside,
+        adapter::Adapter,
+        control_view::{Detours, Observation},
         pause::Pause,
         runner::{Ask, Control},
         state::State,
@@ -35,7 +35,7 @@
 /// Daemons that can be asked for a way around, with where.
 type Ways<'a> = Vec<(&'a Name, SocketAddr)>;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Takes over what the serving thread observes, and has the other daemons told which primaries this one can't reach.
     pub(crate) async fn observation_loop(self: Rc<Self>) {
         while let Ok(observation) = self.observations.recv_async().await {
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     catalog::CatalogFormat,
+    control::adapter::Adapter,
     control::knowledge::{BEHIND_FOR, asks_later_by, must_ask_store},
-    control::outside::Outside,
     control::pause::Pause,
     control::runner::Control,
     metadata::{
@@ -31,7 +31,7 @@
 /// be followed by a second one; with hundreds that start together each call counts hundreds of times.
 const JOINED_WITHIN: Duration = Duration::from_millis(150);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Reads everything once, then follows the changes; starts over when a change may be missed.
     pub(crate) async fn watch_loop(self: Rc<Self>) {
         let mut pause = Pause::default();
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -25,8 +25,8 @@
 use crate::{
     catalog::CatalogFormat,
     control::{
-        beliefs::Beliefs,
-        outside::Joined,
+        adapter::AdapterTypes,
+        control_view::ControlView,
         runner::{Ask, ControlParts, ControlSettings, run_control},
     },
     dialect::{CallerDialect, EndpointDialect},
@@ -101,7 +101,7 @@
     P: PromotionOrders,
 {
     let metrics = ProxyMetrics::new();
-    let (beliefs_out, beliefs) = watch::channel(Arc::new(Beliefs::default()));
+    let (beliefs_out, beliefs) = watch::channel(Arc::new(ControlView::default()));
     let (stopping_out, stopping) = watch::channel(None);
     let (ended_out, ended) = watch::channel(false);
     let (observations_out, observations) = flume::bounded(OBSERVATIONS);
@@ -127,13 +127,13 @@
         let (format, metrics, stopping) = (adapter.format, metrics.clone(), stopping.clone());
         let (make_store, make_orders) = (adapter.make_store, adapter.make_orders);
         spawn_thread("control", move || async move {
-            run_control::<Joined<S, P, F, E>>(ControlParts {
+            run_control::<AdapterTypes<S, P, F, E>>(ControlParts {
                 settings: control_settings,
                 store: make_store(store_address),
                 orders: make_orders(order_address),
                 format,
                 dialect,
-                beliefs: beliefs_out,
+                control_view: beliefs_out,
                 observations,
                 asks: asks_out,
                 stopping,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -16,7 +16,7 @@
     sync::watch,
 };
 
-use crate::{control::beliefs::Beliefs, events::ProxyMetrics};
+use crate::{control::control_view::ControlView, events::ProxyMetrics};
 
 /// How long a peer may take to send a request's head.
 const HEADER_WITHIN: Duration = Duration::from_secs(5);
@@ -32,7 +32,7 @@
     /// Where operators read metrics.
     pub metrics_listen: Option<SocketAddr>,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<Beliefs>>,
+    pub beliefs: watch::Receiver<Arc<ControlView>>,
     /// When the stop began.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -41,7 +41,7 @@
 
 #[derive(Clone)]
 struct Shared {
-    beliefs: watch::Receiver<Arc<Beliefs>>,
+    beliefs: watch::Receiver<Arc<ControlView>>,
     stopping: watch::Receiver<Option<Instant>>,
     metrics: ProxyMetrics,
 }
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -150,7 +150,7 @@
         sample: Sample,
     ) {
         let beliefs = self.beliefs();
-        let lead = beliefs.lead_in_force(service, sample.sent_at);
+        let lead = beliefs.usable_leader(service, sample.sent_at);
         if let Some(lead) = lead.filter(|lead| lead.server == *server) {
             self.add_sample(group, service, lead, sample);
         }
--- a/crates/proxy/src/serve/contradiction.rs
+++ b/crates/proxy/src/serve/contradiction.rs
@@ -7,7 +7,7 @@
 use model::{LogPoint, Name};
 
 use crate::{
-    control::beliefs::{Lead, Observation},
+    control::control_view::{GroupLeader, Observation},
     dialect::{CallerDialect, EndpointDialect},
     serve::engine::{Engine, Group},
 };
@@ -34,7 +34,7 @@
 /// Compares what a primary showed with what it was used by: the right, and the latest sample of its log that was
 /// known when the statement was sent.
 pub fn contradiction(
-    lead: &Lead,
+    lead: &GroupLeader,
     known: Option<LogPoint>,
     shown: Option<LogPoint>,
 ) -> Option<Contradiction> {
@@ -53,7 +53,7 @@
         &self,
         group: &Group<E>,
         service: &Name,
-        lead: &Lead,
+        lead: &GroupLeader,
         known: Option<LogPoint>,
         shown: Option<LogPoint>,
     ) {
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -20,7 +20,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::beliefs::{Beliefs, Detours, Observation, Owners},
+    control::control_view::{ControlView, Detours, Observation, Owners},
     dialect::{CallerDialect, EndpointDialect},
     events::ProxyMetrics,
     relay::links::RelayLinks,
@@ -163,7 +163,7 @@
     /// The settings.
     pub settings: ServeSettings,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<Beliefs>>,
+    pub beliefs: watch::Receiver<Arc<ControlView>>,
     /// When the stop began; `None` while the daemon runs.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -190,7 +190,7 @@
     /// The settings.
     pub settings: ServeSettings,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<Beliefs>>,
+    pub beliefs: watch::Receiver<Arc<ControlView>>,
     /// When the stop began.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -241,7 +241,7 @@
     }
 
     /// Returns what is believed now.
-    pub fn beliefs(&self) -> Arc<Beliefs> {
+    pub fn beliefs(&self) -> Arc<ControlView> {
         self.beliefs.borrow().clone()
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// Returns a service's group, brought up to what is believed now.
-    pub fn group(&self, service: &Name, beliefs: &Beliefs) -> Rc<Group<E>> {
+    pub fn group(&self, service: &Name, beliefs: &ControlView) -> Rc<Group<E>> {
         let group = self
             .groups
             .borrow_mut()
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -10,7 +10,7 @@
 use crate::{
     catalog::ReadRule,
     control::{
-        beliefs::{Lead, Observation},
+        control_view::{GroupLeader, Observation},
         peers::PrimarySample,
     },
     dialect::{CallerDialect, EndpointDialect},
@@ -43,7 +43,7 @@
 /// A connection on which a statement may run now, with what it has to show.
 pub(crate) struct Granted<E: EndpointDialect> {
     pub(crate) lent: Lent<E>,
-    pub(crate) lead: Option<Lead>,
+    pub(crate) lead: Option<GroupLeader>,
     pub(crate) floor: Option<LogPoint>,
     /// The latest point that the primary's log is known to have reached before the statement is sent.
     pub(crate) known: Option<LogPoint>,
@@ -159,7 +159,7 @@
     ) -> Result<Granted<E>, Denied> {
         let beliefs = self.beliefs();
         let service = &job.route.service;
-        let known = beliefs.leads.get(service);
+        let known = beliefs.leaders.get(service);
         let now = Instant::now();
         let mut floor = self.floor_now(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
@@ -175,7 +175,7 @@
         }
         rounds.needs_primary = floor.is_none();
         let lead = match floor {
-            Some(_) => beliefs.lead_in_force(service, Instant::now()).cloned(),
+            Some(_) => beliefs.usable_leader(service, Instant::now()).cloned(),
             None => {
                 let lead = self.await_primary(group, job, class, rounds).await?;
                 if bound.is_some() && known.is_none() {
@@ -233,9 +233,14 @@
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
 
-    pub(crate) fn may_still_use(&self, service: &Name, lead: Option<&Lead>, now: Instant) -> bool {
+    pub(crate) fn may_still_use(
+        &self,
+        service: &Name,
+        lead: Option<&GroupLeader>,
+        now: Instant,
+    ) -> bool {
         let beliefs = self.beliefs();
-        let current = beliefs.lead_in_force(service, now);
+        let current = beliefs.usable_leader(service, now);
         lead.zip(current).is_some_and(|(lead, current)| {
             lead.server == current.server && lead.term == current.term
         })
@@ -260,7 +265,7 @@
     ) -> Denied {
         if job.work.class() == StatementClass::Read
             && job.route.reads != ReadRule::Primary
-            && let Some(lead) = self.beliefs().leads.get(&job.route.service)
+            && let Some(lead) = self.beliefs().leaders.get(&job.route.service)
         {
             self.note_starved(group, &job.route.service, &lead.server);
         }
@@ -390,7 +395,13 @@
     }
 
     /// Keeps where the primary's log stood, if it was the primary from the question to the answer.
-    pub(crate) fn add_sample(&self, group: &Group<E>, service: &Name, lead: &Lead, sample: Sample) {
+    pub(crate) fn add_sample(
+        &self,
+        group: &Group<E>,
+        service: &Name,
+        lead: &GroupLeader,
+        sample: Sample,
+    ) {
         let Sample { sent_at, known, point } = sample;
         if let Some(point) = point
             && self.may_still_use(service, Some(lead), Instant::now())
@@ -420,14 +431,14 @@
     pub(crate) async fn confirm(
         &self,
         service: &Name,
-        lead: &Lead,
+        lead: &GroupLeader,
         point: Option<LogPoint>,
         deadline: Instant,
     ) -> bool {
         let mut beliefs = self.beliefs.clone();
         loop {
             let current = beliefs.borrow_and_update().clone();
-            if let Some(known) = current.lead_in_force(service, Instant::now()) {
+            if let Some(known) = current.usable_leader(service, Instant::now()) {
                 if known.server == lead.server && known.term == lead.term {
                     return true;
                 }
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/holding.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     catalog::ReadRule,
-    control::beliefs::Lead,
+    control::control_view::GroupLeader,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         engine::{Engine, Group},
@@ -80,7 +80,7 @@
         job: &Job<'_>,
         class: StatementClass,
         rounds: &mut Rounds,
-    ) -> Result<Lead, Denied> {
+    ) -> Result<GroupLeader, Denied> {
         if !self.holds(group) {
             return self.await_primary_briefly(group, job, rounds).await;
         }
@@ -90,7 +90,7 @@
         loop {
             let current = beliefs.borrow_and_update().clone();
             let now = Instant::now();
-            if let Some(lead) = current.lead_in_force(&job.route.service, now) {
+            if let Some(lead) = current.usable_leader(&job.route.service, now) {
                 if rounds.avoid.contains(&lead.server) {
                     rounds.avoid.clear();
                     tokio::time::sleep(ROUND_PAUSE).await;
@@ -139,11 +139,11 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         rounds: &mut Rounds,
-    ) -> Result<Lead, Denied> {
+    ) -> Result<GroupLeader, Denied> {
         let mut beliefs = self.beliefs.clone();
         loop {
             let current = beliefs.borrow_and_update().clone();
-            let lead = current.lead_in_force(&job.route.service, Instant::now());
+            let lead = current.usable_leader(&job.route.service, Instant::now());
             if let Some(lead) = lead
                 && !rounds.avoid.contains(&lead.server)
             {
@@ -177,7 +177,7 @@
         if let Some(sample) = beliefs.samples.get(service) {
             group.samples.borrow_mut().add(sample.asked_at, sample.point);
         }
-        let history = beliefs.leads.get(service).map(|lead| lead.history.clone());
+        let history = beliefs.leaders.get(service).map(|lead| lead.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
         place_for(job.route.reads, class, job.own, &samples, &history, Instant::now()).floor()
@@ -250,7 +250,10 @@
     /// How long the primary takes for a statement of this daemon's, as one of all that send it theirs.
     fn pace(&self, group: &Group<E>, service: &Name) -> Duration {
         let beliefs = self.beliefs();
-        beliefs.leads.get(service).map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
+        beliefs
+            .leaders
+            .get(service)
+            .map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
     }
 
     fn pace_at(&self, group: &Group<E>, server: &Name) -> Duration {
@@ -326,7 +329,7 @@
         }
         let now = Instant::now();
         let beliefs = self.beliefs();
-        let lead = beliefs.lead_in_force(&job.route.service, now);
+        let lead = beliefs.usable_leader(&job.route.service, now);
         // An empty name: no server was found, so it was the primary that wasn't.
         if needs_primary(job)
             && lead.is_some_and(|lead| lead.server == *server || server.is_empty())
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -20,7 +20,7 @@
 use rand::RngExt;
 
 use crate::{
-    control::beliefs::Beliefs,
+    control::control_view::ControlView,
     dialect::{CallerDialect, EndpointDialect},
     relay::messages::{RelayOutcome, RelayRequest, RelayTask},
     serve::{
@@ -150,7 +150,7 @@
     }
 
     /// Answers a candidate.
-    fn vote(&self, request: &VoteRequest, beliefs: &Beliefs, now: Instant) -> Vote {
+    fn vote(&self, request: &VoteRequest, beliefs: &ControlView, now: Instant) -> Vote {
         let vote = self.voter.borrow_mut().vote(request, beliefs.is_member(now), now);
         if request.life == self.life {
             return vote;
@@ -202,7 +202,7 @@
     }
 
     /// Takes over who the members are.
-    fn note_members(&self, beliefs: &Beliefs, now: Instant) {
+    fn note_members(&self, beliefs: &ControlView, now: Instant) {
         let mut electorate = self.electorate.borrow_mut();
         if Arc::ptr_eq(&beliefs.members, &electorate.members) {
             return;
@@ -276,7 +276,7 @@
     }
 
     /// Whether this daemon is to ask for votes now.
-    fn may_keep(self: &Rc<Self>, beliefs: &Arc<Beliefs>, now: Instant) -> bool {
+    fn may_keep(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) -> bool {
         let limits = &self.limits;
         let own = &self.settings.host;
         if self.is_stopping() && limits.is_keeper(now) {
@@ -327,7 +327,7 @@
 
     /// Tells every voter that this daemon lends nothing more, so that another one need not wait for its votes to end: the
     /// daemons of a fleet that is restarted in turn stop one after the other, and each may be the keeper.
-    fn free_voters(self: &Rc<Self>, beliefs: &Arc<Beliefs>, now: Instant) {
+    fn free_voters(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
         let own = &self.settings.host;
         let host = own.clone();
         let request = VoteRequest { host, life: self.limits.life, is_keeper: false, ends: true };
@@ -338,7 +338,7 @@
     }
 
     /// Asks every voter for its vote; answers are counted as they come.
-    fn ask_for_votes(self: &Rc<Self>, beliefs: &Arc<Beliefs>, now: Instant) {
+    fn ask_for_votes(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
         let own = self.settings.host.clone();
         let is_keeper = self.limits.is_keeper(now);
         let request =
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -11,7 +11,7 @@
     hold::{OngoingOutage, Outage, OutageHistory, Ticket, WaitingLine},
 };
 
-use crate::control::beliefs::Beliefs;
+use crate::control::control_view::ControlView;
 
 /// The outage of one group, and who waits for its end.
 #[derive(Default)]
@@ -75,8 +75,8 @@
 }
 
 /// Says why no primary may be used, and since when as far as that is known.
-pub(crate) fn outage_of(beliefs: &Beliefs, service: &str, now: Instant) -> (Outage, Instant) {
-    match beliefs.leads.get(service) {
+pub(crate) fn outage_of(beliefs: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
+    match beliefs.leaders.get(service) {
         Some(lead) if lead.is_valid(now) => (Outage::Unreachable, now),
         Some(lead) if lead.planned => (Outage::PlannedChange, now),
         Some(lead) if lead.changing => (Outage::Failover, now),
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -19,7 +19,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::beliefs::{Detours, Owners},
+    control::control_view::{Detours, Owners},
     dialect::EndpointDialect,
     relay::{
         lease::{Lease, Terms},
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -11,7 +11,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::beliefs::Observation,
+    control::control_view::Observation,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::{ConnectionLost, EndpointConnection, Reached},
--- a/crates/proxy/src/serve/telling.rs
+++ b/crates/proxy/src/serve/telling.rs
@@ -9,7 +9,7 @@
 use overload::hold::Outage;
 
 use crate::{
-    control::beliefs::Lead,
+    control::control_view::GroupLeader,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::{ConnectionLost, refusal},
@@ -78,7 +78,7 @@
         refusal: Refusal,
     ) -> StatementError {
         let beliefs = self.beliefs();
-        let lead = beliefs.leads.get(&job.route.service);
+        let lead = beliefs.leaders.get(&job.route.service);
         let retry_after_ms = refusal.come_back.as_millis() as u64;
         log::info!(
             event = "refused", id = id_text(&job.id).as_str(), service = &*job.route.service,
@@ -113,7 +113,7 @@
         refusal(error, TransactionState::Idle)
     }
 
-    pub(crate) fn unconfirmed(&self, job: &Job<'_>, lead: &Lead) -> Answer {
+    pub(crate) fn unconfirmed(&self, job: &Job<'_>, lead: &GroupLeader) -> Answer {
         log::info!(
             event = "outcome", id = id_text(&job.id).as_str(), service = &*job.route.service,
             server = &*lead.server, term = lead.term.0, code = ErrorCode::InDoubt.as_str(),
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -11,7 +11,7 @@
 use crate::{
     accounts::{Account, Principal},
     catalog::Route,
-    control::beliefs::Lead,
+    control::control_view::GroupLeader,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::refusal,
@@ -40,7 +40,7 @@
     /// Its connection; none before the first statement that a server has to run.
     pub lent: Option<Lent<E>>,
     /// The right under which it began, where it runs at the primary.
-    pub(crate) lead: Option<Lead>,
+    pub(crate) lead: Option<GroupLeader>,
     /// Whether it may have written.
     pub wrote: bool,
     /// Whether it failed and waits for its end.
--- a/crates/proxy/tests/contradiction.rs
+++ b/crates/proxy/tests/contradiction.rs
@@ -4,7 +4,7 @@
 
 use model::{LogPoint, Name, Position, Term, TermStart};
 use proxy::{
-    control::beliefs::{Basis, Lead},
+    control::control_view::{Basis, GroupLeader},
     serve::contradiction::{Contradiction, contradiction},
 };
 use session::TermHistory;
@@ -13,7 +13,7 @@
 fn a_primary_shows_no_later_term_and_nothing_before_what_it_had_reached() {
     // Term 2 began with twenty entries.
     let history = TermHistory::new(vec![TermStart { term: Term(2), start: Position(20) }]);
-    let lead = Lead {
+    let lead = GroupLeader {
         server: Name::from("i-1"),
         term: Term(2),
         valid_until: Instant::now(),
