--- a/crates/proxy/src/control/witnesses.rs
+++ b/crates/proxy/src/control/witnesses.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use model::Name;
-use routing::{ranked, score};
+use routing::{rank_hosts, rendezvous_score};
 
 /// Witnesses of one server at the most. A third of them says that it is lost; where a sixth of the daemons is cut off
 /// from it, as many as that among 45 are hardly ever found.
@@ -14,7 +14,7 @@
 
 /// Returns the witnesses of a server; the same on every daemon that knows the same members.
 pub fn witnesses_of<'a>(server: &str, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
-    let mut witnesses = ranked(server, members);
+    let mut witnesses = rank_hosts(server, members);
     witnesses.truncate(MOST_WITNESSES);
     witnesses
 }
@@ -25,8 +25,9 @@
     host: &str,
     members: impl IntoIterator<Item = &'a str>,
 ) -> bool {
-    let own = (score(server, host), host);
-    let before = members.into_iter().filter(|member| (score(server, member), *member) > own);
+    let own = (rendezvous_score(server, host), host);
+    let before =
+        members.into_iter().filter(|member| (rendezvous_score(server, member), *member) > own);
     before.take(MOST_WITNESSES).count() < MOST_WITNESSES
 }
 
--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -110,7 +110,7 @@
     account: &str,
     server_at: impl Fn(usize) -> &'a str,
 ) {
-    let score = |it: &Candidate| routing::score(account, server_at(it.index));
+    let score = |it: &Candidate| routing::rendezvous_score(account, server_at(it.index));
     let best = candidates.iter().filter(|it| !it.leads).map(&score).max();
     for candidate in candidates.iter_mut().filter(|it| !it.leads) {
         candidate.is_strange = Some(score(candidate)) != best;
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -208,7 +208,7 @@
             return;
         }
         electorate.members = beliefs.members.clone();
-        let ranked = routing::ranked(KEEPER_OF, beliefs.members.keys().map(|host| &**host));
+        let ranked = routing::rank_hosts(KEEPER_OF, beliefs.members.keys().map(|host| &**host));
         let hosts: Vec<Name> = ranked.into_iter().take(MOST_VOTERS).map(Name::from).collect();
         if hosts != electorate.hosts {
             electorate.hosts = hosts;
--- a/crates/proxy/src/serve/share.rs
+++ b/crates/proxy/src/serve/share.rs
@@ -1,6 +1,6 @@
 //! What one daemon may have of the connections that a server grants to all of them.
 
-use routing::{account_connections, owned_connections};
+use routing::{connections_per_owner, single_owner_connections};
 
 /// Connections of a server that no daemon counts on: those of dead daemons linger for some seconds,
 /// and changes of primary need some of their own.
@@ -115,10 +115,10 @@
         0 => 0,
         _ => (shared - each * sharers.daemons.max(1)).min(UNBLOCKED.saturating_sub(each)),
     };
-    let of_a_zone = owned_connections(shared, sharers.zones);
+    let of_a_zone = connections_per_owner(shared, sharers.zones);
     let owned = match each {
         0 if by_account || of_a_zone < slots.min(shared) => {
-            let (most, kept) = account_connections(shared);
+            let (most, kept) = single_owner_connections(shared);
             Some(Owned::Once { most, kept })
         }
         0 => Some(Owned::InEachZone(of_a_zone)),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,7 +14,8 @@
 pub use admission::{Admission, AdmissionQueue, Next, Request, Ticket};
 pub use connection_share::{Demand, connection_share};
 pub use ownership::{
-    OWNERS_EACH_ZONE, account_connections, owned_connections, owners_of, ranked, score,
+    OWNERS_PER_ZONE, connections_per_owner, owners_of, rank_hosts, rendezvous_score,
+    single_owner_connections,
 };
 pub use read_route::{Candidate, ReadQuestion, ReadRoute, route_read};
 pub use retry_budget::RetryBudget;
--- a/crates/routing/tests/ownership.rs
+++ b/crates/routing/tests/ownership.rs
@@ -9,7 +9,7 @@
     prelude::*,
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
-use routing::{OWNERS_EACH_ZONE, owned_connections, owners_of};
+use routing::{OWNERS_PER_ZONE, connections_per_owner, owners_of};
 
 fn names(prefix: &str, count: usize) -> Vec<String> {
     (0..count).map(|number| format!("{prefix}-{number}")).collect()
@@ -31,9 +31,9 @@
         (1_000, 3, 8),
     ];
     for (granted, zones, expected) in cases {
-        let each = owned_connections(granted, zones);
+        let each = connections_per_owner(granted, zones);
         assert_eq!(each, expected, "{granted} in {zones} zones");
-        let all = each * zones * OWNERS_EACH_ZONE as u32;
+        let all = each * zones * OWNERS_PER_ZONE as u32;
         assert!(each == 1 || all * 2 <= granted, "{granted} in {zones} zones");
     }
 }
@@ -44,7 +44,7 @@
     let mut owned: HashMap<String, usize> = HashMap::new();
     for server in &servers {
         let found = owners(server, &hosts);
-        assert_eq!(found.len(), OWNERS_EACH_ZONE);
+        assert_eq!(found.len(), OWNERS_PER_ZONE);
         assert_ne!(found[0], found[1]);
         for host in found {
             *owned.entry(host).or_default() += 1;
