--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -6,7 +6,7 @@
 use failover::Evidence;
 use model::{LogPoint, Priority, Refusal, RefusalReason, ServerId, ServerStatus, Term, Verdict};
 use routing::{WriteRoute, WriteRules, route_write};
-use session::Standing;
+use session::WriteStatus;
 
 use crate::{
     endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
@@ -145,12 +145,12 @@
     /// A transaction must see its session's writes too, so the primary has to be of their term.
     async fn check_session(&self, term: Term) -> Result<(), Refusal> {
         let Some(seen) = self.seen() else { return Ok(()) };
-        let standing = self.group.board.read().history.standing(seen);
-        match standing {
-            Standing::Kept => Ok(()),
-            Standing::Lost => Err(self.write_lost()),
-            Standing::Ahead if seen.term <= term => Ok(()),
-            Standing::Ahead => {
+        let write_status = self.group.board.read().history.write_status(seen);
+        match write_status {
+            WriteStatus::Kept => Ok(()),
+            WriteStatus::Lost => Err(self.write_lost()),
+            WriteStatus::UnknownTerm if seen.term <= term => Ok(()),
+            WriteStatus::UnknownTerm => {
                 // The token knows of a newer term than this daemon; the servers are asked.
                 for index in 0..self.group.links.len() {
                     let _ = self.group.ask(ServerId::from_index(index)).await;
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -7,7 +7,7 @@
 
 use model::{Term, TermStart};
 use serde::{Deserialize, Serialize};
-use session::{Standing, TermHistory};
+use session::{TermHistory, WriteStatus};
 
 use crate::{catalog::ServerLife, metadata::Era, statement::EndpointStatus};
 
@@ -176,7 +176,7 @@
         }
         let history = TermHistory::new(record.starts.clone());
         history.latest() == Some(Term(record.term))
-            && history.standing(self.status.received) == Standing::Kept
+            && history.write_status(self.status.received) == WriteStatus::Kept
     }
 }
 
--- a/crates/proxy/src/serve/verdict.rs
+++ b/crates/proxy/src/serve/verdict.rs
@@ -3,7 +3,7 @@
 //! The table in `docs/PLATFORM.md`, "Verdicts", lists every case; `tests/verdict.rs` compares them.
 
 use model::{LogPoint, StatementClass, Term};
-use session::{Standing, TermHistory};
+use session::{TermHistory, WriteStatus};
 
 use crate::{serve::connection::ConnectionLost, statement::ErrorCode};
 
@@ -66,7 +66,7 @@
 /// says nothing of where the write's own term ended.
 pub fn write_stands(point: Option<LogPoint>, term: Term, history: &TermHistory) -> bool {
     history.latest() == Some(term)
-        && point.is_some_and(|point| history.standing(point) == Standing::Kept)
+        && point.is_some_and(|point| history.write_status(point) == WriteStatus::Kept)
 }
 
 /// Whether a lost connection speaks against the server itself.
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use requirement::{ReadRequirement, Shown, judge};
 pub use staleness::StalenessSamples;
-pub use term_history::{Standing, TermHistory};
+pub use term_history::{TermHistory, WriteStatus};
 pub use token::{InvalidToken, SessionToken};
--- a/crates/session/src/requirement.rs
+++ b/crates/session/src/requirement.rs
@@ -2,7 +2,7 @@
 
 use model::{LogPoint, ServerStatus};
 
-use crate::{Standing, TermHistory};
+use crate::{TermHistory, WriteStatus};
 
 /// What a read has to see.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,9 @@
 pub fn judge(requirement: ReadRequirement, status: &ServerStatus, known: &TermHistory) -> Shown {
     let history = TermHistory::new(status.term_starts.clone());
     if let Some(point) = requirement.session {
-        if known.standing(point) == Standing::Lost || history.standing(point) == Standing::Lost {
+        if known.write_status(point) == WriteStatus::Lost
+            || history.write_status(point) == WriteStatus::Lost
+        {
             return Shown::Lost;
         }
         if !reaches(point, status, &history) {
@@ -50,5 +52,5 @@
 fn reaches(point: LogPoint, status: &ServerStatus, history: &TermHistory) -> bool {
     status.log_term >= point.term
         && status.applied_position >= point.position
-        && history.standing(point) == Standing::Kept
+        && history.write_status(point) == WriteStatus::Kept
 }
--- a/crates/session/src/term_history.rs
+++ b/crates/session/src/term_history.rs
@@ -4,13 +4,13 @@
 
 /// How a write stands to a group's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WriteStatus {
     /// The history keeps it, so a server that has reached its position shows it.
     Kept,
     /// A later term began below it: the write did not survive.
     Lost,
     /// It is of a term that the history does not know yet.
-    Ahead,
+    UnknownTerm,
 }
 
 /// The starts of a group's terms, oldest first.
@@ -41,15 +41,15 @@
     /// Says whether a write at `point` is part of this history.
     ///
     /// The write survives exactly when no term after its own began below its position.
-    pub fn standing(&self, point: LogPoint) -> Standing {
+    pub fn write_status(&self, point: LogPoint) -> WriteStatus {
         if self.latest().is_none_or(|latest| point.term > latest) {
-            return Standing::Ahead;
+            return WriteStatus::UnknownTerm;
         }
         let kept_until = self.end_of(point.term);
         if kept_until.is_some_and(|end| point.position > end) {
-            Standing::Lost
+            WriteStatus::Lost
         } else {
-            Standing::Kept
+            WriteStatus::Kept
         }
     }
 
--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -5,7 +5,7 @@
 use model::{LogPoint, Name, Position, ServerRole, ServerStatus, Term, TermStart};
 use proptest::prelude::*;
 use session::{
-    ReadRequirement, SessionToken, Shown, StalenessSamples, Standing, TermHistory, judge,
+    ReadRequirement, SessionToken, Shown, StalenessSamples, TermHistory, WriteStatus, judge,
 };
 
 fn history(starts: &[(u64, u64)]) -> TermHistory {
@@ -55,16 +55,16 @@
 fn a_write_stands_by_the_starts_of_later_terms() {
     let history = history(&[(1, 0), (2, 100), (4, 150)]);
     let rows = [
-        (LogPoint::new(1, 100), Standing::Kept),
-        (LogPoint::new(1, 101), Standing::Lost),
-        (LogPoint::new(2, 150), Standing::Kept),
-        (LogPoint::new(2, 151), Standing::Lost),
-        (LogPoint::new(3, 140), Standing::Kept),
-        (LogPoint::new(4, 9_999), Standing::Kept),
-        (LogPoint::new(5, 1), Standing::Ahead),
+        (LogPoint::new(1, 100), WriteStatus::Kept),
+        (LogPoint::new(1, 101), WriteStatus::Lost),
+        (LogPoint::new(2, 150), WriteStatus::Kept),
+        (LogPoint::new(2, 151), WriteStatus::Lost),
+        (LogPoint::new(3, 140), WriteStatus::Kept),
+        (LogPoint::new(4, 9_999), WriteStatus::Kept),
+        (LogPoint::new(5, 1), WriteStatus::UnknownTerm),
     ];
     for (point, expected) in rows {
-        assert_eq!(history.standing(point), expected, "{point}");
+        assert_eq!(history.write_status(point), expected, "{point}");
     }
 }
 
