--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,12 +1,13 @@
 //! What a daemon believes and how it comes to believe it: the configuration, the servers, the other
 //! daemons, who leads each group.
 
+pub mod adapter;
 mod asking;
 mod backoff;
-pub mod beliefs;
 mod change;
 mod commands;
 mod confirming;
+pub mod control_view;
 pub(crate) mod detour;
 pub mod evidence;
 mod fencing;
@@ -15,7 +16,6 @@
 mod membership;
 pub mod mirror;
 pub mod move_times;
-pub mod outside;
 mod owning;
 pub mod packing;
 pub(crate) mod peer_link;
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     control::{
+        adapter::Adapter,
         backoff::Backoff,
-        beliefs::Basis,
-        outside::Outside,
+        control_view::Basis,
         peers::{SharedReading, StoreReading, judge_reading},
         runner::Control,
         state::State,
@@ -28,7 +28,7 @@
 /// each they are a tenth of a megabyte.
 const MOST_MISSING_ASKED: u64 = 500;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Renews the rights again and again, by a reading of the store or of another daemon.
     pub(crate) async fn refresh_loop(self: Rc<Self>) {
         let every = Duration::from_millis(self.settings.leadership.refresh_ms);
@@ -231,8 +231,8 @@
     pub(crate) fn drop_primary_lease(&self, service: &Name, term: Term) {
         {
             let mut state = self.state.borrow_mut();
-            let leads = Arc::make_mut(&mut state.leads);
-            if let Some(lead) = leads.get_mut(service).filter(|lead| lead.term == term) {
+            let leaders = Arc::make_mut(&mut state.leaders);
+            if let Some(lead) = leaders.get_mut(service).filter(|lead| lead.term == term) {
                 lead.valid_until = Instant::now();
             }
             state.evidence.retain(|evidence| evidence.service != *service);
@@ -248,8 +248,8 @@
         let valid_until = asked_at + self.primary_lease_duration();
         let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
-        let State { leads, records, servers, mirror, .. } = &mut *state;
-        let leads = Arc::make_mut(leads);
+        let State { leaders, records, servers, mirror, .. } = &mut *state;
+        let leaders = Arc::make_mut(leaders);
         for (service, known) in records {
             let record = &known.record;
             if shown.as_ref().is_some_and(|shown| !shown.contains(service)) {
@@ -263,7 +263,7 @@
             {
                 continue;
             }
-            let Some(lead) = leads.get_mut(service) else { continue };
+            let Some(lead) = leaders.get_mut(service) else { continue };
             if *lead.server == *record.primary && lead.term.0 == record.term && !lead.changing {
                 if lead.valid_until < asked_at {
                     log::info!(
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     control::{
+        adapter::Adapter,
         backoff::Backoff,
-        beliefs::{Detours, Observation},
-        outside::Outside,
+        control_view::{Detours, Observation},
         reported_suspicions::PendingSuspicionWrites,
         runner::{Ask, Control},
         state::State,
@@ -35,7 +35,7 @@
 /// Daemons that can be asked for a way around, with where.
 type Ways<'a> = Vec<(&'a Name, SocketAddr)>;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Takes over what the serving thread observes, and has the other daemons told which primaries this one can't reach.
     pub(crate) async fn observation_loop(self: Rc<Self>) {
         while let Ok(observation) = self.observations.recv_async().await {
