--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -24,13 +24,13 @@
         sampling::tell_sample,
     },
     serve::{
+        connection_request::ConnectionRequest,
         engine::{AcquireError, Engine, Group},
         errand::{Errand, Task},
         execute::{Sample, Watch},
         health::outcome_of,
         lent::Lent,
         verdict::Progress,
-        wish::Wish,
     },
     statement::TransactionState,
 };
@@ -373,7 +373,7 @@
     if request.may_go_elsewhere() && !engine.pass_read(group, &server) {
         return Err(NotSent::SetAside);
     }
-    let wish = Wish {
+    let connection_request = ConnectionRequest {
         only: Some(server.clone()),
         floor: None,
         avoid: Vec::new(),
@@ -381,16 +381,16 @@
         priority: request.priority.min(u32::from(u8::MAX)) as u8,
         yields: request.yields,
         opens_transaction: matches!(request.task, Some(RelayTask::Begin(_))),
-        is_handed_over: true,
-        tried: request.tried,
-        is_unwanted: Some(is_unwanted.clone()),
+        is_forwarded: true,
+        previous_attempts: request.tried,
+        cancellation: Some(is_unwanted.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
             _ => Some(Principal::from_told(&request.account)),
         },
     };
     let wait_until = received_at + request.waits();
-    let acquired = engine.acquire(group, wish, &errand.values, wait_until).await;
+    let acquired = engine.acquire(group, connection_request, &errand.values, wait_until).await;
     acquired.map_err(|error| match error {
         AcquireError::Nowhere => NotSent::Unreachable,
         AcquireError::QueueFull | AcquireError::TooLate => NotSent::TooLate,
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/ask.rs
@@ -10,10 +10,10 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::answering::answer_relay,
     serve::{
+        connection_request::ConnectionRequest,
         engine::Engine,
         errand::{Errand, Task},
         replay::SessionValues,
-        wish::Wish,
     },
     statement::EndpointStatus,
 };
@@ -52,7 +52,7 @@
 ) -> Option<EndpointStatus> {
     let beliefs = engine.beliefs();
     let group = engine.group(&ask.service, &beliefs);
-    let wish = Wish {
+    let request = ConnectionRequest {
         only: Some(ask.server.clone()),
         floor: None,
         avoid: Vec::new(),
@@ -60,13 +60,13 @@
         priority: 0,
         yields: false,
         opens_transaction: false,
-        is_handed_over: false,
-        tried: 0,
-        is_unwanted: None,
+        is_forwarded: false,
+        previous_attempts: 0,
+        cancellation: None,
         principal: None,
     };
     // Whatever values the connection holds do no harm to a status.
-    let lent = engine.acquire(&group, wish, &SessionValues::new(), ask.deadline).await;
+    let lent = engine.acquire(&group, request, &SessionValues::new(), ask.deadline).await;
     let mut lent = lent.ok()?;
     let reached = lent.reached();
     let errand = Errand::own(Task::Command(ask.text.clone()));
--- a/crates/proxy/src/serve/wish.rs
+++ b/crates/proxy/src/serve/connection_request.rs
@@ -8,7 +8,7 @@
 
 /// What a statement that wants a connection asks for.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct ConnectionRequest {
     /// Only this server; `None` for any that is fit.
     pub only: Option<Name>,
     /// The point that the server must hold, to pass over those known to be behind.
@@ -24,24 +24,24 @@
     /// Whether it opens a transaction, which keeps its connection while its caller rests.
     pub opens_transaction: bool,
     /// Whether another daemon handed it over; then it runs on a connection of this one, whoever owns them.
-    pub is_handed_over: bool,
+    pub is_forwarded: bool,
     /// How often the operation was sent before, over all daemons.
-    pub tried: u32,
+    pub previous_attempts: u32,
     /// Cancelled when nobody wants it any more; then it is taken out of the server's queue. A connection that is being opened is
     /// still opened: that it can't be tells others.
-    pub is_unwanted: Option<CancellationToken>,
+    pub cancellation: Option<CancellationToken>,
     /// For whom the connection must work; `None` for a command of the daemon's own, which any will do for.
     pub principal: Option<Principal>,
 }
 
-impl Wish {
+impl ConnectionRequest {
     /// Returns how urgent it is.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.priority)
     }
 
     /// Whether a connection that works for `principal` will do.
-    pub(crate) fn may_use(&self, principal: &Principal) -> bool {
+    pub(crate) fn accepts_principal(&self, principal: &Principal) -> bool {
         self.principal.as_ref().is_none_or(|wanted| wanted == principal)
     }
 }
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -26,6 +26,7 @@
     relay::links::RelayLinks,
     serve::{
         connection::{ConnectionLost, EndpointConnection, Introduction},
+        connection_request::ConnectionRequest,
         holding::Holding,
         lent::{Lent, OpeningPlace},
         limits::Limits,
@@ -35,7 +36,6 @@
         replay::SessionValues,
         share::{Share, share_of},
         verdict::speaks_against_server,
-        wish::Wish,
     },
     statement::ErrorCode,
 };
@@ -317,13 +317,13 @@
     pub async fn acquire(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        mut wish: Wish,
+        mut request: ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
     ) -> Result<Lent<E>, AcquireError> {
         loop {
-            let lent = group.pool.lend(wish.clone(), values, deadline).await;
-            self.count_queued(&wish, &lent);
+            let lent = group.pool.lend(request.clone(), values, deadline).await;
+            self.count_queued(&request, &lent);
             let offer = match lent {
                 Ok(offer) => offer,
                 Err(NoConnection::Nowhere) => return Err(AcquireError::Nowhere),
@@ -355,7 +355,7 @@
                         None => self.on_open_failed(group, &service, &server, &lost),
                         Some(peer) => self.on_detour_failed(group, &server, peer, &lost),
                     }
-                    match after_open_failed(&wish, &lost) {
+                    match after_open_failed(&request, &lost) {
                         _ if Instant::now() >= deadline => return Err(AcquireError::Nowhere),
                         AfterOpenFailed::GiveUp => return Err(AcquireError::Nowhere),
                         // There is one to wait for, or leave to open one a little later.
@@ -363,15 +363,15 @@
                         AfterOpenFailed::Wait => return Err(AcquireError::Nowhere),
                         AfterOpenFailed::TryElsewhere => {}
                     }
-                    wish.avoid.push(server);
+                    request.avoid.push(server);
                 }
             }
         }
     }
 
     /// Counts what became of a statement that this daemon runs on connections of its own for others.
-    fn count_queued(&self, wish: &Wish, lent: &Result<Offer<E>, NoConnection>) {
-        if !wish.is_handed_over || wish.principal.is_none() {
+    fn count_queued(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
+        if !request.is_forwarded || request.principal.is_none() {
             return;
         }
         let outcome = match lent {
@@ -380,7 +380,7 @@
             Err(NoConnection::TooLate) => "too_late",
             Err(NoConnection::Nowhere) => "nowhere",
         };
-        let rank = wish.rank().index().to_string();
+        let rank = request.rank().index().to_string();
         self.metrics.queued.with_label_values(&[rank.as_str(), outcome]).inc();
     }
 
@@ -467,7 +467,7 @@
     }
 }
 
-/// What follows when a connection could not be opened for a wish.
+/// What follows when a connection could not be opened for a request.
 enum AfterOpenFailed {
     TryElsewhere,
     Wait,
@@ -476,10 +476,10 @@
 
 /// A server that grants no more is there nevertheless: an owner that said it can't be reached would send its askers to open
 /// connections of their own.
-fn after_open_failed(wish: &Wish, lost: &ConnectionLost) -> AfterOpenFailed {
+fn after_open_failed(request: &ConnectionRequest, lost: &ConnectionLost) -> AfterOpenFailed {
     match lost {
-        _ if wish.only.is_none() => AfterOpenFailed::TryElsewhere,
-        ConnectionLost::Refused(ErrorCode::TooManyConnections) if wish.is_handed_over => {
+        _ if request.only.is_none() => AfterOpenFailed::TryElsewhere,
+        ConnectionLost::Refused(ErrorCode::TooManyConnections) if request.is_forwarded => {
             AfterOpenFailed::Wait
         }
         _ => AfterOpenFailed::GiveUp,
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -17,6 +17,7 @@
     relay::messages::NotSent,
     serve::{
         connection::{ConnectionLost, Reached, refusal},
+        connection_request::ConnectionRequest,
         engine::{AcquireError, Engine, Group},
         errand::Errand,
         floor::BOUND_MARGIN,
@@ -24,7 +25,6 @@
         job::Job,
         lent::Lent,
         verdict::{Next, Progress, after_error, after_loss, write_stands},
-        wish::Wish,
     },
     statement::{Answer, ErrorCode, StatementError, TransactionState},
 };
@@ -185,7 +185,7 @@
                 Some(lead)
             }
         };
-        let wish = Wish {
+        let request = ConnectionRequest {
             only: lead.as_ref().filter(|_| floor.is_none()).map(|lead| lead.server.clone()),
             floor,
             avoid: rounds.avoid.clone(),
@@ -193,14 +193,14 @@
             priority: job.route.priority,
             yields: class == StatementClass::Read && job.route.reads != ReadRule::Primary,
             opens_transaction: rounds.opens_transaction,
-            is_handed_over: false,
-            tried: rounds.sent,
-            is_unwanted: None,
+            is_forwarded: false,
+            previous_attempts: rounds.sent,
+            cancellation: None,
             principal: Some(job.principal.clone()),
         };
         // The wait for a primary is over only now, and the wait for a connection begins.
         let wait_until = job.wait_until(Instant::now(), group.pool.is_queued());
-        let lent = match self.acquire(group, wish, job.values, wait_until).await {
+        let lent = match self.acquire(group, request, job.values, wait_until).await {
             Ok(lent) => lent,
             Err(error) => return Err(self.on_not_acquired(group, job, rounds, error).await),
         };
--- a/crates/proxy/src/serve/in_turn.rs
+++ b/crates/proxy/src/serve/in_turn.rs
@@ -13,12 +13,12 @@
     dialect::EndpointDialect,
     relay::messages::NotSent,
     serve::{
+        connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
         server_queue::{NotBegun, Turn},
         share::{Owned, Share},
         slot::ServerSlot,
-        wish::Wish,
     },
 };
 
@@ -59,7 +59,7 @@
     pub(super) async fn lend_in_turn(
         self: &Rc<Self>,
         index: usize,
-        wish: &Wish,
+        request: &ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
@@ -68,11 +68,11 @@
             let slot = &state.servers[index];
             (slot.entry.server.clone(), slot.queue.clone())
         };
-        let turn = match (queue, &wish.principal) {
+        let turn = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
-                let request = request_for(wish, principal, deadline);
-                let waits = queue.await_turn(request);
-                Some(unless_unwanted(wish.is_unwanted.as_ref(), waits).await?)
+                let queue_request = request_for(request, principal, deadline);
+                let waits = queue.await_turn(queue_request);
+                Some(unless_cancelled(request.cancellation.as_ref(), waits).await?)
             }
             // Commands of a daemon, and statements where the server has no queue, wait for nothing but a connection.
             _ => None,
@@ -83,15 +83,15 @@
             state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
         };
         let Some(index) = place else { return Ok(None) };
-        if let Some(principal) = &wish.principal {
+        if let Some(principal) = &request.principal {
             self.state.borrow_mut().servers[index].note_use(principal);
         }
-        if let Some(connection) = self.take_idle(index, values, wish) {
-            return Ok(Some(Offer::Lent(self.lent(connection, wish.yields, turn))));
+        if let Some(connection) = self.take_idle(index, values, request) {
+            return Ok(Some(Offer::Lent(self.lent(connection, request.yields, turn))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
         if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.place(index, wish, turn))));
+            return Ok(Some(Offer::Open(self.place(index, request, turn))));
         }
         drop(turn);
         self.await_opening(&server, deadline).await
@@ -117,22 +117,22 @@
 }
 
 /// Waits for a turn unless its asker takes back what it asked, or is gone.
-async fn unless_unwanted(
-    is_unwanted: Option<&CancellationToken>,
+async fn unless_cancelled(
+    cancellation: Option<&CancellationToken>,
     waits: impl Future<Output = Result<Turn, NotBegun>>,
 ) -> Result<Turn, NotBegun> {
-    let Some(is_unwanted) = is_unwanted else { return waits.await };
+    let Some(cancellation) = cancellation else { return waits.await };
     tokio::select! {
         biased;
         turn = waits => turn,
-        () = is_unwanted.cancelled() => Err(NotBegun::TooLate),
+        () = cancellation.cancelled() => Err(NotBegun::TooLate),
     }
 }
 
-fn request_for(wish: &Wish, principal: &Principal, until: Instant) -> Request {
-    let stage = if wish.opens_transaction { Stage::Opens } else { Stage::Alone };
+fn request_for(request: &ConnectionRequest, principal: &Principal, until: Instant) -> Request {
+    let stage = if request.opens_transaction { Stage::Opens } else { Stage::Alone };
     let account = principal.told().into();
-    Request { rank: wish.rank(), account, stage, until }
+    Request { rank: request.rank(), account, stage, until }
 }
 
 impl From<NotBegun> for NoConnection {
--- a/crates/proxy/src/serve/lent.rs
+++ b/crates/proxy/src/serve/lent.rs
@@ -16,11 +16,11 @@
     relay::lease::Lease,
     serve::{
         connection::{ConnectionLost, EndpointConnection, Reached},
+        connection_request::ConnectionRequest,
         errand::{Errand, Task},
         pool::{GroupPool, Offer, Waiter},
         server_queue::{NotBegun, Turn},
         verdict::Progress,
-        wish::Wish,
     },
     statement::Answer,
 };
@@ -179,10 +179,10 @@
             self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
         }
         while let Some(waiter) = self.pool.next_waiter(self.server()) {
-            if !self.works_for(&waiter.wish) {
+            if !self.works_for(&waiter.request) {
                 return self.make_room_for(waiter);
             }
-            if waiter.wish.yields {
+            if waiter.request.yields {
                 self.yields = true;
                 self.pool.with_slot(self.server(), |slot| slot.yielding += 1);
             }
@@ -211,10 +211,10 @@
         connection.life != now
     }
 
-    /// Whether whoever has this wish may use this very connection.
-    fn works_for(&self, wish: &Wish) -> bool {
+    /// Whether whoever has this request may use this very connection.
+    fn works_for(&self, request: &ConnectionRequest) -> bool {
         match &self.held {
-            Held::Own(connection) => wish.may_use(&connection.principal),
+            Held::Own(connection) => request.accepts_principal(&connection.principal),
             Held::Owners(_) | Held::Nothing => false,
         }
     }
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -18,10 +18,10 @@
     relay::messages::NotSent,
     serve::{
         connection::{ConnectionLost, Reached},
+        connection_request::ConnectionRequest,
         engine::{Engine, Group},
         pool::{GroupPool, PoolState},
         share::Keep,
-        wish::Wish,
     },
 };
 
@@ -121,7 +121,7 @@
             return;
         }
         for queue in waiters {
-            queue.retain(|waiter| waiter.wish.only.as_ref() != Some(&slot.entry.server));
+            queue.retain(|waiter| waiter.request.only.as_ref() != Some(&slot.entry.server));
         }
     }
 
@@ -145,9 +145,9 @@
         self.with_slot(server, |slot| slot.paths.is_looking = false);
     }
 
-    /// Notes that a wish of this daemon's own callers is a try, where the server's circuit is not closed.
-    pub(super) fn note_try(&self, index: usize, wish: &Wish) {
-        if !wish.is_handed_over {
+    /// Notes that a request of this daemon's own callers is a try, where the server's circuit is not closed.
+    pub(super) fn note_try(&self, index: usize, request: &ConnectionRequest) {
+        if !request.is_forwarded {
             self.state.borrow_mut().servers[index].health.on_pass(Instant::now());
         }
     }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -29,18 +29,18 @@
     serve::{
         choose::{Candidate, Choice, choose, mark_strange},
         connection::EndpointConnection,
+        connection_request::ConnectionRequest,
         lent::{Held, Lent, OpeningPlace},
         replay::{Environment, SessionValues},
         server_queue::Turn,
         share::{Keep, Owned, Share},
         slot::ServerSlot,
-        wish::Wish,
     },
 };
 
 /// A statement that waits for a connection.
 pub(super) struct Waiter<E: EndpointDialect> {
-    pub(super) wish: Wish,
+    pub(super) request: ConnectionRequest,
     pub(super) grant: oneshot::Sender<Offer<E>>,
 }
 
@@ -80,7 +80,7 @@
     },
 }
 
-/// What a wish was answered with.
+/// What a request was answered with.
 pub enum Offer<E: EndpointDialect> {
     /// A connection.
     Lent(Lent<E>),
@@ -166,46 +166,52 @@
     /// Finds a connection, or leave to open one, waiting until `deadline` if all are in use.
     pub async fn lend(
         self: &Rc<Self>,
-        wish: Wish,
+        request: ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
     ) -> Result<Offer<E>, NoConnection> {
         loop {
-            let (index, has_idle) = match self.choose_now(&wish) {
+            let (index, has_idle) = match self.choose_now(&request) {
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
-                Choice::Wait => return self.wait(wish, deadline).await,
+                Choice::Wait => return self.wait(request, deadline).await,
                 Choice::Nowhere => return Err(NoConnection::Nowhere),
             };
-            if has_idle && let Some(lent) = self.lease(index, &wish, deadline) {
+            if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
                 return Ok(Offer::Lent(lent));
             }
-            self.note_try(index, &wish);
-            if let Some(offer) = self.lend_in_turn(index, &wish, values, deadline).await? {
+            self.note_try(index, &request);
+            if let Some(offer) = self.lend_in_turn(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
         }
     }
 
     /// Returns the right to use a connection of the server's owner, if another daemon owns them and is there.
-    fn lease(self: &Rc<Self>, index: usize, wish: &Wish, wait_until: Instant) -> Option<Lent<E>> {
+    fn lease(
+        self: &Rc<Self>,
+        index: usize,
+        request: &ConnectionRequest,
+        wait_until: Instant,
+    ) -> Option<Lent<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        let last_resort = state.servers.iter().filter(|slot| slot.is_fit(wish, now)).count() <= 1;
+        let last_resort =
+            state.servers.iter().filter(|slot| slot.is_fit(request, now)).count() <= 1;
         let slot = &mut state.servers[index];
-        let link = self.owner_of(slot, wish, now)?;
+        let link = self.owner_of(slot, request, now)?;
         slot.paths.on_pass(&link.owner(), now);
         slot.at_owners += 1;
         let terms = Terms {
             service: slot.entry.service.clone(),
             server: slot.entry.server.clone(),
             wait_until,
-            priority: wish.priority,
-            leads: wish.primary.as_ref() == Some(&slot.entry.server),
-            yields: wish.yields,
-            tried: wish.tried,
+            priority: request.priority,
+            leads: request.primary.as_ref() == Some(&slot.entry.server),
+            yields: request.yields,
+            tried: request.previous_attempts,
             last_resort,
-            principal: wish.principal.clone().unwrap_or(Principal::Daemon),
+            principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
         let lease = Lease::new(self.relays.clone(), link, terms);
         let held = Held::Owners(lease);
@@ -219,8 +225,13 @@
         })
     }
 
-    fn owner_of(&self, slot: &ServerSlot<E>, wish: &Wish, now: Instant) -> Option<Rc<RelayLink>> {
-        if wish.is_handed_over {
+    fn owner_of(
+        &self,
+        slot: &ServerSlot<E>,
+        request: &ConnectionRequest,
+        now: Instant,
+    ) -> Option<Rc<RelayLink>> {
+        if request.is_forwarded {
             return None;
         }
         self.owner_in_use(slot, now)
@@ -243,35 +254,41 @@
         self.with_slot(server, |slot| slot.at_owners = slot.at_owners.saturating_sub(1));
     }
 
-    fn choose_now(&self, wish: &Wish) -> Choice {
+    fn choose_now(&self, request: &ConnectionRequest) -> Choice {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        let mut candidates = self.candidates(&mut state, wish, now);
-        candidates.retain(|it| state.servers[it.index].is_healthy_for(wish, now));
-        if let Some(Principal::Account(account)) = &wish.principal {
+        let mut candidates = self.candidates(&mut state, request, now);
+        candidates.retain(|it| state.servers[it.index].is_healthy_for(request, now));
+        if let Some(Principal::Account(account)) = &request.principal {
             mark_strange(&mut candidates, account, |index| &state.servers[index].entry.server);
         }
-        if candidates.is_empty() && wish.only.is_none() {
+        if candidates.is_empty() && request.only.is_none() {
             // Better a server that was away a moment ago than none.
             for slot in &mut state.servers {
                 slot.away_until = None;
                 slot.lagging_until = None;
             }
-            candidates = self.candidates(&mut state, wish, now);
+            candidates = self.candidates(&mut state, request, now);
         }
         choose(&candidates, state.keep != Keep::One)
     }
 
-    fn candidates(&self, state: &mut PoolState<E>, wish: &Wish, now: Instant) -> Vec<Candidate> {
-        let fit = state.servers.iter_mut().enumerate().filter(|(_, slot)| slot.is_fit(wish, now));
+    fn candidates(
+        &self,
+        state: &mut PoolState<E>,
+        request: &ConnectionRequest,
+        now: Instant,
+    ) -> Vec<Candidate> {
+        let fit =
+            state.servers.iter_mut().enumerate().filter(|(_, slot)| slot.is_fit(request, now));
         fit.filter_map(|(index, slot)| {
             slot.forget_old_latency(now);
-            if let Some(owner) = self.owner_of(slot, wish, now) {
-                let wait = self.told_wait(&owner, &slot.entry.server, wish.rank(), now);
+            if let Some(owner) = self.owner_of(slot, request, now) {
+                let wait = self.told_wait(&owner, &slot.entry.server, request.rank(), now);
                 return Some(Candidate {
                     index,
                     reach: self.layout.reach(&slot.entry.availability_zone),
-                    leads: wish.primary.as_ref() == Some(&slot.entry.server),
+                    leads: request.primary.as_ref() == Some(&slot.entry.server),
                     // Its queue is at the owner, where the whole zone's demand is seen.
                     idle: 1,
                     in_use: slot.at_owners,
@@ -285,7 +302,7 @@
             if slot.is_unreachable(now) {
                 return None;
             }
-            let waits_elsewhere = wish.principal.is_some();
+            let waits_elsewhere = request.principal.is_some();
             let queue = slot.queue.as_ref().filter(|_| waits_elsewhere);
             Some(Candidate {
                 index,
@@ -296,12 +313,12 @@
                         Reach::SameRegion.max(self.layout.reach(&slot.entry.availability_zone))
                     }
                 },
-                leads: wish.primary.as_ref() == Some(&slot.entry.server),
-                idle: slot.idle_for(wish),
+                leads: request.primary.as_ref() == Some(&slot.entry.server),
+                idle: slot.idle_for(request),
                 in_use: queue.map_or(slot.in_use, |queue| queue.outstanding()),
                 // Where it has a queue, statements wait in that one.
                 limit: queue.map_or_else(|| slot.limit_at(now), |_| u32::MAX),
-                full: slot.is_full_for(wish),
+                full: slot.is_full_for(request),
                 is_strange: false,
                 latency_us: slot.latency.get_us(),
                 wait_us: 0,
@@ -315,40 +332,40 @@
         &self,
         index: usize,
         values: &SessionValues,
-        wish: &Wish,
+        request: &ConnectionRequest,
     ) -> Option<Box<EndpointConnection<E>>> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.idle.retain(|(_, connection)| connection.is_quiet());
         let fitting = |wanted: fn(&Environment, &SessionValues) -> bool| {
             slot.idle.iter().rposition(|(_, idle)| {
-                wish.may_use(&idle.principal) && wanted(&idle.environment, values)
+                request.accepts_principal(&idle.principal) && wanted(&idle.environment, values)
             })
         };
         let best = fitting(Environment::has_values)
             .or_else(|| fitting(Environment::can_become))
             .or_else(|| fitting(|_, _| true))?;
-        slot.take(wish.yields);
+        slot.take(request.yields);
         Some(slot.idle.remove(best).1)
     }
 
     pub(super) fn place(
         self: &Rc<Self>,
         index: usize,
-        wish: &Wish,
+        request: &ConnectionRequest,
         turn: Option<Turn>,
     ) -> OpeningPlace<E> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.make_room();
-        slot.take(wish.yields);
+        slot.take(request.yields);
         OpeningPlace {
             pool: self.clone(),
             entry: slot.entry.clone(),
-            yields: wish.yields,
+            yields: request.yields,
             settled: false,
             turn,
-            principal: wish.principal.clone().unwrap_or(Principal::Daemon),
+            principal: request.principal.clone().unwrap_or(Principal::Daemon),
         }
     }
 
@@ -359,7 +376,7 @@
             state.servers.iter().position(|slot| &*slot.entry.server == server)
         };
         let Some(index) = place else { return };
-        let place = self.place(index, &waiter.wish, None);
+        let place = self.place(index, &waiter.request, None);
         // A place that nobody takes any more gives itself up when it is dropped.
         let _ = waiter.grant.send(Offer::Open(place));
     }
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -15,7 +15,8 @@
     accounts::Principal,
     catalog::ServerEntry,
     serve::{
-        connection::EndpointConnection, paths::ServerPaths, server_queue::ServerQueue, wish::Wish,
+        connection::EndpointConnection, connection_request::ConnectionRequest, paths::ServerPaths,
+        server_queue::ServerQueue,
     },
 };
 
@@ -165,9 +166,10 @@
         self.entry = entry;
     }
 
-    /// Returns how many resting connections will do for a wish.
-    pub(crate) fn idle_for(&self, wish: &Wish) -> u32 {
-        self.idle.iter().filter(|(_, idle)| wish.may_use(&idle.principal)).count() as u32
+    /// Returns how many resting connections will do for a request.
+    pub(crate) fn idle_for(&self, request: &ConnectionRequest) -> u32 {
+        self.idle.iter().filter(|(_, idle)| request.accepts_principal(&idle.principal)).count()
+            as u32
     }
 
     /// Ends the connection that is least likely to be used again where another one is to be opened and all places are
@@ -312,10 +314,10 @@
         }
     }
 
-    /// Whether it does what it is given, where a wish of this daemon's own callers may be met elsewhere. The wishes of others
+    /// Whether it does what it is given, where a request of this daemon's own callers may be met elsewhere. The wishes of others
     /// were looked at as they came ([`super::health`]).
-    pub(crate) fn is_healthy_for(&self, wish: &Wish, now: Instant) -> bool {
-        wish.only.is_some() || wish.is_handed_over || self.health.may_pass(now)
+    pub(crate) fn is_healthy_for(&self, request: &ConnectionRequest, now: Instant) -> bool {
+        request.only.is_some() || request.is_forwarded || self.health.may_pass(now)
     }
 
     /// Whether nothing can reach it from here, by what this daemon's probe says.
@@ -389,21 +391,21 @@
 
     /// Whether a statement that leaves room at the primary would take room that others need. What runs
     /// in a server at a time is few; more only waits there, where no priority counts.
-    pub(crate) fn is_full_for(&self, wish: &Wish) -> bool {
-        let leads = wish.primary.as_ref() == Some(&self.entry.server);
-        wish.yields && leads && self.yielding >= (self.limit / YIELDING_PART).max(1)
+    pub(crate) fn is_full_for(&self, request: &ConnectionRequest) -> bool {
+        let leads = request.primary.as_ref() == Some(&self.entry.server);
+        request.yields && leads && self.yielding >= (self.limit / YIELDING_PART).max(1)
     }
 
-    pub(crate) fn is_fit(&self, wish: &Wish, now: Instant) -> bool {
-        if !self.listed || wish.avoid.contains(&self.entry.server) {
+    pub(crate) fn is_fit(&self, request: &ConnectionRequest, now: Instant) -> bool {
+        if !self.listed || request.avoid.contains(&self.entry.server) {
             return false;
         }
-        if let Some(only) = &wish.only {
+        if let Some(only) = &request.only {
             return *only == self.entry.server;
         }
         let away = self.away_until.is_some_and(|until| now < until) && !self.has_detour(now);
         let behind = self.lagging_until.is_some_and(|until| now < until)
-            && wish.floor.is_some_and(|floor| self.point.is_none_or(|point| point < floor));
+            && request.floor.is_some_and(|floor| self.point.is_none_or(|point| point < floor));
         !self.entry.leaving && !away && !behind
     }
 }
--- a/crates/proxy/src/serve/waiting.rs
+++ b/crates/proxy/src/serve/waiting.rs
@@ -7,9 +7,9 @@
 use crate::{
     dialect::EndpointDialect,
     serve::{
+        connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer, PRIORITIES, PoolState, Waiter},
         slot::ServerSlot,
-        wish::Wish,
     },
 };
 
@@ -19,7 +19,7 @@
 impl<E: EndpointDialect> GroupPool<E> {
     pub(super) async fn wait(
         self: &Rc<Self>,
-        wish: Wish,
+        request: ConnectionRequest,
         deadline: Instant,
     ) -> Result<Offer<E>, NoConnection> {
         let (grant, granted) = oneshot::channel();
@@ -31,8 +31,8 @@
             if state.waiters.iter().map(VecDeque::len).sum::<usize>() >= MOST_WAITING {
                 return Err(NoConnection::QueueFull);
             }
-            let lane = usize::from(wish.priority).min(PRIORITIES - 1);
-            state.waiters[lane].push_back(Waiter { wish, grant });
+            let lane = usize::from(request.priority).min(PRIORITIES - 1);
+            state.waiters[lane].push_back(Waiter { request, grant });
         }
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(offer)) => Ok(offer),
@@ -64,7 +64,7 @@
             .iter()
             .flatten()
             .filter(|waiter| !waiter.grant.is_closed())
-            .any(|waiter| slot.is_fit(&waiter.wish, now) && !slot.is_full_for(&waiter.wish))
+            .any(|waiter| slot.is_fit(&waiter.request, now) && !slot.is_full_for(&waiter.request))
     }
 
     pub(super) fn next_waiter(&self, server: &str) -> Option<Waiter<E>> {
@@ -77,8 +77,10 @@
         }
         for queue in waiters {
             queue.retain(|waiter| !waiter.grant.is_closed());
-            let fits = |wish: &Wish| slot.is_fit(wish, now) && !slot.is_full_for(wish);
-            if let Some(index) = queue.iter().position(|waiter| fits(&waiter.wish)) {
+            let fits = |request: &ConnectionRequest| {
+                slot.is_fit(request, now) && !slot.is_full_for(request)
+            };
+            if let Some(index) = queue.iter().position(|waiter| fits(&waiter.request)) {
                 return queue.remove(index);
             }
         }
