--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -25,8 +25,8 @@
     },
     serve::{
         connection_request::ConnectionRequest,
+        endpoint_task::{EndpointTask, TaskKind},
         engine::{AcquireError, Engine, Group},
-        errand::{Errand, Task},
         execute::{Sample, Watch},
         health::outcome_of,
         lent::Lent,
@@ -235,8 +235,8 @@
     let received_at = Instant::now();
     await_servers(engine, received_at + request.waits()).await;
     let group = group_of(engine, request);
-    let Some(errand) = request.errand() else { return not_sent(NotSent::Unwilling) };
-    let mut lent = match acquire(engine, &group, request, &errand, received_at, is_unwanted).await {
+    let Some(task) = request.endpoint_task() else { return not_sent(NotSent::Unwilling) };
+    let mut lent = match acquire(engine, &group, request, &task, received_at, is_unwanted).await {
         Ok(lent) => lent,
         Err(why) => return not_sent(why),
     };
@@ -244,7 +244,7 @@
         lent.give_back();
         return not_sent(NotSent::TooLate);
     }
-    let (outcome, state) = run(engine, &group, request, &errand, &mut lent, received_at).await;
+    let (outcome, state) = run(engine, &group, request, &task, &mut lent, received_at).await;
     match state {
         Some(TransactionState::Idle) => lent.give_back(),
         Some(_) => engine.roll_back(lent),
@@ -284,12 +284,11 @@
         let received_at = Instant::now();
         await_servers(&engine, received_at + request.waits()).await;
         let group = group_of(&engine, &request);
-        let outcome = match request.errand() {
+        let outcome = match request.endpoint_task() {
             None => not_sent(NotSent::Unwilling),
-            Some(errand) => {
+            Some(task) => {
                 if lent.is_none() {
-                    match acquire(&engine, &group, &request, &errand, received_at, &is_unwanted)
-                        .await
+                    match acquire(&engine, &group, &request, &task, received_at, &is_unwanted).await
                     {
                         Ok(granted) => lent = Some(granted),
                         Err(why) => {
@@ -308,7 +307,7 @@
                     break;
                 }
                 let (outcome, state) =
-                    run(&engine, &group, &request, &errand, held, received_at).await;
+                    run(&engine, &group, &request, &task, held, received_at).await;
                 if state.is_none() {
                     lent = None;
                 }
@@ -362,7 +361,7 @@
     engine: &Rc<Engine<C, E>>,
     group: &Rc<Group<E>>,
     request: &RelayRequest,
-    errand: &Errand,
+    task: &EndpointTask,
     received_at: Instant,
     is_unwanted: &CancellationToken,
 ) -> Result<Lent<E>, NotSent> {
@@ -390,7 +389,7 @@
         },
     };
     let wait_until = received_at + request.waits();
-    let acquired = engine.acquire(group, connection_request, &errand.values, wait_until).await;
+    let acquired = engine.acquire(group, connection_request, &task.values, wait_until).await;
     acquired.map_err(|error| match error {
         AcquireError::Nowhere => NotSent::Unreachable,
         AcquireError::QueueFull | AcquireError::TooLate => NotSent::TooLate,
@@ -403,14 +402,14 @@
     engine: &Rc<Engine<C, E>>,
     group: &Rc<Group<E>>,
     request: &RelayRequest,
-    errand: &Errand,
+    task: &EndpointTask,
     lent: &mut Lent<E>,
     received_at: Instant,
 ) -> (RelayOutcome, Option<TransactionState>) {
     let deadline = received_at + request.lasts();
-    let is_read = match &errand.task {
-        Task::Work(work) => work.class() == StatementClass::Read && request.lease == 0,
-        Task::Begin { .. } | Task::Rollback | Task::Command(_) => false,
+    let is_read = match &task.kind {
+        TaskKind::Work(work) => work.class() == StatementClass::Read && request.lease == 0,
+        TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => false,
     };
     let service = Name::from(request.service.as_str());
     let reached = lent.reached();
@@ -418,7 +417,7 @@
     let sent_at = Instant::now();
     // Whether a second server is tried is for the asker to say.
     let watch = Watch { service: &service, slow_after: request.lasts(), may_run_again: is_read };
-    match engine.run_watched(group, errand, lent, deadline, watch).await {
+    match engine.run_watched(group, task, lent, deadline, watch).await {
         Ok(answer) => {
             let took = answer.error_code().is_none().then(|| sent_at.elapsed());
             engine.note_health(group, &reached.server, outcome_of(answer.error_code()));
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -18,7 +18,7 @@
     },
     serve::{
         connection::ConnectionLost,
-        errand::{Errand, Task},
+        endpoint_task::{EndpointTask, TaskKind},
         verdict::Progress,
     },
     statement::Answer,
@@ -75,24 +75,24 @@
     /// Runs something on the owner's connection.
     pub async fn run(
         &mut self,
-        errand: &Errand,
+        task: &EndpointTask,
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        if matches!(errand.task, Task::Begin { .. }) {
+        if matches!(task.kind, TaskKind::Begin { .. }) {
             self.transaction = Some(self.link.new_lease());
         }
-        let Some(task) = RelayTask::of(&errand.task) else {
+        let Some(relay_task) = RelayTask::of(&task.kind) else {
             let lost = ConnectionLost::Garbled("a task that is not handed on".to_owned());
             return Err((Progress::NotSent, lost));
         };
         let now = Instant::now();
         let request = RelayRequest {
-            id: errand.id.clone().unwrap_or_default(),
-            values: values_of(&errand.values),
-            floor: errand.floor.map(PointMessage::from),
+            id: task.id.clone().unwrap_or_default(),
+            values: values_of(&task.values),
+            floor: task.floor.map(PointMessage::from),
             wait_ms: millis(self.terms.wait_until.saturating_duration_since(now)),
             time_ms: millis(deadline.saturating_duration_since(now)),
-            task: Some(task),
+            task: Some(relay_task),
             ..self.request()
         };
         match self.link.ask(request, deadline).await? {
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -13,7 +13,7 @@
         load_messages::LoadMessage,
     },
     serve::{
-        errand::{Errand, Task},
+        endpoint_task::{EndpointTask, TaskKind},
         job::Work,
         replay::SessionValues,
     },
@@ -297,30 +297,32 @@
 
 impl RelayTask {
     /// Returns how a task is told; `None` for what daemons never ask each other.
-    pub fn of(task: &Task) -> Option<RelayTask> {
+    pub fn of(task: &TaskKind) -> Option<RelayTask> {
         Some(match task {
-            Task::Begin { read_only } => RelayTask::Begin(*read_only),
-            Task::Rollback => RelayTask::Rollback(true),
-            Task::Work(Work::Commit) => RelayTask::Commit(true),
-            Task::Work(Work::Read(body)) => RelayTask::Read(body.clone()),
-            Task::Work(Work::Write(body)) => RelayTask::Write(body.clone()),
-            Task::Work(Work::Execute { shape, arguments }) => RelayTask::Execute(ExecuteMessage {
-                writes: shape.class == StatementClass::Write,
-                shape: shape.shape.to_string(),
-                arguments: arguments.clone(),
-            }),
-            Task::Command(text) => RelayTask::Command(CommandMessage::of(text)?),
+            TaskKind::Begin { read_only } => RelayTask::Begin(*read_only),
+            TaskKind::Rollback => RelayTask::Rollback(true),
+            TaskKind::Work(Work::Commit) => RelayTask::Commit(true),
+            TaskKind::Work(Work::Read(body)) => RelayTask::Read(body.clone()),
+            TaskKind::Work(Work::Write(body)) => RelayTask::Write(body.clone()),
+            TaskKind::Work(Work::Execute { shape, arguments }) => {
+                RelayTask::Execute(ExecuteMessage {
+                    writes: shape.class == StatementClass::Write,
+                    shape: shape.shape.to_string(),
+                    arguments: arguments.clone(),
+                })
+            }
+            TaskKind::Command(text) => RelayTask::Command(CommandMessage::of(text)?),
         })
     }
 
-    fn task(&self) -> Option<Task> {
+    fn task(&self) -> Option<TaskKind> {
         Some(match self {
-            RelayTask::Begin(read_only) => Task::Begin { read_only: *read_only },
-            RelayTask::Rollback(_) => Task::Rollback,
-            RelayTask::Commit(_) => Task::Work(Work::Commit),
-            RelayTask::Read(body) => Task::Work(Work::Read(body.clone())),
-            RelayTask::Write(body) => Task::Work(Work::Write(body.clone())),
-            RelayTask::Execute(execute) => Task::Work(Work::Execute {
+            RelayTask::Begin(read_only) => TaskKind::Begin { read_only: *read_only },
+            RelayTask::Rollback(_) => TaskKind::Rollback,
+            RelayTask::Commit(_) => TaskKind::Work(Work::Commit),
+            RelayTask::Read(body) => TaskKind::Work(Work::Read(body.clone())),
+            RelayTask::Write(body) => TaskKind::Work(Work::Write(body.clone())),
+            RelayTask::Execute(execute) => TaskKind::Work(Work::Execute {
                 shape: PreparedShape {
                     class: match execute.writes {
                         true => StatementClass::Write,
@@ -330,7 +332,7 @@
                 },
                 arguments: execute.arguments.clone(),
             }),
-            RelayTask::Command(command) => Task::Command(command.text()?),
+            RelayTask::Command(command) => TaskKind::Command(command.text()?),
             RelayTask::Release(_)
             | RelayTask::Ping(_)
             | RelayTask::Sample(_)
@@ -366,15 +368,15 @@
 
 impl RelayRequest {
     /// Returns what is to be run; `None` if it can't be understood.
-    pub fn errand(&self) -> Option<Errand> {
+    pub fn endpoint_task(&self) -> Option<EndpointTask> {
         let values: SessionValues = self
             .values
             .iter()
             .map(|it| (Name::from(it.name.as_str()), Name::from(it.value.as_str())))
             .collect();
-        Some(Errand {
+        Some(EndpointTask {
             id: (!self.id.is_empty()).then(|| self.id.clone()),
-            task: self.task.as_ref()?.task()?,
+            kind: self.task.as_ref()?.task()?,
             values,
             floor: self.floor.map(LogPoint::from),
         })
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/ask.rs
@@ -11,8 +11,8 @@
     relay::answering::answer_relay,
     serve::{
         connection_request::ConnectionRequest,
+        endpoint_task::{EndpointTask, TaskKind},
         engine::Engine,
-        errand::{Errand, Task},
         replay::SessionValues,
     },
     statement::EndpointStatus,
@@ -69,8 +69,8 @@
     let lent = engine.acquire(&group, request, &SessionValues::new(), ask.deadline).await;
     let mut lent = lent.ok()?;
     let reached = lent.reached();
-    let errand = Errand::own(Task::Command(ask.text.clone()));
-    match lent.run(&errand, ask.deadline).await {
+    let task = EndpointTask::internal(TaskKind::Command(ask.text.clone()));
+    match lent.run(&task, ask.deadline).await {
         Ok(answer) => {
             lent.give_back();
             let row = answer.rows.first()?;
--- a/crates/proxy/src/serve/errand.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -18,7 +18,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Task {
+pub enum TaskKind {
     /// A transaction is opened.
     Begin {
         /// Whether it only reads.
@@ -34,21 +34,21 @@
 
 /// A task with all that it needs on whichever connection runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Errand {
+pub struct EndpointTask {
     /// The caller's identifier; `None` for what the daemon itself asks.
     pub id: Option<Bytes>,
     /// What is to be done.
-    pub task: Task,
+    pub kind: TaskKind,
     /// The values of the caller's session.
     pub values: SessionValues,
     /// The point that the server's log must hold.
     pub floor: Option<LogPoint>,
 }
 
-impl Errand {
+impl EndpointTask {
     /// Something that needs neither a caller nor values.
-    pub fn own(task: Task) -> Errand {
-        Errand { id: None, task, values: SessionValues::new(), floor: None }
+    pub fn internal(kind: TaskKind) -> EndpointTask {
+        EndpointTask { id: None, kind, values: SessionValues::new(), floor: None }
     }
 
     /// Runs it on a connection: all that has to go before it and the statement go out in one write.
@@ -57,9 +57,9 @@
         connection: &mut EndpointConnection<E>,
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        let before = match &self.task {
-            Task::Work(work) => connection.environment.prepare_for(&self.values, work.shape()),
-            Task::Begin { .. } | Task::Rollback | Task::Command(_) => Vec::new(),
+        let before = match &self.kind {
+            TaskKind::Work(work) => connection.environment.prepare_for(&self.values, work.shape()),
+            TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => Vec::new(),
         };
         let Some(text) = self.text(connection) else {
             let lost = ConnectionLost::Garbled("a shape that was not prepared".to_owned());
@@ -84,14 +84,14 @@
 
     /// Returns the command's text; a prepared statement is named by the connection's own number.
     fn text<E>(&self, connection: &EndpointConnection<E>) -> Option<EndpointText> {
-        Some(match &self.task {
-            Task::Begin { read_only } => EndpointText::Begin { read_only: *read_only },
-            Task::Rollback => EndpointText::Rollback,
-            Task::Command(text) => text.clone(),
-            Task::Work(Work::Read(body)) => EndpointText::Read(body.clone()),
-            Task::Work(Work::Write(body)) => EndpointText::Write(body.clone()),
-            Task::Work(Work::Commit) => EndpointText::Commit,
-            Task::Work(Work::Execute { shape, arguments }) => EndpointText::Execute {
+        Some(match &self.kind {
+            TaskKind::Begin { read_only } => EndpointText::Begin { read_only: *read_only },
+            TaskKind::Rollback => EndpointText::Rollback,
+            TaskKind::Command(text) => text.clone(),
+            TaskKind::Work(Work::Read(body)) => EndpointText::Read(body.clone()),
+            TaskKind::Work(Work::Write(body)) => EndpointText::Write(body.clone()),
+            TaskKind::Work(Work::Commit) => EndpointText::Commit,
+            TaskKind::Work(Work::Execute { shape, arguments }) => EndpointText::Execute {
                 number: connection.environment.number_of(shape)?,
                 arguments: arguments.clone(),
             },
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -18,8 +18,8 @@
     serve::{
         connection::{ConnectionLost, Reached, refusal},
         connection_request::ConnectionRequest,
+        endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
-        errand::Errand,
         floor::BOUND_MARGIN,
         holding::Rounds,
         job::Job,
@@ -305,20 +305,20 @@
             slow_after: job.route.target_latency.max(average * SLOW_ANSWER_FACTOR),
             may_run_again,
         };
-        self.run_watched(group, &job.errand(floor), lent, job.deadline(), watch).await
+        self.run_watched(group, &job.endpoint_task(floor), lent, job.deadline(), watch).await
     }
 
     /// Runs something on a connection, and looks meanwhile whether its server still lives.
     pub(crate) async fn run_watched(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        errand: &Errand,
+        task: &EndpointTask,
         lent: &mut Lent<E>,
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         let reached = lent.reached();
-        let answered = lent.run(errand, deadline);
+        let answered = lent.run(task, deadline);
         tokio::pin!(answered);
         tokio::select! {
             answered = &mut answered => answered,
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -13,7 +13,7 @@
     accounts::Principal,
     catalog::Route,
     serve::{
-        errand::{Errand, Task},
+        endpoint_task::{EndpointTask, TaskKind},
         replay::SessionValues,
     },
     statement::PreparedShape,
@@ -90,10 +90,10 @@
 
 impl Job<'_> {
     /// Returns what is to run on a connection.
-    pub(crate) fn errand(&self, floor: Option<LogPoint>) -> Errand {
-        Errand {
+    pub(crate) fn endpoint_task(&self, floor: Option<LogPoint>) -> EndpointTask {
+        EndpointTask {
             id: Some(self.id.clone()),
-            task: Task::Work(self.work.clone()),
+            kind: TaskKind::Work(self.work.clone()),
             values: self.values.clone(),
             floor,
         }
--- a/crates/proxy/src/serve/lent.rs
+++ b/crates/proxy/src/serve/lent.rs
@@ -17,7 +17,7 @@
     serve::{
         connection::{ConnectionLost, EndpointConnection, Reached},
         connection_request::ConnectionRequest,
-        errand::{Errand, Task},
+        endpoint_task::{EndpointTask, TaskKind},
         pool::{GroupPool, Offer, Waiter},
         server_queue::{NotBegun, Turn},
         verdict::Progress,
@@ -111,16 +111,16 @@
     /// Runs something on it.
     pub async fn run(
         &mut self,
-        errand: &Errand,
+        task: &EndpointTask,
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         match &mut self.held {
             Held::Own(connection) => {
-                let answered = errand.run(connection, deadline).await;
-                self.leave_slot(errand, &answered);
+                let answered = task.run(connection, deadline).await;
+                self.leave_slot(task, &answered);
                 answered
             }
-            Held::Owners(lease) => lease.run(errand, deadline).await,
+            Held::Owners(lease) => lease.run(task, deadline).await,
             Held::Nothing => {
                 let lost = ConnectionLost::Broken("it was given back".to_owned());
                 Err((Progress::NotSent, lost))
@@ -139,10 +139,10 @@
     /// Lets others have the slot. Only what the server ran to its end tells how long it takes for a statement.
     fn leave_slot(
         &mut self,
-        errand: &Errand,
+        task: &EndpointTask,
         answered: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
-        let has_run = matches!(errand.task, Task::Work(_))
+        let has_run = matches!(task.kind, TaskKind::Work(_))
             && answered.as_ref().is_ok_and(|answer| answer.error_code().is_none());
         for turn in self.turn.iter_mut().chain(self.step.iter_mut()) {
             turn.leave_slot(has_run);
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -15,8 +15,8 @@
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::refusal,
+        endpoint_task::{EndpointTask, TaskKind},
         engine::{Engine, Group},
-        errand::{Errand, Task},
         execute::{Denied, Granted, ROUND_PAUSE, Sample, refused_as},
         holding::Rounds,
         job::{Job, Work},
@@ -137,7 +137,7 @@
     /// Rolls a transaction back behind the caller's back and gives its connection to others.
     pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
         tokio::task::spawn_local(async move {
-            let rollback = Errand::own(Task::Rollback);
+            let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_WITHIN;
             match lent.run(&rollback, deadline).await {
                 Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
@@ -165,8 +165,8 @@
                 }
                 Err(Denied::Again) => continue,
             };
-            let task = Task::Begin { read_only: transaction.read_only };
-            let begin = Errand { floor: granted.floor, ..Errand::own(task) };
+            let kind = TaskKind::Begin { read_only: transaction.read_only };
+            let begin = EndpointTask { floor: granted.floor, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             rounds.sent += 1;
             let reached = granted.lent.reached();
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -10,7 +10,7 @@
         messages::{AnswerMessage, NotSent, PointMessage, RelayRequest, RelayTask, values_of},
     },
     serve::{
-        errand::{Errand, Task},
+        endpoint_task::{EndpointTask, TaskKind},
         job::Work,
         replay::SessionValues,
     },
@@ -19,15 +19,15 @@
     },
 };
 
-fn handed_over(errand: &Errand) -> Option<Errand> {
+fn handed_over(task: &EndpointTask) -> Option<EndpointTask> {
     let request = RelayRequest {
-        id: errand.id.clone().unwrap_or_default(),
-        values: values_of(&errand.values),
-        floor: errand.floor.map(PointMessage::from),
-        task: RelayTask::of(&errand.task),
+        id: task.id.clone().unwrap_or_default(),
+        values: values_of(&task.values),
+        floor: task.floor.map(PointMessage::from),
+        task: RelayTask::of(&task.kind),
         ..RelayRequest::default()
     };
-    request.errand()
+    request.endpoint_task()
 }
 
 #[test]
@@ -35,36 +35,39 @@
     let body = Bytes::from_static(b"1a4  with two blanks \x01");
     let shape = |class| PreparedShape { class, shape: Name::from("q2c") };
     let execute = |class| {
-        Task::Work(Work::Execute { shape: shape(class), arguments: Bytes::from_static(b"1a4 x") })
+        TaskKind::Work(Work::Execute {
+            shape: shape(class),
+            arguments: Bytes::from_static(b"1a4 x"),
+        })
     };
     let term = Term(7);
     let tasks = [
-        Task::Begin { read_only: true },
-        Task::Begin { read_only: false },
-        Task::Rollback,
-        Task::Work(Work::Commit),
-        Task::Work(Work::Read(body.clone())),
-        Task::Work(Work::Write(body)),
+        TaskKind::Begin { read_only: true },
+        TaskKind::Begin { read_only: false },
+        TaskKind::Rollback,
+        TaskKind::Work(Work::Commit),
+        TaskKind::Work(Work::Read(body.clone())),
+        TaskKind::Work(Work::Write(body)),
         execute(StatementClass::Read),
         execute(StatementClass::Write),
-        Task::Command(EndpointText::Status),
-        Task::Command(EndpointText::Pause { term }),
-        Task::Command(EndpointText::Resume),
-        Task::Command(EndpointText::StepDown { term }),
+        TaskKind::Command(EndpointText::Status),
+        TaskKind::Command(EndpointText::Pause { term }),
+        TaskKind::Command(EndpointText::Resume),
+        TaskKind::Command(EndpointText::StepDown { term }),
     ];
     let values: SessionValues = [("a", "1"), ("b", "")]
         .into_iter()
         .map(|(name, value)| (Name::from(name), Name::from(value)))
         .collect();
-    for task in tasks {
+    for kind in tasks {
         for id in [None, Some(Bytes::from_static(b"5c0e7a21d94b36f8"))] {
             let floor = Some(LogPoint::new(3, 1_209));
-            let errand = Errand { id, task: task.clone(), values: values.clone(), floor };
-            assert_eq!(handed_over(&errand), Some(errand.clone()));
+            let task = EndpointTask { id, kind: kind.clone(), values: values.clone(), floor };
+            assert_eq!(handed_over(&task), Some(task.clone()));
         }
     }
     // Whatever prepares a connection is for its owner to say.
-    assert_eq!(handed_over(&Errand::own(Task::Command(EndpointText::Reset))), None);
+    assert_eq!(handed_over(&EndpointTask::internal(TaskKind::Command(EndpointText::Reset))), None);
 }
 
 #[test]
