--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -374,7 +374,7 @@
     }
     let connection_request = ConnectionRequest {
         only: Some(server.clone()),
-        floor: None,
+        min_point: None,
         avoid: Vec::new(),
         primary: request.leads.then_some(server),
         priority: request.priority.min(u32::from(u8::MAX)) as u8,
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -89,7 +89,7 @@
         let request = RelayRequest {
             id: task.id.clone().unwrap_or_default(),
             values: values_of(&task.values),
-            floor: task.floor.map(PointMessage::from),
+            min_point: task.min_point.map(PointMessage::from),
             wait_ms: millis(self.terms.wait_until.saturating_duration_since(now)),
             time_ms: millis(deadline.saturating_duration_since(now)),
             task: Some(relay_task),
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -45,7 +45,7 @@
     pub values: Vec<ValueMessage>,
     /// The point that the server's log must hold.
     #[prost(message, optional, tag = "7")]
-    pub floor: Option<PointMessage>,
+    pub min_point: Option<PointMessage>,
     /// How long it may wait for a connection, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub wait_ms: u64,
@@ -378,7 +378,7 @@
             id: (!self.id.is_empty()).then(|| self.id.clone()),
             kind: self.task.as_ref()?.task()?,
             values,
-            floor: self.floor.map(LogPoint::from),
+            min_point: self.min_point.map(LogPoint::from),
         })
     }
 
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/ask.rs
@@ -54,7 +54,7 @@
     let group = engine.group(&ask.service, &beliefs);
     let request = ConnectionRequest {
         only: Some(ask.server.clone()),
-        floor: None,
+        min_point: None,
         avoid: Vec::new(),
         primary: None,
         priority: 0,
--- a/crates/proxy/src/serve/connection_request.rs
+++ b/crates/proxy/src/serve/connection_request.rs
@@ -12,7 +12,7 @@
     /// Only this server; `None` for any that is fit.
     pub only: Option<Name>,
     /// The point that the server must hold, to pass over those known to be behind.
-    pub floor: Option<LogPoint>,
+    pub min_point: Option<LogPoint>,
     /// Servers that have just failed to run this very statement.
     pub avoid: Vec<Name>,
     /// The server that leads, which has work that no other can do.
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -42,13 +42,13 @@
     /// The values of the caller's session.
     pub values: SessionValues,
     /// The point that the server's log must hold.
-    pub floor: Option<LogPoint>,
+    pub min_point: Option<LogPoint>,
 }
 
 impl EndpointTask {
     /// Something that needs neither a caller nor values.
     pub fn internal(kind: TaskKind) -> EndpointTask {
-        EndpointTask { id: None, kind, values: SessionValues::new(), floor: None }
+        EndpointTask { id: None, kind, values: SessionValues::new(), min_point: None }
     }
 
     /// Runs it on a connection: all that has to go before it and the statement go out in one write.
@@ -69,7 +69,7 @@
         for text in before {
             connection.queue(&EndpointCommand::own(text));
         }
-        connection.queue(&EndpointCommand { id: self.id.clone(), floor: self.floor, text });
+        connection.queue(&EndpointCommand { id: self.id.clone(), min_point: self.min_point, text });
         let sent = |lost| (Progress::Sent, lost);
         connection.flush(deadline).await.map_err(sent)?;
         for _ in 0..own_commands {
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -20,10 +20,10 @@
         connection_request::ConnectionRequest,
         endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
-        floor::BOUND_MARGIN,
         holding::Rounds,
         job::Job,
         lent::Lent,
+        placement::STALENESS_MARGIN,
         verdict::{Next, Progress, after_error, after_loss, write_stands},
     },
     statement::{Answer, ErrorCode, StatementError, TransactionState},
@@ -44,7 +44,7 @@
 pub(crate) struct Granted<E: EndpointDialect> {
     pub(crate) lent: Lent<E>,
     pub(crate) lead: Option<Lead>,
-    pub(crate) floor: Option<LogPoint>,
+    pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log is known to have reached before the statement is sent.
     pub(crate) known: Option<LogPoint>,
 }
@@ -91,7 +91,7 @@
             group.retries.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
             let sent =
-                self.send(&group, job, &mut granted.lent, granted.floor, may_run_again).await;
+                self.send(&group, job, &mut granted.lent, granted.min_point, may_run_again).await;
             let reached = granted.lent.reached();
             let server = reached.server.clone();
             self.note_own_health(&group, &reached, &sent);
@@ -106,7 +106,7 @@
                     }
                     Some(code) => {
                         self.note_path_answered(&group.pool, &reached);
-                        self.note_refused(&group, job, &server, code, granted.floor, &answer);
+                        self.note_refused(&group, job, &server, code, granted.min_point, &answer);
                         granted.lent.give_back();
                         let next = after_error(code, class);
                         if let Next::Tell(_) = next {
@@ -161,20 +161,20 @@
         let service = &job.route.service;
         let known = beliefs.leads.get(service);
         let now = Instant::now();
-        let mut floor = self.floor_now(group, job, class);
+        let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
-        if let Some(bound) = bound.filter(|_| floor.is_none()) {
+        if let Some(bound) = bound.filter(|_| min_point.is_none()) {
             self.want_sample(group, now);
             if let Some(lead) = known.filter(|_| !rounds.asked_for_sample) {
                 rounds.asked_for_sample = true;
                 let max_age = sample_age(bound, lead.is_valid(now));
                 if self.hear_sample(group, service, &lead.server, max_age).await {
-                    floor = self.floor_now(group, job, class);
+                    min_point = self.current_min_point(group, job, class);
                 }
             }
         }
-        rounds.needs_primary = floor.is_none();
-        let lead = match floor {
+        rounds.needs_primary = min_point.is_none();
+        let lead = match min_point {
             Some(_) => beliefs.lead_in_force(service, Instant::now()).cloned(),
             None => {
                 let lead = self.await_primary(group, job, class, rounds).await?;
@@ -186,8 +186,8 @@
             }
         };
         let request = ConnectionRequest {
-            only: lead.as_ref().filter(|_| floor.is_none()).map(|lead| lead.server.clone()),
-            floor,
+            only: lead.as_ref().filter(|_| min_point.is_none()).map(|lead| lead.server.clone()),
+            min_point,
             avoid: rounds.avoid.clone(),
             primary: known.map(|lead| lead.server.clone()),
             priority: job.route.priority,
@@ -206,19 +206,19 @@
         };
         // Time may have passed, and with it the right to use this primary.
         let now = Instant::now();
-        if floor.is_none() && !self.may_still_use(service, lead.as_ref(), now) {
+        if min_point.is_none() && !self.may_still_use(service, lead.as_ref(), now) {
             lent.give_back();
             return Err(Denied::Again);
         }
-        // A read at the primary needs no floor while the right to it holds, by what is believed now: the
+        // A read at the primary needs no minimum point while the right to it holds, by what is believed now: the
         // right may have been given up while the statement waited for its connection.
         let lead = lead.filter(|lead| {
             lead.server == *lent.server() && self.may_still_use(service, Some(lead), now)
         });
-        let floor = if lead.is_some() { None } else { floor };
+        let min_point = if lead.is_some() { None } else { min_point };
         self.count_sent(&lent, group, lead.is_some());
         let known = group.samples.borrow().latest();
-        Ok(Granted { lent, lead, floor, known })
+        Ok(Granted { lent, lead, min_point, known })
     }
 
     /// Tells the control thread that a sample is wanted, now and then: a line for each read would leave a
@@ -293,7 +293,7 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         lent: &mut Lent<E>,
-        floor: Option<LogPoint>,
+        min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         if let Err(why) = lent.await_turn(job.deadline()).await {
@@ -305,7 +305,7 @@
             slow_after: job.route.target_latency.max(average * SLOW_ANSWER_FACTOR),
             may_run_again,
         };
-        self.run_watched(group, &job.endpoint_task(floor), lent, job.deadline(), watch).await
+        self.run_watched(group, &job.endpoint_task(min_point), lent, job.deadline(), watch).await
     }
 
     /// Runs something on a connection, and looks meanwhile whether its server still lives.
@@ -462,7 +462,7 @@
 fn sample_age(bound: Duration, may_use_primary: bool) -> Duration {
     match may_use_primary {
         true => bound / 2,
-        false => bound.saturating_sub(2 * BOUND_MARGIN),
+        false => bound.saturating_sub(2 * STALENESS_MARGIN),
     }
 }
 
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/holding.rs
@@ -23,9 +23,9 @@
     serve::{
         engine::{Engine, Group},
         execute::{Denied, ROUND_PAUSE},
-        floor::place_for,
         job::Job,
         outage::{Outlook, Place, outage_of},
+        placement::placement_for,
         telling::Refusal,
         verdict::Next,
     },
@@ -104,7 +104,7 @@
                 place = None;
                 continue;
             }
-            if self.floor_now(group, job, class).is_some() {
+            if self.current_min_point(group, job, class).is_some() {
                 return Err(Denied::Again);
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
@@ -166,7 +166,7 @@
     }
 
     /// Returns the point that a read's server must hold, if it may run at others than the primary by what is known now.
-    pub(crate) fn floor_now(
+    pub(crate) fn current_min_point(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
@@ -180,7 +180,8 @@
         let history = beliefs.leads.get(service).map(|lead| lead.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
-        place_for(job.route.reads, class, job.own, &samples, &history, Instant::now()).floor()
+        placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
+            .min_point()
     }
 
     /// Returns when a statement goes on, now that there is a primary.
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -81,7 +81,7 @@
     /// The values of its session.
     pub values: &'a SessionValues,
     /// The point up to which the session's own writes reach.
-    pub own: Option<LogPoint>,
+    pub own_point: Option<LogPoint>,
     /// When it arrived.
     pub arrived: Instant,
     /// For whom it runs.
@@ -90,12 +90,12 @@
 
 impl Job<'_> {
     /// Returns what is to run on a connection.
-    pub(crate) fn endpoint_task(&self, floor: Option<LogPoint>) -> EndpointTask {
+    pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
             kind: TaskKind::Work(self.work.clone()),
             values: self.values.clone(),
-            floor,
+            min_point,
         }
     }
 
--- a/crates/proxy/src/serve/floor.rs
+++ b/crates/proxy/src/serve/placement.rs
@@ -9,23 +9,23 @@
 
 /// A sample is given up this much before its bound, for the time between the choice and the moment
 /// at which the caller's first byte counts.
-pub(crate) const BOUND_MARGIN: Duration = Duration::from_millis(50);
+pub(crate) const STALENESS_MARGIN: Duration = Duration::from_millis(50);
 
 /// Where a statement may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Placement {
     /// At the primary, while the right to use it holds.
     Primary,
     /// At any server whose log holds this point; the server itself checks it.
     AtLeast(LogPoint),
 }
 
-impl Place {
+impl Placement {
     /// Returns the point that the server's log must hold; `None` at the primary.
-    pub fn floor(self) -> Option<LogPoint> {
+    pub fn min_point(self) -> Option<LogPoint> {
         match self {
-            Place::Primary => None,
-            Place::AtLeast(floor) => Some(floor),
+            Placement::Primary => None,
+            Placement::AtLeast(min_point) => Some(min_point),
         }
     }
 }
@@ -34,26 +34,26 @@
 ///
 /// `own` is the point up to which the session's own writes reach. A point of an ended term is moved
 /// down to where that term ended: what was rolled back is owed to nobody, and no log holds it.
-pub fn place_for(
+pub fn placement_for(
     rule: ReadRule,
     class: StatementClass,
     own: Option<LogPoint>,
     samples: &StalenessSamples,
     history: &TermHistory,
     now: Instant,
-) -> Place {
+) -> Placement {
     if class == StatementClass::Write {
-        return Place::Primary;
+        return Placement::Primary;
     }
     let (bound, own) = match rule {
-        ReadRule::Primary => return Place::Primary,
+        ReadRule::Primary => return Placement::Primary,
         ReadRule::BoundedStaleness { bound } => (bound, None),
         ReadRule::OwnWrites { bound } => (bound, own),
     };
-    let Some(sample) = samples.point_for(bound.saturating_sub(BOUND_MARGIN), now) else {
-        return Place::Primary;
+    let Some(sample) = samples.point_for(bound.saturating_sub(STALENESS_MARGIN), now) else {
+        return Placement::Primary;
     };
     let sample = history.clamp(sample);
     let own = own.map(|own| history.clamp(own));
-    Place::AtLeast(own.map_or(sample, |own| own.max(sample)))
+    Placement::AtLeast(own.map_or(sample, |own| own.max(sample)))
 }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -372,9 +372,9 @@
         }
         let writes = work.class() == model::StatementClass::Write;
         let is_commit = work == Work::Commit;
-        let own = self.own_points.get(&route.service).copied();
+        let own_point = self.own_points.get(&route.service).copied();
         let values = std::mem::take(&mut self.values);
-        let job = Job { id, work, route: &route, values: &values, own, arrived, principal };
+        let job = Job { id, work, route: &route, values: &values, own_point, arrived, principal };
         let engine = self.engine.clone();
         let answer = match &mut self.transaction {
             Some(transaction) => engine.run_in_transaction(&job, transaction).await,
@@ -397,8 +397,8 @@
             && ended
             && wrote
         {
-            let own = self.own_points.entry(job.route.service.clone()).or_insert(point);
-            *own = point.max(*own);
+            let own_point = self.own_points.entry(job.route.service.clone()).or_insert(point);
+            *own_point = point.max(*own_point);
         }
         if ended {
             self.transaction = None;
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -405,7 +405,9 @@
         }
         let away = self.away_until.is_some_and(|until| now < until) && !self.has_detour(now);
         let behind = self.lagging_until.is_some_and(|until| now < until)
-            && request.floor.is_some_and(|floor| self.point.is_none_or(|point| point < floor));
+            && request
+                .min_point
+                .is_some_and(|min_point| self.point.is_none_or(|point| point < min_point));
         !self.entry.leaving && !away && !behind
     }
 }
--- a/crates/proxy/src/serve/telling.rs
+++ b/crates/proxy/src/serve/telling.rs
@@ -40,14 +40,14 @@
         job: &Job<'_>,
         server: &Name,
         code: ErrorCode,
-        floor: Option<LogPoint>,
+        min_point: Option<LogPoint>,
         answer: &Answer,
     ) {
         if code == ErrorCode::NotFresh {
             log::debug!(
                 event = "not_fresh", id = id_text(&job.id).as_str(),
                 service = &*job.route.service, server = &**server,
-                floor = format!("{floor:?}").as_str(), own = format!("{:?}", job.own).as_str(),
+                floor = format!("{min_point:?}").as_str(), own = format!("{:?}", job.own_point).as_str(),
                 shown = format!("{:?}", answer.point).as_str();
                 "a server's log lacks the point that a read must have seen"
             );
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -166,7 +166,8 @@
                 Err(Denied::Again) => continue,
             };
             let kind = TaskKind::Begin { read_only: transaction.read_only };
-            let begin = EndpointTask { floor: granted.floor, ..EndpointTask::internal(kind) };
+            let begin =
+                EndpointTask { min_point: granted.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             rounds.sent += 1;
             let reached = granted.lent.reached();
@@ -194,7 +195,7 @@
                         return None;
                     }
                     Some(code) => {
-                        self.note_refused(group, job, &server, code, granted.floor, &answer);
+                        self.note_refused(group, job, &server, code, granted.min_point, &answer);
                         rounds.last_error = Some(code);
                         match answer.state {
                             TransactionState::Idle => granted.lent.give_back(),
--- a/crates/proxy/src/statement.rs
+++ b/crates/proxy/src/statement.rs
@@ -287,7 +287,7 @@
     /// The caller's identifier; `None` for the engine's own commands.
     pub id: Option<Bytes>,
     /// The point that the server's log must hold, else it answers [`ErrorCode::NotFresh`].
-    pub floor: Option<LogPoint>,
+    pub min_point: Option<LogPoint>,
     /// What is asked.
     pub text: EndpointText,
 }
@@ -295,7 +295,7 @@
 impl EndpointCommand {
     /// A command of the engine's own.
     pub fn own(text: EndpointText) -> EndpointCommand {
-        EndpointCommand { id: None, floor: None, text }
+        EndpointCommand { id: None, min_point: None, text }
     }
 }
 
--- a/crates/proxy/tests/reads.rs
+++ b/crates/proxy/tests/reads.rs
@@ -8,7 +8,7 @@
     catalog::ReadRule,
     serve::{
         choose::{Candidate, Choice, choose},
-        floor::{Place, place_for},
+        placement::{Placement, placement_for},
     },
 };
 use session::{StalenessSamples, TermHistory};
@@ -35,7 +35,7 @@
     let no_history = TermHistory::default();
     let ended = TermHistory::new(vec![TermStart { term: Term(2), start: Position(15) }]);
     let read = StatementClass::Read;
-    let point = |number| Place::AtLeast(LogPoint::new(1, number));
+    let point = |number| Placement::AtLeast(LogPoint::new(1, number));
     let cases = [
         (
             "writes run at the primary",
@@ -43,12 +43,12 @@
             StatementClass::Write,
             None,
             &no_history,
-            Place::Primary,
+            Placement::Primary,
         ),
-        ("the rule says so", ReadRule::Primary, read, None, &no_history, Place::Primary),
+        ("the rule says so", ReadRule::Primary, read, None, &no_history, Placement::Primary),
         ("the oldest sample that is young enough", bounded, read, None, &no_history, point(20)),
         ("a longer bound allows an older one", long, read, None, &no_history, point(10)),
-        ("no sample is young enough", short, read, None, &no_history, Place::Primary),
+        ("no sample is young enough", short, read, None, &no_history, Placement::Primary),
         ("own writes count", own, read, written, &no_history, point(25)),
         (
             "own writes don't count where not promised",
@@ -61,7 +61,7 @@
         ("an ended term ends lower", own, read, written, &ended, point(15)),
     ];
     for (name, rule, class, own, history, expected) in cases {
-        assert_eq!(place_for(rule, class, own, &samples, history, now), expected, "{name}");
+        assert_eq!(placement_for(rule, class, own, &samples, history, now), expected, "{name}");
     }
 }
 
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -23,7 +23,7 @@
     let request = RelayRequest {
         id: task.id.clone().unwrap_or_default(),
         values: values_of(&task.values),
-        floor: task.floor.map(PointMessage::from),
+        min_point: task.min_point.map(PointMessage::from),
         task: RelayTask::of(&task.kind),
         ..RelayRequest::default()
     };
@@ -61,8 +61,8 @@
         .collect();
     for kind in tasks {
         for id in [None, Some(Bytes::from_static(b"5c0e7a21d94b36f8"))] {
-            let floor = Some(LogPoint::new(3, 1_209));
-            let task = EndpointTask { id, kind: kind.clone(), values: values.clone(), floor };
+            let min_point = Some(LogPoint::new(3, 1_209));
+            let task = EndpointTask { id, kind: kind.clone(), values: values.clone(), min_point };
             assert_eq!(handed_over(&task), Some(task.clone()));
         }
     }
