--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -35,7 +35,7 @@
         reachability::ProbeState,
         replay::SessionValues,
         share::{Share, share_of},
-        verdict::speaks_against_server,
+        verdict::is_server_failure,
     },
     statement::ErrorCode,
 };
@@ -457,7 +457,7 @@
             why = lost.to_string().as_str();
             "a server took no connection"
         );
-        if speaks_against_server(lost) {
+        if is_server_failure(lost) {
             group.pool.on_failure(server);
         }
         match lost {
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -24,7 +24,7 @@
         job::Job,
         lent::Lent,
         placement::STALENESS_MARGIN,
-        verdict::{Next, Progress, after_error, after_loss, write_stands},
+        verdict::{NextStep, Progress, after_error, after_loss, is_write_kept},
     },
     statement::{Answer, ErrorCode, StatementError, TransactionState},
 };
@@ -102,14 +102,14 @@
                     }
                     None => {
                         granted.lent.give_back();
-                        Next::AwaitPrimary
+                        NextStep::AwaitPrimary
                     }
                     Some(code) => {
                         self.note_path_answered(&group.pool, &reached);
                         self.note_refused(&group, job, &server, code, granted.min_point, &answer);
                         granted.lent.give_back();
                         let next = after_error(code, class);
-                        if let Next::Tell(_) = next {
+                        if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
                         }
                         rounds.last_error = Some(code);
@@ -127,7 +127,7 @@
                         return refusal(error, TransactionState::Idle);
                     }
                     match after_loss(progress, class) {
-                        Next::Tell(code) => {
+                        NextStep::Report(code) => {
                             return self.unknown_outcome(job, &server, code, &lost);
                         }
                         next => next,
@@ -278,7 +278,7 @@
                 Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, come_back, rounds.sent))
             }
             AcquireError::Nowhere => {
-                let next = Next::TryElsewhere;
+                let next = NextStep::TryElsewhere;
                 match self.prepare_next_round(rounds, job, next, Name::from("")).await {
                     Some(error) => Denied::Refuse(error),
                     None => Denied::Again,
@@ -431,7 +431,7 @@
                 if known.server == lead.server && known.term == lead.term {
                     return true;
                 }
-                return write_stands(point, known.term, &known.history);
+                return is_write_kept(point, known.term, &known.history);
             }
             match tokio::time::timeout_at(deadline.into(), beliefs.changed()).await {
                 Ok(Ok(())) => {}
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/holding.rs
@@ -27,7 +27,7 @@
         outage::{Outlook, Place, outage_of},
         placement::placement_for,
         telling::Refusal,
-        verdict::Next,
+        verdict::NextStep,
     },
     statement::{ErrorCode, StatementError},
 };
@@ -297,7 +297,7 @@
         &self,
         rounds: &mut Rounds,
         job: &Job<'_>,
-        next: Next,
+        next: NextStep,
         server: Name,
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.beliefs());
@@ -309,7 +309,7 @@
             return Some(self.no_answer(&group, job, rounds));
         }
         match next {
-            Next::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
+            NextStep::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
                 rounds.avoid.push(server);
             }
             _ => {
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -16,7 +16,7 @@
     serve::{
         connection::{ConnectionLost, EndpointConnection, Reached},
         engine::{Engine, Group},
-        verdict::speaks_against_server,
+        verdict::is_server_failure,
     },
     statement::ErrorCode,
 };
@@ -75,7 +75,7 @@
             self.note_path_lost(&group.pool, reached, lost);
             return;
         }
-        if speaks_against_server(lost) {
+        if is_server_failure(lost) {
             group.pool.on_failure(server);
         }
         if *lost == ConnectionLost::Silent {
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -21,7 +21,7 @@
         holding::Rounds,
         job::{Job, Work},
         lent::Lent,
-        verdict::{Next, after_error, transaction_after_loss},
+        verdict::{NextStep, after_error, transaction_after_loss},
     },
     statement::{Answer, ErrorCode, Outcome, TransactionState},
 };
@@ -181,7 +181,7 @@
                 Ok(answer) => match answer.error_code() {
                     None if !self.may_begin(job, &granted) => {
                         self.roll_back(granted.lent);
-                        Next::AwaitPrimary
+                        NextStep::AwaitPrimary
                     }
                     None => {
                         self.note_served(group, job, granted.lead.is_some());
@@ -202,7 +202,7 @@
                             _ => self.roll_back(granted.lent),
                         }
                         match after_error(code, StatementClass::Read) {
-                            Next::Tell(_) => Next::TryElsewhere,
+                            NextStep::Report(_) => NextStep::TryElsewhere,
                             next => next,
                         }
                     }
@@ -214,7 +214,7 @@
                     if let Some(error) = self.turned_away(group, job, rounds, &server, &lost) {
                         return Some(refusal(error, TransactionState::Failed));
                     }
-                    Next::TryElsewhere
+                    NextStep::TryElsewhere
                 }
             };
             if let Some(error) = self.prepare_next_round(rounds, job, next, server).await {
--- a/crates/proxy/src/serve/verdict.rs
+++ b/crates/proxy/src/serve/verdict.rs
@@ -18,33 +18,33 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// No server ran it: try another one while there is time.
     TryElsewhere,
     /// The server does not lead any more: wait for the one that does.
     AwaitPrimary,
     /// Tell the caller this; it is final.
-    Tell(ErrorCode),
+    Report(ErrorCode),
 }
 
 /// What follows when a server answered a single statement with an error.
-pub fn after_error(code: ErrorCode, class: StatementClass) -> Next {
+pub fn after_error(code: ErrorCode, class: StatementClass) -> NextStep {
     match code {
-        ErrorCode::NotPrimary | ErrorCode::WrongServer => Next::AwaitPrimary,
-        code if code.was_not_run() => Next::TryElsewhere,
+        ErrorCode::NotPrimary | ErrorCode::WrongServer => NextStep::AwaitPrimary,
+        code if code.was_not_run() => NextStep::TryElsewhere,
         // It ran and failed; a read may run again, since it changes nothing.
         ErrorCode::Failed | ErrorCode::TimedOut if class == StatementClass::Read => {
-            Next::TryElsewhere
+            NextStep::TryElsewhere
         }
-        code => Next::Tell(code),
+        code => NextStep::Report(code),
     }
 }
 
 /// What follows when a single statement's connection was lost.
-pub fn after_loss(progress: Progress, class: StatementClass) -> Next {
+pub fn after_loss(progress: Progress, class: StatementClass) -> NextStep {
     match (progress, class) {
-        (Progress::NotSent, _) | (Progress::Sent, StatementClass::Read) => Next::TryElsewhere,
-        (Progress::Sent, StatementClass::Write) => Next::Tell(ErrorCode::InDoubt),
+        (Progress::NotSent, _) | (Progress::Sent, StatementClass::Read) => NextStep::TryElsewhere,
+        (Progress::Sent, StatementClass::Write) => NextStep::Report(ErrorCode::InDoubt),
     }
 }
 
@@ -64,12 +64,12 @@
 ///
 /// A history that does not reach up to that term, as after a promotion that only the servers told of,
 /// says nothing of where the write's own term ended.
-pub fn write_stands(point: Option<LogPoint>, term: Term, history: &TermHistory) -> bool {
+pub fn is_write_kept(point: Option<LogPoint>, term: Term, history: &TermHistory) -> bool {
     history.latest() == Some(term)
         && point.is_some_and(|point| history.standing(point) == Standing::Kept)
 }
 
 /// Whether a lost connection speaks against the server itself.
-pub fn speaks_against_server(lost: &ConnectionLost) -> bool {
+pub fn is_server_failure(lost: &ConnectionLost) -> bool {
     !matches!(lost, ConnectionLost::Refused(ErrorCode::TooManyConnections))
 }
--- a/crates/proxy/tests/verdict.rs
+++ b/crates/proxy/tests/verdict.rs
@@ -9,8 +9,8 @@
     serve::{
         connection::ConnectionLost,
         verdict::{
-            Next, Progress, after_error, after_loss, speaks_against_server, transaction_after_loss,
-            write_stands,
+            NextStep, Progress, after_error, after_loss, is_server_failure, is_write_kept,
+            transaction_after_loss,
         },
     },
     statement::ErrorCode,
@@ -19,21 +19,21 @@
 
 #[test]
 fn errors_of_servers() {
-    let cases: [(ErrorCode, StatementClass, Next); 14] = [
-        (ErrorCode::Overloaded, Write, Next::TryElsewhere),
-        (ErrorCode::NotFresh, Read, Next::TryElsewhere),
-        (ErrorCode::TooManyConnections, Write, Next::TryElsewhere),
-        (ErrorCode::UnknownStatement, Write, Next::TryElsewhere),
-        (ErrorCode::NotPrimary, Write, Next::AwaitPrimary),
-        (ErrorCode::WrongServer, Read, Next::AwaitPrimary),
-        (ErrorCode::Failed, Read, Next::TryElsewhere),
-        (ErrorCode::TimedOut, Read, Next::TryElsewhere),
-        (ErrorCode::Failed, Write, Next::Tell(ErrorCode::Failed)),
-        (ErrorCode::TimedOut, Write, Next::Tell(ErrorCode::TimedOut)),
-        (ErrorCode::Aborted, Write, Next::Tell(ErrorCode::Aborted)),
-        (ErrorCode::InDoubt, Write, Next::Tell(ErrorCode::InDoubt)),
-        (ErrorCode::Malformed, Read, Next::Tell(ErrorCode::Malformed)),
-        (ErrorCode::TooLarge, Write, Next::Tell(ErrorCode::TooLarge)),
+    let cases: [(ErrorCode, StatementClass, NextStep); 14] = [
+        (ErrorCode::Overloaded, Write, NextStep::TryElsewhere),
+        (ErrorCode::NotFresh, Read, NextStep::TryElsewhere),
+        (ErrorCode::TooManyConnections, Write, NextStep::TryElsewhere),
+        (ErrorCode::UnknownStatement, Write, NextStep::TryElsewhere),
+        (ErrorCode::NotPrimary, Write, NextStep::AwaitPrimary),
+        (ErrorCode::WrongServer, Read, NextStep::AwaitPrimary),
+        (ErrorCode::Failed, Read, NextStep::TryElsewhere),
+        (ErrorCode::TimedOut, Read, NextStep::TryElsewhere),
+        (ErrorCode::Failed, Write, NextStep::Report(ErrorCode::Failed)),
+        (ErrorCode::TimedOut, Write, NextStep::Report(ErrorCode::TimedOut)),
+        (ErrorCode::Aborted, Write, NextStep::Report(ErrorCode::Aborted)),
+        (ErrorCode::InDoubt, Write, NextStep::Report(ErrorCode::InDoubt)),
+        (ErrorCode::Malformed, Read, NextStep::Report(ErrorCode::Malformed)),
+        (ErrorCode::TooLarge, Write, NextStep::Report(ErrorCode::TooLarge)),
     ];
     for (code, class, expected) in cases {
         assert_eq!(after_error(code, class), expected, "{code:?} {class:?}");
@@ -42,11 +42,11 @@
 
 #[test]
 fn a_write_that_may_have_run_is_never_sent_again() {
-    assert_eq!(after_loss(Progress::Sent, Write), Next::Tell(ErrorCode::InDoubt));
+    assert_eq!(after_loss(Progress::Sent, Write), NextStep::Report(ErrorCode::InDoubt));
     for (progress, class) in
         [(Progress::NotSent, Write), (Progress::NotSent, Read), (Progress::Sent, Read)]
     {
-        assert_eq!(after_loss(progress, class), Next::TryElsewhere, "{progress:?} {class:?}");
+        assert_eq!(after_loss(progress, class), NextStep::TryElsewhere, "{progress:?} {class:?}");
     }
 }
 
@@ -67,9 +67,9 @@
 
 #[test]
 fn a_server_without_connections_left_is_alive() {
-    assert!(!speaks_against_server(&ConnectionLost::Refused(ErrorCode::TooManyConnections)));
-    assert!(speaks_against_server(&ConnectionLost::Silent));
-    assert!(speaks_against_server(&ConnectionLost::Broken("reset".to_owned())));
+    assert!(!is_server_failure(&ConnectionLost::Refused(ErrorCode::TooManyConnections)));
+    assert!(is_server_failure(&ConnectionLost::Silent));
+    assert!(is_server_failure(&ConnectionLost::Broken("reset".to_owned())));
 }
 
 #[test]
@@ -88,6 +88,6 @@
         ("no point was told", None, &known, false),
     ];
     for (name, point, history, expected) in cases {
-        assert_eq!(write_stands(point, Term(3), history), expected, "{name}");
+        assert_eq!(is_write_kept(point, Term(3), history), expected, "{name}");
     }
 }
