--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -12,7 +12,7 @@
     /// How far it is.
     pub reach: Reach,
     /// Whether it leads, and so has work that no other can do.
-    pub leads: bool,
+    pub is_primary: bool,
     /// Idle connections to it.
     pub idle: u32,
     /// Connections in use by this daemon.
@@ -20,9 +20,9 @@
     /// Connections that this daemon may have to it.
     pub limit: u32,
     /// Whether the room that the statement may take is taken.
-    pub full: bool,
+    pub is_full: bool,
     /// Whether another replica is more likely to have a connection that works for the same account.
-    pub is_strange: bool,
+    pub is_non_preferred: bool,
     /// Its average answering time, in microseconds; 0 if it is not known.
     pub latency_us: u32,
     /// How long the statement would wait there before it begins, as the owner of the connections told it, in microseconds.
@@ -39,15 +39,15 @@
     /// All connections are in use; wait for one.
     Wait,
     /// No server may run it.
-    Nowhere,
+    NoServer,
 }
 
 /// What crossing to another availability zone is taken to cost: its round trip, and its price, so that
 /// a far server is chosen only when the near one is busy or slow.
-const FAR_PENALTY: Duration = Duration::from_millis(60);
+const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(60);
 /// What crossing to another region is taken to cost beyond that. The time that it takes shows in the answering time; its link
 /// is narrow and shared with what must cross, as writes do, so a read rather waits for two or three others near by.
-const REGION_PENALTY: Duration = Duration::from_millis(60);
+const CROSS_REGION_PENALTY: Duration = Duration::from_millis(60);
 /// What reading at the primary is taken to cost, since only the primary can write.
 const PRIMARY_PENALTY: Duration = Duration::from_millis(10);
 /// The same where there are more daemons than connections: every daemon needs the primary's, and reads that
@@ -56,7 +56,7 @@
 const SCARCE_PRIMARY_PENALTY: Duration = Duration::from_millis(65);
 /// What a replica is taken to cost that is not the account's own: more than crossing to another zone, since a connection that
 /// is opened there takes a slot for longer. On a quiet day 5,353 connections are opened instead of 7,202.
-const STRANGE_PENALTY: Duration = Duration::from_millis(90);
+const NON_PREFERRED_PENALTY: Duration = Duration::from_millis(90);
 /// What a new connection is taken to cost: its handshake takes a slot of the server.
 const OPEN_PENALTY: Duration = Duration::from_millis(15);
 
@@ -68,13 +68,13 @@
     match available.min_by_key(|candidate| cost_us(candidate, primary_penalty)) {
         Some(best) if best.idle > 0 => Choice::UseIdle(best.index),
         Some(best) => Choice::Open(best.index),
-        None if candidates.is_empty() => Choice::Nowhere,
+        None if candidates.is_empty() => Choice::NoServer,
         None => Choice::Wait,
     }
 }
 
 fn has_room(candidate: &Candidate) -> bool {
-    !candidate.full && (candidate.idle > 0 || candidate.in_use < candidate.limit)
+    !candidate.is_full && (candidate.idle > 0 || candidate.in_use < candidate.limit)
 }
 
 /// Estimates the time until the answer: the average for each statement that goes before, and what the
@@ -84,14 +84,14 @@
     let mut cost = u64::from(candidate.latency_us) * rounds + candidate.wait_us;
     cost += micros(match candidate.reach {
         Reach::SameZone => Duration::ZERO,
-        Reach::SameRegion => FAR_PENALTY,
-        Reach::OtherRegion => FAR_PENALTY + REGION_PENALTY,
+        Reach::SameRegion => CROSS_ZONE_PENALTY,
+        Reach::OtherRegion => CROSS_ZONE_PENALTY + CROSS_REGION_PENALTY,
     });
-    if candidate.leads {
+    if candidate.is_primary {
         cost += micros(primary_penalty);
     }
-    if candidate.is_strange {
-        cost += micros(STRANGE_PENALTY);
+    if candidate.is_non_preferred {
+        cost += micros(NON_PREFERRED_PENALTY);
     }
     if candidate.idle == 0 {
         cost += micros(OPEN_PENALTY);
@@ -105,14 +105,14 @@
 
 /// Marks the replicas that are not the account's own in this group: of those that may run its read, the one that scores
 /// highest for it. An account's reads then meet its connection again, instead of having one opened at each replica.
-pub(crate) fn mark_strange<'a>(
+pub(crate) fn mark_non_preferred<'a>(
     candidates: &mut [Candidate],
     account: &str,
     server_at: impl Fn(usize) -> &'a str,
 ) {
     let score = |it: &Candidate| routing::score(account, server_at(it.index));
-    let best = candidates.iter().filter(|it| !it.leads).map(&score).max();
-    for candidate in candidates.iter_mut().filter(|it| !it.leads) {
-        candidate.is_strange = Some(score(candidate)) != best;
+    let best = candidates.iter().filter(|it| !it.is_primary).map(&score).max();
+    for candidate in candidates.iter_mut().filter(|it| !it.is_primary) {
+        candidate.is_non_preferred = Some(score(candidate)) != best;
     }
 }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -27,7 +27,7 @@
         links::RelayLinks,
     },
     serve::{
-        choose::{Candidate, Choice, choose, mark_strange},
+        choose::{Candidate, Choice, choose, mark_non_preferred},
         connection::EndpointConnection,
         connection_request::ConnectionRequest,
         lent::{Held, Lent, OpeningPlace},
@@ -175,7 +175,7 @@
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
                 Choice::Wait => return self.wait(request, deadline).await,
-                Choice::Nowhere => return Err(NoConnection::Nowhere),
+                Choice::NoServer => return Err(NoConnection::Nowhere),
             };
             if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
                 return Ok(Offer::Lent(lent));
@@ -260,7 +260,9 @@
         let mut candidates = self.candidates(&mut state, request, now);
         candidates.retain(|it| state.servers[it.index].is_healthy_for(request, now));
         if let Some(Principal::Account(account)) = &request.principal {
-            mark_strange(&mut candidates, account, |index| &state.servers[index].entry.server);
+            mark_non_preferred(&mut candidates, account, |index| {
+                &state.servers[index].entry.server
+            });
         }
         if candidates.is_empty() && request.only.is_none() {
             // Better a server that was away a moment ago than none.
@@ -288,13 +290,13 @@
                 return Some(Candidate {
                     index,
                     reach: self.layout.reach(&slot.entry.availability_zone),
-                    leads: request.primary.as_ref() == Some(&slot.entry.server),
+                    is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                     // Its queue is at the owner, where the whole zone's demand is seen.
                     idle: 1,
                     in_use: slot.at_owners,
                     limit: u32::MAX,
-                    full: false,
-                    is_strange: false,
+                    is_full: false,
+                    is_non_preferred: false,
                     latency_us: slot.latency.get_us(),
                     wait_us: wait.as_micros() as u64,
                 });
@@ -313,13 +315,13 @@
                         Reach::SameRegion.max(self.layout.reach(&slot.entry.availability_zone))
                     }
                 },
-                leads: request.primary.as_ref() == Some(&slot.entry.server),
+                is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                 idle: slot.idle_for(request),
                 in_use: queue.map_or(slot.in_use, |queue| queue.outstanding()),
                 // Where it has a queue, statements wait in that one.
                 limit: queue.map_or_else(|| slot.limit_at(now), |_| u32::MAX),
-                full: slot.is_full_for(request),
-                is_strange: false,
+                is_full: slot.is_full_for(request),
+                is_non_preferred: false,
                 latency_us: slot.latency.get_us(),
                 wait_us: 0,
             })
--- a/crates/proxy/tests/reads.rs
+++ b/crates/proxy/tests/reads.rs
@@ -69,12 +69,12 @@
     Candidate {
         index,
         reach: Reach::SameZone,
-        leads: false,
+        is_primary: false,
         idle: 1,
         in_use: 0,
         limit: 2,
-        full: false,
-        is_strange: false,
+        is_full: false,
+        is_non_preferred: false,
         latency_us: 20_000,
         wait_us: 0,
     }
@@ -84,13 +84,13 @@
 fn the_choice_prefers_near_idle_replicas_with_room() {
     let near = candidate(0);
     let far = Candidate { reach: Reach::SameRegion, ..candidate(1) };
-    let primary = Candidate { leads: true, ..candidate(2) };
+    let primary = Candidate { is_primary: true, ..candidate(2) };
     let closed = Candidate { idle: 0, ..candidate(3) };
     let in_use = Candidate { idle: 0, in_use: 2, ..candidate(4) };
-    let full = Candidate { full: true, ..candidate(5) };
+    let full = Candidate { is_full: true, ..candidate(5) };
     let slow = Candidate { latency_us: 200_000, ..candidate(6) };
     let cases = [
-        ("none", vec![], Choice::Nowhere),
+        ("none", vec![], Choice::NoServer),
         ("near before far", vec![far, near], Choice::UseIdle(0)),
         ("a replica before the primary", vec![primary, near], Choice::UseIdle(0)),
         ("an idle connection before a new one", vec![closed, near], Choice::UseIdle(0)),
@@ -107,7 +107,7 @@
 /// With a near primary cheaper than a far replica where connections are scarce, two thirds more writes were late.
 #[test]
 fn where_connections_are_scarce_a_far_replica_goes_before_a_near_primary() {
-    let near_primary = Candidate { leads: true, ..candidate(0) };
+    let near_primary = Candidate { is_primary: true, ..candidate(0) };
     let far_replica = Candidate { reach: Reach::SameRegion, ..candidate(1) };
     let near_replica = candidate(2);
     let cases = [
