--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -338,7 +338,7 @@
                 Offer::Open(place) => place,
             };
             let server = place.entry.server.clone();
-            let detour = group.pool.detour_to(&server);
+            let detour = group.pool.tunnel_to(&server);
             match self.open(&place, detour).await {
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
@@ -353,7 +353,7 @@
                     drop(place);
                     match detour {
                         None => self.on_open_failed(group, &service, &server, &lost),
-                        Some(peer) => self.on_detour_failed(group, &server, peer, &lost),
+                        Some(peer) => self.on_tunnel_failed(group, &server, peer, &lost),
                     }
                     match after_open_failed(&request, &lost) {
                         _ if Instant::now() >= deadline => return Err(AcquireError::Nowhere),
@@ -413,7 +413,7 @@
     }
 
     /// Whether a server takes a connection through another daemon.
-    pub(crate) async fn try_detour(
+    pub(crate) async fn try_tunnel(
         &self,
         peer: SocketAddr,
         entry: &ServerEntry,
@@ -425,7 +425,7 @@
         (peer, opened.await.map(drop))
     }
 
-    fn on_detour_failed(
+    fn on_tunnel_failed(
         &self,
         group: &Group<E>,
         server: &Name,
@@ -433,7 +433,7 @@
         lost: &ConnectionLost,
     ) {
         self.metrics.connections_opened.with_label_values(&["failed"]).inc();
-        group.pool.on_detour_failed(server, peer);
+        group.pool.on_tunnel_failed(server, peer);
         group.pool.on_detour(server, false);
         log::info!(
             event = "detour_failed", server = &**server, peer = peer.to_string().as_str(),
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -199,7 +199,7 @@
             principal: Some(job.principal.clone()),
         };
         // The wait for a primary is over only now, and the wait for a connection begins.
-        let wait_until = job.wait_until(Instant::now(), group.pool.is_queued());
+        let wait_until = job.wait_until(Instant::now(), group.pool.has_queues());
         let lent = match self.acquire(group, request, job.values, wait_until).await {
             Ok(lent) => lent,
             Err(error) => return Err(self.on_not_acquired(group, job, rounds, error).await),
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -212,7 +212,7 @@
             let Some(entry) = group.pool.entry_of(server).filter(|_| !peers.is_empty()) else {
                 return;
             };
-            let opened = peers.into_iter().map(|peer| self.try_detour(peer, &entry));
+            let opened = peers.into_iter().map(|peer| self.try_tunnel(peer, &entry));
             let mut is_open = false;
             for (peer, opened) in futures::future::join_all(opened).await {
                 match opened {
@@ -223,7 +223,7 @@
                             peer = peer.to_string().as_str(), why = lost.to_string().as_str();
                             "another daemon has no way to a server either"
                         );
-                        group.pool.on_detour_failed(server, peer);
+                        group.pool.on_tunnel_failed(server, peer);
                     }
                 }
             }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -153,7 +153,7 @@
             slot.paths.keep_only(&slot.owners);
             slot.loan = share.loan;
             let most = slot.limit + share.loan;
-            slot.set_queue(self.room(slot, &share));
+            slot.set_queue(self.queue_room(slot, &share));
             slot.set_competing(self.do_accounts_compete(&share));
             let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(most) as usize;
             let kept = slot.idle.len().saturating_sub(surplus);
@@ -174,14 +174,14 @@
             let (index, has_idle) = match self.choose_now(&request) {
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
-                Choice::Wait => return self.wait(request, deadline).await,
+                Choice::Wait => return self.wait_for_connection(request, deadline).await,
                 Choice::NoServer => return Err(NoConnection::Nowhere),
             };
             if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
                 return Ok(Offer::Lent(lent));
             }
             self.note_try(index, &request);
-            if let Some(offer) = self.lend_in_turn(index, &request, values, deadline).await? {
+            if let Some(offer) = self.lend_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
         }
@@ -286,7 +286,7 @@
         fit.filter_map(|(index, slot)| {
             slot.forget_old_latency(now);
             if let Some(owner) = self.owner_of(slot, request, now) {
-                let wait = self.told_wait(&owner, &slot.entry.server, request.rank(), now);
+                let wait = self.reported_wait(&owner, &slot.entry.server, request.rank(), now);
                 return Some(Candidate {
                     index,
                     reach: self.layout.reach(&slot.entry.availability_zone),
--- a/crates/proxy/src/serve/waiting.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -14,10 +14,10 @@
 };
 
 /// Statements that may wait for the connections of one service; more are refused at once.
-const MOST_WAITING: usize = 256;
+const MAX_WAITERS: usize = 256;
 
 impl<E: EndpointDialect> GroupPool<E> {
-    pub(super) async fn wait(
+    pub(super) async fn wait_for_connection(
         self: &Rc<Self>,
         request: ConnectionRequest,
         deadline: Instant,
@@ -28,11 +28,11 @@
             for queue in &mut state.waiters {
                 queue.retain(|waiter| !waiter.grant.is_closed());
             }
-            if state.waiters.iter().map(VecDeque::len).sum::<usize>() >= MOST_WAITING {
+            if state.waiters.iter().map(VecDeque::len).sum::<usize>() >= MAX_WAITERS {
                 return Err(NoConnection::QueueFull);
             }
-            let lane = usize::from(request.priority).min(PRIORITIES - 1);
-            state.waiters[lane].push_back(Waiter { request, grant });
+            let queue = usize::from(request.priority).min(PRIORITIES - 1);
+            state.waiters[queue].push_back(Waiter { request, grant });
         }
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(offer)) => Ok(offer),
--- a/crates/proxy/src/serve/in_turn.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -23,11 +23,11 @@
 };
 
 /// How often it is looked again whether a connection may be opened, or has come to rest, after one could not be opened.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns what a server has room for, if statements are to wait for it in a queue of its own.
-    pub(super) fn room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
+    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
         let connections = slot.limit + share.loan;
@@ -40,7 +40,7 @@
     }
 
     /// Whether statements wait in the queues of servers.
-    pub(crate) fn is_queued(&self) -> bool {
+    pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().is_owned
     }
 
@@ -56,7 +56,7 @@
 
     /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
     /// was none after all, and a server has to be chosen again.
-    pub(super) async fn lend_in_turn(
+    pub(super) async fn lend_queued(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
@@ -107,11 +107,11 @@
         if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
             return Err(NoConnection::Nowhere);
         }
-        let look_at = Instant::now() + LOOK_AGAIN_AFTER;
-        if look_at >= deadline {
+        let recheck_at = Instant::now() + RECHECK_DELAY;
+        if recheck_at >= deadline {
             return Err(NoConnection::TooLate);
         }
-        tokio::time::sleep_until(look_at.into()).await;
+        tokio::time::sleep_until(recheck_at.into()).await;
         Ok(None)
     }
 }
--- a/crates/proxy/src/serve/server_news.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -57,12 +57,13 @@
     /// nothing was told.
     pub fn expected_wait_at(&self, server: &str, rank: Rank) -> Duration {
         let now = Instant::now();
-        let told = self.owner_link(server).map(|owner| self.told_wait(&owner, server, rank, now));
+        let told =
+            self.owner_link(server).map(|owner| self.reported_wait(&owner, server, rank, now));
         told.unwrap_or_else(|| self.expected_wait())
     }
 
     /// Returns how long a statement would wait by what an owner told last; nothing if it told nothing.
-    pub(super) fn told_wait(
+    pub(super) fn reported_wait(
         &self,
         owner: &RelayLink,
         server: &str,
@@ -85,13 +86,13 @@
 
     /// Returns a daemon through which a server is to be reached; `None` if it is reached directly, or not
     /// at all.
-    pub fn detour_to(&self, server: &str) -> Option<SocketAddr> {
+    pub fn tunnel_to(&self, server: &str) -> Option<SocketAddr> {
         let now = Instant::now();
         self.with_slot(server, |slot| slot.detour(now))?
     }
 
     /// Notes that no connection to a server came about through another daemon.
-    pub fn on_detour_failed(&self, server: &str, peer: SocketAddr) {
+    pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
         self.with_slot(server, |slot| slot.note_detour_failed(peer));
     }
 
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -172,7 +172,7 @@
             rounds.sent += 1;
             let reached = granted.lent.reached();
             // Where an owner is asked the wait for its connection comes first.
-            let is_queued = group.pool.is_queued();
+            let is_queued = group.pool.has_queues();
             let waits = if reached.is_own { Duration::ZERO } else { job.waits(is_queued) };
             let deadline = job.deadline().min(sent_at + waits + BEGIN_WITHIN);
             let begun = granted.lent.run(&begin, deadline).await;
