--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -47,7 +47,7 @@
 const ASKS: usize = 64;
 /// How long sessions at rest stay after the signal to stop: the load balancer asks every second and
 /// goes by two answers.
-const STOP_RESTING_AFTER: Duration = Duration::from_millis(2_300);
+const STOP_IDLE_AFTER: Duration = Duration::from_millis(2_300);
 /// The part of the grace after which open transactions are ended.
 const STOP_TRANSACTIONS_SHARE: f64 = 0.55;
 /// The part of the grace after which the daemon ends in any case.
@@ -186,10 +186,10 @@
         host: settings.daemon.host.clone(),
         availability_zone: settings.daemon.availability_zone.clone(),
         suspect_after: Duration::from_millis(settings.leadership.suspect_after_ms),
-        right: Duration::from_millis(settings.leadership.right_ms),
+        primary_lease: Duration::from_millis(settings.leadership.right_ms),
         stop_transactions_after: grace.mul_f64(STOP_TRANSACTIONS_SHARE),
-        stop_resting_after: STOP_RESTING_AFTER.min(grace.mul_f64(STOP_TRANSACTIONS_SHARE)),
-        most_callers: settings.daemon.descriptors / 2,
+        stop_idle_after: STOP_IDLE_AFTER.min(grace.mul_f64(STOP_TRANSACTIONS_SHARE)),
+        max_callers: settings.daemon.descriptors / 2,
         window_rule: WindowRule {
             window: Duration::from_millis(settings.limits.window_ms),
             overage: settings.limits.overage,
@@ -212,7 +212,7 @@
     let listener = TcpListener::from_std(listener).wrap_err("can't listen for callers")?;
     log::info!(event = "started", host = &*engine.settings.host; "the daemon runs");
     tokio::task::spawn_local(answer_asks(engine.clone(), asks));
-    tokio::task::spawn_local(engine.clone().end_rested_connections());
+    tokio::task::spawn_local(engine.clone().close_idle_connections());
     tokio::task::spawn_local(engine.clone().keep_limits());
     let accepting = {
         let engine = engine.clone();
@@ -241,7 +241,7 @@
     );
     stopping.send_replace(Some(since));
     let last = since + grace.mul_f64(STOP_SHARE);
-    let settled = since + engine.settings.stop_resting_after;
+    let settled = since + engine.settings.stop_idle_after;
     while Instant::now() < last {
         if engine.callers.get() == 0 && Instant::now() >= settled {
             break;
--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -391,7 +391,7 @@
     let wait_until = received_at + request.waits();
     let acquired = engine.acquire(group, connection_request, &task.values, wait_until).await;
     acquired.map_err(|error| match error {
-        AcquireError::Nowhere => NotSent::Unreachable,
+        AcquireError::NoServer => NotSent::Unreachable,
         AcquireError::QueueFull | AcquireError::TooLate => NotSent::TooLate,
         AcquireError::Overloaded { .. } => NotSent::Overloaded,
     })
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -99,7 +99,7 @@
 ) -> SampledMessage {
     let none = SampledMessage { point: None, age_ms: 0 };
     loop {
-        let sampled = group.sampled.notified();
+        let sampled = group.sample_added.notified();
         tokio::pin!(sampled);
         // From here on nothing is missed between the look and the wait.
         sampled.as_mut().enable();
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -133,7 +133,7 @@
         wait: Duration,
         id: &[u8],
     ) -> StatementError {
-        let come_back_ms = self.spread(wait.max(COME_BACK)).as_millis() as u64 + 1;
+        let come_back_ms = self.with_jitter(wait.max(COME_BACK)).as_millis() as u64 + 1;
         self.metrics.refused.with_label_values(&["limit"]).inc();
         log::debug!(
             event = "at_limit", id = id_text(id).as_str(), account = &*account.name,
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -41,18 +41,18 @@
 };
 
 /// Samples of a primary's position that are kept for each group; they span the longest bound.
-const SAMPLES_KEPT: usize = 64;
+const MAX_SAMPLES: usize = 64;
 /// Reads in a hundred that may be tried at a second server while the first may still answer; more
 /// would multiply the load on servers that are slow because they are overloaded.
 const RETRY_PERCENT: u32 = 10;
 /// How often resting connections are looked at where connections are scarce.
-const END_RESTED_EVERY: Duration = Duration::from_millis(100);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often it is looked at whether they are.
-const SCARCITY_LOOK_EVERY: Duration = Duration::from_secs(2);
+const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// How often the control thread is told that callers ask for a service; a fraction of the time for which it counts.
-const USED_TOLD_EVERY: Duration = Duration::from_secs(1);
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a new connection may take: a handshake, and a server that is busy.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// One service as this daemon serves it.
 pub struct Group<E: EndpointDialect> {
@@ -63,39 +63,39 @@
     /// Reads that may be sent to a second server although the first may still answer.
     pub retries: RefCell<RetryBudget>,
     /// Since when, and when last, reads were refused because every replica is behind.
-    pub(crate) starved: Cell<Option<(Instant, Instant)>>,
+    pub(crate) lagging_refusals: Cell<Option<(Instant, Instant)>>,
     /// Wakes reads that wait for a server which was found to be out of reach.
-    pub lost_server: Notify,
+    pub server_unreachable: Notify,
     /// Has servers that were found to be out of reach tried again at once.
     pub(crate) probe_now: Notify,
     /// Servers that are being asked whether they are alive, and those that did not answer.
     pub(crate) probes: RefCell<HashMap<Name, ProbeState>>,
     /// When other daemons were last told where the primary's log stands.
-    pub(crate) sample_told_at: Cell<Option<Instant>>,
+    pub(crate) sample_shared_at: Cell<Option<Instant>>,
     /// Wakes whoever waits for a sample.
-    pub(crate) sampled: Notify,
+    pub(crate) sample_added: Notify,
     /// Until when somebody who was sent to the primary is expected to show where its log stands.
     pub(crate) sampling_until: Cell<Option<Instant>>,
     /// When a read last wanted a sample that nobody here has.
-    pub(crate) sample_wanted_at: Cell<Option<Instant>>,
+    pub(crate) sample_requested_at: Cell<Option<Instant>>,
     /// When the control thread was last told that callers ask for this service.
-    used_told_at: Cell<Option<Instant>>,
+    usage_reported_at: Cell<Option<Instant>>,
     /// Why its primary can't be used, and who waits for that to end.
     pub(crate) outage: GroupOutage,
-    seen: RefCell<Seen>,
+    pool_inputs: RefCell<PoolInputs>,
 }
 
 /// What a pool was last told.
 #[derive(Default)]
-struct Seen {
+struct PoolInputs {
     servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
     detours: Arc<Detours>,
     owners: Arc<Owners>,
     share: Share,
 }
 
-impl Seen {
-    fn is_same(&self, other: &Seen) -> bool {
+impl PoolInputs {
+    fn is_same(&self, other: &PoolInputs) -> bool {
         Arc::ptr_eq(&self.servers, &other.servers)
             && Arc::ptr_eq(&self.detours, &other.detours)
             && Arc::ptr_eq(&self.owners, &other.owners)
@@ -107,25 +107,25 @@
     fn new(layout: Rc<Layout>, relays: Rc<RelayLinks>, overload: OverloadSettings) -> Group<E> {
         Group {
             pool: Rc::new(GroupPool::new(layout, relays, overload)),
-            samples: RefCell::new(StalenessSamples::new(SAMPLES_KEPT)),
+            samples: RefCell::new(StalenessSamples::new(MAX_SAMPLES)),
             retries: RefCell::new(RetryBudget::new(RETRY_PERCENT)),
-            starved: Cell::new(None),
-            lost_server: Notify::new(),
+            lagging_refusals: Cell::new(None),
+            server_unreachable: Notify::new(),
             probe_now: Notify::new(),
             probes: RefCell::default(),
-            sample_told_at: Cell::new(None),
-            sampled: Notify::new(),
+            sample_shared_at: Cell::new(None),
+            sample_added: Notify::new(),
             sampling_until: Cell::new(None),
-            sample_wanted_at: Cell::new(None),
-            used_told_at: Cell::new(None),
+            sample_requested_at: Cell::new(None),
+            usage_reported_at: Cell::new(None),
             outage: GroupOutage::default(),
-            seen: RefCell::default(),
+            pool_inputs: RefCell::default(),
         }
     }
 
     /// Whether the daemons have fewer connections to its servers than they could use, so that one may have them for others.
     pub(crate) fn is_contended(&self) -> bool {
-        self.seen.borrow().share.owned.is_some()
+        self.pool_inputs.borrow().share.owned.is_some()
     }
 }
 
@@ -139,13 +139,13 @@
     /// How long a server must be silent before it is asked whether it is alive.
     pub suspect_after: Duration,
     /// How long a reading gives the right to use a primary, at every daemon.
-    pub right: Duration,
+    pub primary_lease: Duration,
     /// How long an open transaction may go on after the signal to stop.
     pub stop_transactions_after: Duration,
     /// How long a session at rest stays open after the signal to stop.
-    pub stop_resting_after: Duration,
+    pub stop_idle_after: Duration,
     /// Callers at a time; one more is refused.
-    pub most_callers: u64,
+    pub max_callers: u64,
     /// By which windows the limits of client accounts are judged.
     pub window_rule: WindowRule,
     /// The region of each availability zone; empty where all are of one.
@@ -203,7 +203,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
     /// No server can run it.
-    Nowhere,
+    NoServer,
     /// Too much waits already.
     QueueFull,
     /// None was free in time.
@@ -211,7 +211,7 @@
     /// More urgent work and that of others leave no room in time.
     Overloaded {
         /// When asking again may help.
-        come_back: Duration,
+        retry_delay: Duration,
     },
 }
 
@@ -271,44 +271,48 @@
         let entries = beliefs.servers.get(service).map_or(&[][..], Vec::as_slice);
         let slots = entries.iter().map(|entry| entry.slots).min().unwrap_or(0);
         let share = share_of(granted, slots, beliefs.sharers, by_account);
-        let seen = Seen {
+        let inputs = PoolInputs {
             servers: beliefs.servers.clone(),
             detours: beliefs.detours.clone(),
             owners: beliefs.owners.clone(),
             share,
         };
-        if !group.seen.borrow().is_same(&seen) {
-            group.pool.update(entries, share, &seen.detours, &seen.owners);
-            *group.seen.borrow_mut() = seen;
+        if !group.pool_inputs.borrow().is_same(&inputs) {
+            group.pool.update(entries, share, &inputs.detours, &inputs.owners);
+            *group.pool_inputs.borrow_mut() = inputs;
         }
         group
     }
 
     /// Tells the control thread that callers ask for a service, now and then: while the store is silent it looks
     /// after the groups that are used.
-    pub(crate) fn note_used(&self, group: &Group<E>, service: &Name) {
+    pub(crate) fn report_usage(&self, group: &Group<E>, service: &Name) {
         let now = Instant::now();
-        if group.used_told_at.get().is_some_and(|at| now.duration_since(at) < USED_TOLD_EVERY) {
+        if group
+            .usage_reported_at
+            .get()
+            .is_some_and(|at| now.duration_since(at) < USAGE_REPORT_INTERVAL)
+        {
             return;
         }
         let used = Observation::Used { service: service.clone() };
         // A full ring means that the control thread is behind; the next statement tells it again.
         if self.observations.try_send(used).is_ok() {
-            group.used_told_at.set(Some(now));
+            group.usage_reported_at.set(Some(now));
         }
     }
 
     /// Ends connections that rest while other daemons have none; runs as long as the daemon does.
-    pub async fn end_rested_connections(self: Rc<Self>) {
+    pub async fn close_idle_connections(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(END_RESTED_EVERY).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             let groups: Vec<Rc<Group<E>>> = self.groups.borrow().values().cloned().collect();
             let mut is_scarce = false;
             for group in groups {
                 is_scarce |= group.pool.end_rested();
             }
             if !is_scarce {
-                tokio::time::sleep(SCARCITY_LOOK_EVERY).await;
+                tokio::time::sleep(SCARCITY_CHECK_INTERVAL).await;
             }
         }
     }
@@ -323,14 +327,14 @@
     ) -> Result<Lent<E>, AcquireError> {
         loop {
             let lent = group.pool.lend(request.clone(), values, deadline).await;
-            self.count_queued(&request, &lent);
+            self.count_forwarded(&request, &lent);
             let offer = match lent {
                 Ok(offer) => offer,
-                Err(NoConnection::Nowhere) => return Err(AcquireError::Nowhere),
+                Err(NoConnection::Nowhere) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
                 Err(NoConnection::TooLate) => return Err(AcquireError::TooLate),
                 Err(NoConnection::Overloaded { come_back }) => {
-                    return Err(AcquireError::Overloaded { come_back });
+                    return Err(AcquireError::Overloaded { retry_delay: come_back });
                 }
             };
             let place = match offer {
@@ -355,13 +359,13 @@
                         None => self.on_open_failed(group, &service, &server, &lost),
                         Some(peer) => self.on_tunnel_failed(group, &server, peer, &lost),
                     }
-                    match after_open_failed(&request, &lost) {
-                        _ if Instant::now() >= deadline => return Err(AcquireError::Nowhere),
-                        AfterOpenFailed::GiveUp => return Err(AcquireError::Nowhere),
+                    match open_failure_action(&request, &lost) {
+                        _ if Instant::now() >= deadline => return Err(AcquireError::NoServer),
+                        OpenFailureAction::GiveUp => return Err(AcquireError::NoServer),
                         // There is one to wait for, or leave to open one a little later.
-                        AfterOpenFailed::Wait if self.settings.overload.circuits => continue,
-                        AfterOpenFailed::Wait => return Err(AcquireError::Nowhere),
-                        AfterOpenFailed::TryElsewhere => {}
+                        OpenFailureAction::Wait if self.settings.overload.circuits => continue,
+                        OpenFailureAction::Wait => return Err(AcquireError::NoServer),
+                        OpenFailureAction::TryElsewhere => {}
                     }
                     request.avoid.push(server);
                 }
@@ -370,7 +374,7 @@
     }
 
     /// Counts what became of a statement that this daemon runs on connections of its own for others.
-    fn count_queued(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
+    fn count_forwarded(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
         if !request.is_forwarded || request.principal.is_none() {
             return;
         }
@@ -398,10 +402,10 @@
         let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
         let introduction = self.introduce(&place.principal);
         let Some(peer) = detour else {
-            return EndpointConnection::open(dialect, entry, introduction, CONNECT_WITHIN).await;
+            return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_WITHIN)
+            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
                 .await?;
         self.metrics.connections_opened.with_label_values(&["detour"]).inc();
         log::info!(
@@ -421,7 +425,7 @@
         let introduction = self.introduce(&Principal::Daemon);
         let dialect = &self.endpoint_dialect;
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_WITHIN);
+            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
         (peer, opened.await.map(drop))
     }
 
@@ -468,7 +472,7 @@
 }
 
 /// What follows when a connection could not be opened for a request.
-enum AfterOpenFailed {
+enum OpenFailureAction {
     TryElsewhere,
     Wait,
     GiveUp,
@@ -476,12 +480,12 @@
 
 /// A server that grants no more is there nevertheless: an owner that said it can't be reached would send its askers to open
 /// connections of their own.
-fn after_open_failed(request: &ConnectionRequest, lost: &ConnectionLost) -> AfterOpenFailed {
+fn open_failure_action(request: &ConnectionRequest, lost: &ConnectionLost) -> OpenFailureAction {
     match lost {
-        _ if request.only.is_none() => AfterOpenFailed::TryElsewhere,
+        _ if request.only.is_none() => OpenFailureAction::TryElsewhere,
         ConnectionLost::Refused(ErrorCode::TooManyConnections) if request.is_forwarded => {
-            AfterOpenFailed::Wait
+            OpenFailureAction::Wait
         }
-        _ => AfterOpenFailed::GiveUp,
+        _ => OpenFailureAction::GiveUp,
     }
 }
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -79,7 +79,7 @@
         let mut rounds = Rounds::default();
         loop {
             let group = self.group(&job.route.service, &self.beliefs());
-            self.note_used(&group, &job.route.service);
+            self.report_usage(&group, &job.route.service);
             let class = job.work.class();
             let mut granted = match self.grant(&group, job, class, &mut rounds).await {
                 Ok(granted) => granted,
@@ -224,11 +224,11 @@
     /// Tells the control thread that a sample is wanted, now and then: a line for each read would leave a
     /// busy control thread's ring no room for what is told once, such as a server that can't be reached.
     fn want_sample(&self, group: &Group<E>, now: Instant) {
-        let wanted_at = group.sample_wanted_at.get();
+        let wanted_at = group.sample_requested_at.get();
         if wanted_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
             return;
         }
-        group.sample_wanted_at.set(Some(now));
+        group.sample_requested_at.set(Some(now));
         // A full ring means that the control thread is behind; a later read asks again.
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
@@ -274,10 +274,10 @@
                 let why = "no connection was free in time";
                 Denied::Refuse(self.no_room(group, job, why, expected, rounds.sent))
             }
-            AcquireError::Overloaded { come_back } => {
-                Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, come_back, rounds.sent))
+            AcquireError::Overloaded { retry_delay } => {
+                Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, retry_delay, rounds.sent))
             }
-            AcquireError::Nowhere => {
+            AcquireError::NoServer => {
                 let next = NextStep::TryElsewhere;
                 match self.prepare_next_round(rounds, job, next, Name::from("")).await {
                     Some(error) => Denied::Refuse(error),
@@ -345,7 +345,7 @@
         let mut probed = !reached.is_own;
         let mut slow = false;
         loop {
-            let lost = group.lost_server.notified();
+            let lost = group.server_unreachable.notified();
             if may_run_again && reached.is_direct && self.is_unreachable(group, server) {
                 return;
             }
@@ -397,7 +397,7 @@
         {
             self.check_answer(group, service, lead, known, Some(point));
             group.samples.borrow_mut().add(sent_at, point);
-            group.sampled.notify_waiters();
+            group.sample_added.notify_waiters();
             self.share_sample(group, service, PrimarySample { asked_at: sent_at, point });
         }
     }
@@ -405,11 +405,11 @@
     /// Lets the other daemons of the zone have a sample, now and then.
     fn share_sample(&self, group: &Group<E>, service: &Name, sample: PrimarySample) {
         let now = Instant::now();
-        let told_at = group.sample_told_at.get();
+        let told_at = group.sample_shared_at.get();
         if told_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
             return;
         }
-        group.sample_told_at.set(Some(now));
+        group.sample_shared_at.set(Some(now));
         let observation = Observation::PrimarySampled { service: service.clone(), sample };
         // A full ring means that the control thread is behind; the next sample serves as well.
         let _ = self.observations.try_send(observation);
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/holding.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns a time to come back that differs for each caller, where statements are held.
-    pub(crate) fn spread(&self, come_back: Duration) -> Duration {
+    pub(crate) fn with_jitter(&self, come_back: Duration) -> Duration {
         match self.settings.overload.holding {
             true => spread(come_back, rand::random()),
             false => come_back,
@@ -287,7 +287,7 @@
         let history = self.holding.history.borrow();
         let remaining = history.remaining(ongoing.outage, elapsed);
         let outlook = Outlook { outage: ongoing.outage, elapsed, remaining };
-        let come_back = outlook.come_back(job.come_back(), &history, self.settings.right);
+        let come_back = outlook.come_back(job.come_back(), &history, self.settings.primary_lease);
         self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
         Refusal { come_back, outage: Some(ongoing.outage), remaining, ..refusal }
     }
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -99,14 +99,14 @@
         &self,
         route: ComeBack,
         history: &OutageHistory,
-        right: Duration,
+        primary_lease: Duration,
     ) -> Duration {
         let draw = rand::random();
         if self.outage != Outage::LapsedRight {
             return route.after(self.remaining, draw);
         }
         // The daemons that can still reach the store and the servers replace the primary once every right has ended.
-        let replaced_after = right + history.remaining(Outage::Failover, Duration::ZERO);
+        let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
             expected if expected > route.target => route.after(expected, draw),
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -131,11 +131,11 @@
             return;
         }
         let now = Instant::now();
-        let since = match group.starved.get() {
+        let since = match group.lagging_refusals.get() {
             Some((since, last)) if now.duration_since(last) < STARVED_GAP => since,
             _ => now,
         };
-        group.starved.set(Some((since, now)));
+        group.lagging_refusals.set(Some((since, now)));
         if now.duration_since(since) >= STARVED_FOR {
             let observation = Observation::ReplicasBehind { service: service.clone() };
             // A full ring means that the control thread has enough to go by.
@@ -151,7 +151,7 @@
     fn note_unreachable(&self, group: &Group<E>, service: &Name, server: &Name, asked_at: Instant) {
         let before = group.probes.borrow_mut().insert(server.clone(), ProbeState::Unreachable);
         group.pool.on_unreachable(server, asked_at);
-        group.lost_server.notify_waiters();
+        group.server_unreachable.notify_waiters();
         if before != Some(ProbeState::Unreachable) {
             log_reachability(service, server, false);
         }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -136,7 +136,7 @@
             }
             return false;
         };
-        if self.engine.callers.get() > self.engine.settings.most_callers {
+        if self.engine.callers.get() > self.engine.settings.max_callers {
             self.refuse_session(&database, "this daemon has as many callers as it may").await;
             return false;
         }
@@ -171,7 +171,7 @@
 
     /// Ends a session that has not begun, and tells its caller when to come back.
     async fn refuse_session(&mut self, database: &Name, why: &'static str) {
-        let come_back_ms = self.engine.spread(SESSION_COMES_BACK).as_millis() as u64;
+        let come_back_ms = self.engine.with_jitter(SESSION_COMES_BACK).as_millis() as u64;
         log::info!(
             event = "session_refused", database = &**database, why = why,
             callers = self.engine.callers.get(), retry_after_ms = come_back_ms;
@@ -228,7 +228,7 @@
         let settings = &self.engine.settings;
         match self.transaction {
             Some(_) => settings.stop_transactions_after,
-            None => settings.stop_resting_after,
+            None => settings.stop_idle_after,
         }
     }
 
