--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -35,7 +35,7 @@
     metadata::MetadataStore,
     order::PromotionOrders,
     serve::{
-        ask::answer_asks,
+        control_requests::answer_control_requests,
         engine::{Engine, EngineParts, ServeSettings},
         session::serve_caller,
     },
@@ -211,7 +211,7 @@
 ) -> eyre::Result<()> {
     let listener = TcpListener::from_std(listener).wrap_err("can't listen for callers")?;
     log::info!(event = "started", host = &*engine.settings.host; "the daemon runs");
-    tokio::task::spawn_local(answer_asks(engine.clone(), asks));
+    tokio::task::spawn_local(answer_control_requests(engine.clone(), asks));
     tokio::task::spawn_local(engine.clone().close_idle_connections());
     tokio::task::spawn_local(engine.clone().keep_limits());
     let accepting = {
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -19,7 +19,7 @@
 };
 
 /// Answers questions until the control thread ends.
-pub async fn answer_asks<C: CallerDialect, E: EndpointDialect>(
+pub async fn answer_control_requests<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     asks: flume::Receiver<Ask>,
 ) {
@@ -38,7 +38,7 @@
             }
         };
         tokio::task::spawn_local(async move {
-            if let Some(status) = give_command(&engine, &ask).await {
+            if let Some(status) = run_command(&engine, &ask).await {
                 // The control thread may have given the question up.
                 let _ = ask.answer.send(status);
             }
@@ -46,7 +46,7 @@
     }
 }
 
-async fn give_command<C: CallerDialect, E: EndpointDialect>(
+async fn run_command<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     ask: &CommandAsk,
 ) -> Option<EndpointStatus> {
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -27,11 +27,11 @@
     serve::{
         connection::{ConnectionLost, EndpointConnection, Introduction},
         connection_request::ConnectionRequest,
-        holding::Holding,
         lent::{Lent, OpeningPlace},
         limits::Limits,
         outage::GroupOutage,
         pool::{GroupPool, NoConnection, Offer},
+        primary_wait::Holding,
         reachability::ProbeState,
         replay::SessionValues,
         share::{Share, share_of},
--- a/crates/proxy/src/serve/mod.rs
+++ b/crates/proxy/src/serve/mod.rs
@@ -1,17 +1,17 @@
 //! Serving callers: sessions, the choice of a server, shared connections.
 
 pub(crate) mod admission;
-pub mod ask;
 pub mod caller_link;
 pub mod choose;
 pub mod connection;
 pub mod connection_request;
 pub mod contradiction;
+pub mod control_requests;
 pub mod endpoint_task;
 pub mod engine;
+mod error_reporting;
 pub mod execute;
 pub(crate) mod health;
-mod holding;
 pub mod job;
 pub mod lent;
 pub(crate) mod limits;
@@ -20,6 +20,7 @@
 pub mod placement;
 pub mod pool;
 mod pool_waiters;
+mod primary_wait;
 mod queued_acquire;
 pub(crate) mod reachability;
 pub mod replay;
@@ -28,6 +29,5 @@
 pub mod session;
 pub mod share;
 mod slot;
-mod telling;
 pub mod transaction;
 pub mod verdict;
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -22,11 +22,11 @@
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         engine::{Engine, Group},
+        error_reporting::Refusal,
         execute::{Denied, ROUND_PAUSE},
         job::Job,
         outage::{Outlook, Place, outage_of},
         placement::placement_for,
-        telling::Refusal,
         verdict::NextStep,
     },
     statement::{ErrorCode, StatementError},
