--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -110,7 +110,7 @@
     account: &str,
     server_at: impl Fn(usize) -> &'a str,
 ) {
-    let score = |it: &Candidate| routing::score(account, server_at(it.index));
+    let score = |it: &Candidate| routing::rendezvous_score(account, server_at(it.index));
     let best = candidates.iter().filter(|it| !it.is_primary).map(&score).max();
     for candidate in candidates.iter_mut().filter(|it| !it.is_primary) {
         candidate.is_non_preferred = Some(score(candidate)) != best;
