--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -17,14 +17,14 @@
     relay::messages::NotSent,
     serve::{
         connection::{ConnectionLost, Reached, refusal},
+        connection_request::ConnectionRequest,
+        endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
-        errand::Errand,
-        floor::BOUND_MARGIN,
-        holding::Rounds,
         job::Job,
         lent::Lent,
-        verdict::{Next, Progress, after_error, after_loss, write_stands},
-        wish::Wish,
+        placement::STALENESS_MARGIN,
+        primary_wait::Rounds,
+        verdict::{NextStep, Progress, after_error, after_loss, is_write_kept},
     },
     statement::{Answer, ErrorCode, StatementError, TransactionState},
 };
@@ -44,7 +44,7 @@
 pub(crate) struct Granted<E: EndpointDialect> {
     pub(crate) lent: Lent<E>,
     pub(crate) lead: Option<GroupLeader>,
-    pub(crate) floor: Option<LogPoint>,
+    pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log is known to have reached before the statement is sent.
     pub(crate) known: Option<LogPoint>,
 }
@@ -79,7 +79,7 @@
         let mut rounds = Rounds::default();
         loop {
             let group = self.group(&job.route.service, &self.beliefs());
-            self.note_used(&group, &job.route.service);
+            self.report_usage(&group, &job.route.service);
             let class = job.work.class();
             let mut granted = match self.grant(&group, job, class, &mut rounds).await {
                 Ok(granted) => granted,
@@ -91,7 +91,7 @@
             group.retries.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
             let sent =
-                self.send(&group, job, &mut granted.lent, granted.floor, may_run_again).await;
+                self.send(&group, job, &mut granted.lent, granted.min_point, may_run_again).await;
             let reached = granted.lent.reached();
             let server = reached.server.clone();
             self.note_own_health(&group, &reached, &sent);
@@ -102,14 +102,14 @@
                     }
                     None => {
                         granted.lent.give_back();
-                        Next::AwaitPrimary
+                        NextStep::AwaitPrimary
                     }
                     Some(code) => {
                         self.note_path_answered(&group.pool, &reached);
-                        self.note_refused(&group, job, &server, code, granted.floor, &answer);
+                        self.note_refused(&group, job, &server, code, granted.min_point, &answer);
                         granted.lent.give_back();
                         let next = after_error(code, class);
-                        if let Next::Tell(_) = next {
+                        if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
                         }
                         rounds.last_error = Some(code);
@@ -127,7 +127,7 @@
                         return refusal(error, TransactionState::Idle);
                     }
                     match after_loss(progress, class) {
-                        Next::Tell(code) => {
+                        NextStep::Report(code) => {
                             return self.unknown_outcome(job, &server, code, &lost);
                         }
                         next => next,
@@ -161,20 +161,20 @@
         let service = &job.route.service;
         let known = beliefs.leaders.get(service);
         let now = Instant::now();
-        let mut floor = self.floor_now(group, job, class);
+        let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
-        if let Some(bound) = bound.filter(|_| floor.is_none()) {
+        if let Some(bound) = bound.filter(|_| min_point.is_none()) {
             self.want_sample(group, now);
             if let Some(lead) = known.filter(|_| !rounds.asked_for_sample) {
                 rounds.asked_for_sample = true;
                 let max_age = sample_age(bound, lead.is_valid(now));
                 if self.hear_sample(group, service, &lead.server, max_age).await {
-                    floor = self.floor_now(group, job, class);
+                    min_point = self.current_min_point(group, job, class);
                 }
             }
         }
-        rounds.needs_primary = floor.is_none();
-        let lead = match floor {
+        rounds.needs_primary = min_point.is_none();
+        let lead = match min_point {
             Some(_) => beliefs.usable_leader(service, Instant::now()).cloned(),
             None => {
                 let lead = self.await_primary(group, job, class, rounds).await?;
@@ -185,50 +185,50 @@
                 Some(lead)
             }
         };
-        let wish = Wish {
-            only: lead.as_ref().filter(|_| floor.is_none()).map(|lead| lead.server.clone()),
-            floor,
+        let request = ConnectionRequest {
+            only: lead.as_ref().filter(|_| min_point.is_none()).map(|lead| lead.server.clone()),
+            min_point,
             avoid: rounds.avoid.clone(),
             primary: known.map(|lead| lead.server.clone()),
             priority: job.route.priority,
             yields: class == StatementClass::Read && job.route.reads != ReadRule::Primary,
             opens_transaction: rounds.opens_transaction,
-            is_handed_over: false,
-            tried: rounds.sent,
-            is_unwanted: None,
+            is_forwarded: false,
+            previous_attempts: rounds.sent,
+            cancellation: None,
             principal: Some(job.principal.clone()),
         };
         // The wait for a primary is over only now, and the wait for a connection begins.
-        let wait_until = job.wait_until(Instant::now(), group.pool.is_queued());
-        let lent = match self.acquire(group, wish, job.values, wait_until).await {
+        let wait_until = job.wait_until(Instant::now(), group.pool.has_queues());
+        let lent = match self.acquire(group, request, job.values, wait_until).await {
             Ok(lent) => lent,
             Err(error) => return Err(self.on_not_acquired(group, job, rounds, error).await),
         };
         // Time may have passed, and with it the right to use this primary.
         let now = Instant::now();
-        if floor.is_none() && !self.may_still_use(service, lead.as_ref(), now) {
+        if min_point.is_none() && !self.may_still_use(service, lead.as_ref(), now) {
             lent.give_back();
             return Err(Denied::Again);
         }
-        // A read at the primary needs no floor while the right to it holds, by what is believed now: the
+        // A read at the primary needs no minimum point while the right to it holds, by what is believed now: the
         // right may have been given up while the statement waited for its connection.
         let lead = lead.filter(|lead| {
             lead.server == *lent.server() && self.may_still_use(service, Some(lead), now)
         });
-        let floor = if lead.is_some() { None } else { floor };
+        let min_point = if lead.is_some() { None } else { min_point };
         self.count_sent(&lent, group, lead.is_some());
         let known = group.samples.borrow().latest();
-        Ok(Granted { lent, lead, floor, known })
+        Ok(Granted { lent, lead, min_point, known })
     }
 
     /// Tells the control thread that a sample is wanted, now and then: a line for each read would leave a
     /// busy control thread's ring no room for what is told once, such as a server that can't be reached.
     fn want_sample(&self, group: &Group<E>, now: Instant) {
-        let wanted_at = group.sample_wanted_at.get();
+        let wanted_at = group.sample_requested_at.get();
         if wanted_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
             return;
         }
-        group.sample_wanted_at.set(Some(now));
+        group.sample_requested_at.set(Some(now));
         // A full ring means that the control thread is behind; a later read asks again.
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
@@ -279,11 +279,11 @@
                 let why = "no connection was free in time";
                 Denied::Refuse(self.no_room(group, job, why, expected, rounds.sent))
             }
-            AcquireError::Overloaded { come_back } => {
-                Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, come_back, rounds.sent))
+            AcquireError::Overloaded { retry_delay } => {
+                Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, retry_delay, rounds.sent))
             }
-            AcquireError::Nowhere => {
-                let next = Next::TryElsewhere;
+            AcquireError::NoServer => {
+                let next = NextStep::TryElsewhere;
                 match self.prepare_next_round(rounds, job, next, Name::from("")).await {
                     Some(error) => Denied::Refuse(error),
                     None => Denied::Again,
@@ -298,7 +298,7 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         lent: &mut Lent<E>,
-        floor: Option<LogPoint>,
+        min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         if let Err(why) = lent.await_turn(job.deadline()).await {
@@ -310,20 +310,20 @@
             slow_after: job.route.target_latency.max(average * SLOW_ANSWER_FACTOR),
             may_run_again,
         };
-        self.run_watched(group, &job.errand(floor), lent, job.deadline(), watch).await
+        self.run_watched(group, &job.endpoint_task(min_point), lent, job.deadline(), watch).await
     }
 
     /// Runs something on a connection, and looks meanwhile whether its server still lives.
     pub(crate) async fn run_watched(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        errand: &Errand,
+        task: &EndpointTask,
         lent: &mut Lent<E>,
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         let reached = lent.reached();
-        let answered = lent.run(errand, deadline);
+        let answered = lent.run(task, deadline);
         tokio::pin!(answered);
         tokio::select! {
             answered = &mut answered => answered,
@@ -350,7 +350,7 @@
         let mut probed = !reached.is_own;
         let mut slow = false;
         loop {
-            let lost = group.lost_server.notified();
+            let lost = group.server_unreachable.notified();
             if may_run_again && reached.is_direct && self.is_unreachable(group, server) {
                 return;
             }
@@ -408,7 +408,7 @@
         {
             self.check_answer(group, service, lead, known, Some(point));
             group.samples.borrow_mut().add(sent_at, point);
-            group.sampled.notify_waiters();
+            group.sample_added.notify_waiters();
             self.share_sample(group, service, PrimarySample { asked_at: sent_at, point });
         }
     }
@@ -416,11 +416,11 @@
     /// Lets the other daemons of the zone have a sample, now and then.
     fn share_sample(&self, group: &Group<E>, service: &Name, sample: PrimarySample) {
         let now = Instant::now();
-        let told_at = group.sample_told_at.get();
+        let told_at = group.sample_shared_at.get();
         if told_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
             return;
         }
-        group.sample_told_at.set(Some(now));
+        group.sample_shared_at.set(Some(now));
         let observation = Observation::PrimarySampled { service: service.clone(), sample };
         // A full ring means that the control thread is behind; the next sample serves as well.
         let _ = self.observations.try_send(observation);
@@ -442,7 +442,7 @@
                 if known.server == lead.server && known.term == lead.term {
                     return true;
                 }
-                return write_stands(point, known.term, &known.history);
+                return is_write_kept(point, known.term, &known.history);
             }
             match tokio::time::timeout_at(deadline.into(), beliefs.changed()).await {
                 Ok(Ok(())) => {}
@@ -473,7 +473,7 @@
 fn sample_age(bound: Duration, may_use_primary: bool) -> Duration {
     match may_use_primary {
         true => bound / 2,
-        false => bound.saturating_sub(2 * BOUND_MARGIN),
+        false => bound.saturating_sub(2 * STALENESS_MARGIN),
     }
 }
 
