--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -55,7 +55,7 @@
 
 impl<P: Adapter> Control<P> {
     /// Whether the daemon that this one follows the store through answered a moment ago.
-    pub(crate) fn does_reader_answer(&self) -> bool {
+    pub(crate) fn does_upstream_answer(&self) -> bool {
         let heard_of = self.state.borrow().heard_of;
         heard_of.clock.is_some_and(|(_, heard_at)| heard_at.elapsed() < ANSWERED_WITHIN)
     }
@@ -77,7 +77,7 @@
             }
         };
         tokio::select! {
-            () = backoff.wait_as_follower(self.does_reader_answer()) => {}
+            () = backoff.wait_as_follower(self.does_upstream_answer()) => {}
             () = is_back => backoff.reset(),
         }
     }
--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -16,10 +16,11 @@
     catalog::ServerEntry,
     control::{
         adapter::Adapter,
-        commands::{ASK_EVERY, Commands},
-        promoter::LOOK_EVERY,
+        commands::{Commands, POLL_INTERVAL},
+        promoter::CHECK_INTERVAL,
         record::{
-            ChosenServer, LeadershipRecord, PrimaryChange, StoppedServer, Succession, majority,
+            ChosenServer, LeadershipRecord, PrimaryChange, StoppedServer, SuccessorSelection,
+            majority,
         },
         runner::Control,
     },
@@ -40,7 +41,7 @@
 
 /// Why a change ended without a new primary.
 #[derive(Debug)]
-pub(crate) enum ChangeEnd {
+pub(crate) enum ChangeFailure {
     /// The store did not do what was asked; the next look goes on from what it holds.
     Store(MetadataError),
     /// Another daemon changed the record, or holds the duty now.
@@ -53,14 +54,14 @@
     NotSettled,
 }
 
-impl std::fmt::Display for ChangeEnd {
+impl std::fmt::Display for ChangeFailure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ChangeEnd::Store(error) => error.fmt(f),
-            ChangeEnd::Superseded => f.write_str("another daemon has taken over"),
-            ChangeEnd::NoMajority => f.write_str("too few servers answered"),
-            ChangeEnd::NoSuccessor => f.write_str("no server can take over yet"),
-            ChangeEnd::NotSettled => f.write_str("the chosen server did not come to lead"),
+            ChangeFailure::Store(error) => error.fmt(f),
+            ChangeFailure::Superseded => f.write_str("another daemon has taken over"),
+            ChangeFailure::NoMajority => f.write_str("too few servers answered"),
+            ChangeFailure::NoSuccessor => f.write_str("no server can take over yet"),
+            ChangeFailure::NotSettled => f.write_str("the chosen server did not come to lead"),
         }
     }
 }
@@ -74,7 +75,7 @@
 
 /// Why a primary is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reason {
+pub(crate) enum ChangeReason {
     /// Nobody knows yet who leads.
     Unknown,
     /// Another daemon began a change and did not finish it.
@@ -94,17 +95,17 @@
     ReplicasBehind,
 }
 
-impl Reason {
+impl ChangeReason {
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Reason::Unknown => "unknown",
-            Reason::LeftUnfinished => "left_unfinished",
-            Reason::Restored => "restored",
-            Reason::Gone => "gone",
-            Reason::Restarted => "reborn",
-            Reason::Leaving => "leaving",
-            Reason::Unreachable => "unreachable",
-            Reason::ReplicasBehind => "replicas_behind",
+            ChangeReason::Unknown => "unknown",
+            ChangeReason::LeftUnfinished => "left_unfinished",
+            ChangeReason::Restored => "restored",
+            ChangeReason::Gone => "gone",
+            ChangeReason::Restarted => "reborn",
+            ChangeReason::Leaving => "leaving",
+            ChangeReason::Unreachable => "unreachable",
+            ChangeReason::ReplicasBehind => "replicas_behind",
         }
     }
 }
@@ -112,7 +113,9 @@
 impl PrimaryChange {
     /// Whether nothing has failed, so that the change takes a second and its end is sure.
     pub(crate) fn is_planned(&self) -> bool {
-        [Reason::Leaving, Reason::ReplicasBehind].iter().any(|it| it.as_str() == self.reason)
+        [ChangeReason::Leaving, ChangeReason::ReplicasBehind]
+            .iter()
+            .any(|it| it.as_str() == self.reason)
     }
 }
 
@@ -151,11 +154,11 @@
 
 impl<P: Adapter> Control<P> {
     /// Changes a group's primary and tells the log how that ended.
-    pub(crate) async fn change_and_log(&self, service: &Name, reason: Reason) {
+    pub(crate) async fn change_and_log(&self, service: &Name, reason: ChangeReason) {
         let began = Instant::now();
         let ended = match reason {
-            Reason::Unknown => self.find_first_primary(service).await,
-            Reason::Restored => self.confirm_record(service).await,
+            ChangeReason::Unknown => self.find_first_primary(service).await,
+            ChangeReason::Restored => self.confirm_record(service).await,
             _ => self.change_primary(service, reason).await,
         };
         let took_ms = began.elapsed().as_millis() as u64;
@@ -171,7 +174,7 @@
                     took_ms = took_ms, why = end.to_string().as_str();
                     "a change of primary ended without one"
                 );
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
             }
         }
     }
@@ -182,8 +185,8 @@
         service: &Name,
         record: &LeadershipRecord,
         expected: Revision,
-    ) -> Result<Revision, ChangeEnd> {
-        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
+    ) -> Result<Revision, ChangeFailure> {
+        let lease = self.held_promoter_lease().ok_or(ChangeFailure::Superseded)?;
         let record = self.state.borrow_mut().next_edition(service, record);
         let value = serde_json::to_vec(&record).expect("a record is plain data");
         let value = Bytes::from(value);
@@ -206,18 +209,18 @@
                 let read = self.store.get(&key, self.read_timeout()).await;
                 self.count_call("get", &read);
                 let in_era = |item: &Item| item.revision.era() == lease.revision.era();
-                match read.map_err(ChangeEnd::Store)? {
+                match read.map_err(ChangeFailure::Store)? {
                     Some(item) if item.value == value && in_era(&item) => Ok(item.revision),
-                    _ => Err(ChangeEnd::Superseded),
+                    _ => Err(ChangeFailure::Superseded),
                 }
             }
             // Where the store was restored meanwhile, whatever was done was done under a duty that has ended.
             Err(MetadataError::EraChanged(_)) => {
                 self.note_unwritten(service, record);
-                Err(ChangeEnd::Superseded)
+                Err(ChangeFailure::Superseded)
             }
-            Ok(TransactionOutcome::LeaseOver) => Err(ChangeEnd::Superseded),
-            Err(error) => Err(ChangeEnd::Store(error)),
+            Ok(TransactionOutcome::LeaseOver) => Err(ChangeFailure::Superseded),
+            Err(error) => Err(ChangeFailure::Store(error)),
         }
     }
 
@@ -225,10 +228,10 @@
     pub(crate) async fn change_primary(
         &self,
         service: &Name,
-        reason: Reason,
-    ) -> Result<(), ChangeEnd> {
-        let known = self.known_record(service).ok_or(ChangeEnd::Superseded)?;
-        if reason == Reason::ReplicasBehind {
+        reason: ChangeReason,
+    ) -> Result<(), ChangeFailure> {
+        let known = self.known_record(service).ok_or(ChangeFailure::Superseded)?;
+        if reason == ChangeReason::ReplicasBehind {
             self.state.borrow_mut().lead_checked.insert(service.clone(), Instant::now());
             self.check_level_replica(service, &known.record).await?;
             self.state.borrow_mut().lead_moved.insert(service.clone(), Instant::now());
@@ -236,11 +239,11 @@
         let run = self.begin_change(service, known, reason).await?;
         self.step("begun", service, &run);
         let mut commands = Commands::new(self);
-        if matches!(reason, Reason::Leaving | Reason::ReplicasBehind) {
+        if matches!(reason, ChangeReason::Leaving | ChangeReason::ReplicasBehind) {
             commands.within = PLANNED_COMMAND_WITHIN;
         }
         let ended = self.carry_out(service, run, &mut commands).await;
-        if let Err(ChangeEnd::Store(_)) = &ended {
+        if let Err(ChangeFailure::Store(_)) = &ended {
             // Nobody can go on without the store; until it is back the old primary is used by evidence,
             // which takes servers that are not paused. Whoever goes on stops them again.
             let entries = self.entries(service).into_iter();
@@ -254,7 +257,7 @@
         service: &Name,
         mut run: ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         // The order of an earlier attempt may have taken effect, and only the record of that be missing. The servers are in the
         // new term then and take no pause for it any more.
         if let Some(chosen) = run.chosen()
@@ -269,16 +272,16 @@
             // does not lead yet, it may have received more since it was chosen.
             let now = stopped.iter().find(|server| server.server == chosen.server);
             if let Some(now) = now.filter(|now| now.status.term.0 == run.record.term) {
-                chosen.keeps = now.status.received.position.0;
+                chosen.kept_position = now.status.received.position.0;
             }
             return self.order_and_settle(service, run, chosen, commands).await;
         }
         let entries = self.entries(service);
-        let succession = Succession {
+        let succession = SuccessorSelection {
             record: &run.record,
             servers: entries.len(),
             synchronous: self.synchronous_replicas(service),
-            may_stay: run.reason() == Reason::ReplicasBehind.as_str(),
+            may_stay: run.reason() == ChangeReason::ReplicasBehind.as_str(),
             is_primary_listed: entries.iter().any(|it| *it.server == *run.record.primary),
         };
         let chosen = succession.choose(&stopped);
@@ -286,7 +289,7 @@
             Some(chosen) => self.order_and_settle(service, run, chosen, commands).await,
             None => {
                 self.call_off(service, run, commands).await?;
-                Err(ChangeEnd::NoSuccessor)
+                Err(ChangeFailure::NoSuccessor)
             }
         }
     }
@@ -296,7 +299,7 @@
         &self,
         service: &Name,
         record: &LeadershipRecord,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         let asks =
             entries.iter().filter(|entry| !entry.leaving || *entry.server == *record.primary);
@@ -306,13 +309,13 @@
         let statuses = commands.ask_all(asks).await;
         let leads = |entry: &Arc<ServerEntry>| *entry.server == *record.primary;
         let primary = statuses.iter().find(|(entry, status)| leads(entry) && status.leads);
-        let (_, primary) = primary.ok_or(ChangeEnd::NoSuccessor)?;
+        let (_, primary) = primary.ok_or(ChangeFailure::NoSuccessor)?;
         let is_level = |status: &EndpointStatus| {
             status.received.term == primary.received.term
                 && status.received.position.0 + NEARLY_LEVEL >= primary.received.position.0
         };
         let level = statuses.iter().any(|(entry, status)| !leads(entry) && is_level(status));
-        level.then_some(()).ok_or(ChangeEnd::NoSuccessor)
+        level.then_some(()).ok_or(ChangeFailure::NoSuccessor)
     }
 
     /// Returns how many replicas receive a write before it is acknowledged.
@@ -326,10 +329,10 @@
         &self,
         service: &Name,
         known: Arc<VersionedRecord>,
-        reason: Reason,
-    ) -> Result<ChangeRun, ChangeEnd> {
+        reason: ChangeReason,
+    ) -> Result<ChangeRun, ChangeFailure> {
         self.change_count.set(self.change_count.get() + 1);
-        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
+        let lease = self.held_promoter_lease().ok_or(ChangeFailure::Superseded)?;
         let id = format!("{}.{}", lease.fencing_token, self.change_count.get());
         let chosen = known.record.change.as_ref().and_then(|change| change.chosen.clone());
         let reason = match known.record.change.as_ref() {
@@ -360,7 +363,7 @@
         mut run: ChangeRun,
         chosen: ChosenServer,
         commands: &mut Commands<'_, P>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let give_up_at = Instant::now() + settles;
         let mut running = true;
@@ -376,7 +379,7 @@
             run.record.change.clone().map(|change| PrimaryChange { chosen: None, ..change });
         let record = LeadershipRecord { change, ..run.record.clone() };
         self.write_record(service, &record, run.revision).await?;
-        Err(ChangeEnd::NotSettled)
+        Err(ChangeFailure::NotSettled)
     }
 
     /// Gives the order, right after the store confirmed the duty; `false` if the server is not running.
@@ -385,11 +388,11 @@
         service: &Name,
         run: &mut ChangeRun,
         chosen: &ChosenServer,
-    ) -> Result<bool, ChangeEnd> {
+    ) -> Result<bool, ChangeFailure> {
         let confirmed_at = Instant::now();
         run.set_chosen(chosen.clone());
         run.revision = self.write_record(service, &run.record, run.revision).await?;
-        let lease = self.held_promoter_lease().ok_or(ChangeEnd::Superseded)?;
+        let lease = self.held_promoter_lease().ok_or(ChangeFailure::Superseded)?;
         if confirmed_at.elapsed() > ORDER_WITHIN {
             // Another daemon may have taken the duty meanwhile; it is confirmed anew.
             return Ok(true);
@@ -428,7 +431,7 @@
             if let Some(term) = self.term_led(&entry, run, chosen, commands).await {
                 return Some(term);
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
@@ -453,20 +456,20 @@
     }
 
     /// Writes the record of a group that has none: whoever leads leads.
-    pub(crate) async fn find_first_primary(&self, service: &Name) -> Result<(), ChangeEnd> {
+    pub(crate) async fn find_first_primary(&self, service: &Name) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         let mut commands = Commands::new(self);
         let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
         let statuses = commands.ask_all(asks).await;
         if statuses.len() < majority(entries.len()) {
-            return Err(ChangeEnd::NoMajority);
+            return Err(ChangeFailure::NoMajority);
         }
         let leading = statuses.iter().filter(|(_, status)| status.leads);
         let (entry, status) =
-            leading.max_by_key(|(_, status)| status.term).ok_or(ChangeEnd::NoSuccessor)?;
+            leading.max_by_key(|(_, status)| status.term).ok_or(ChangeFailure::NoSuccessor)?;
         let highest = statuses.iter().map(|(_, status)| status.term).max();
         if highest > Some(status.term) {
-            return Err(ChangeEnd::NoSuccessor);
+            return Err(ChangeFailure::NoSuccessor);
         }
         let record = LeadershipRecord {
             term: status.term.0,
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -24,7 +24,7 @@
 /// How long a replica may take to receive what a stepped-down primary still holds.
 const CATCH_UP_WITHIN: Duration = Duration::from_millis(800);
 /// The pause between two questions to a server.
-pub(crate) const ASK_EVERY: Duration = Duration::from_millis(30);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Connections of the control thread's own, for the commands of one change.
 pub(crate) struct Commands<'a, P: Adapter> {
@@ -103,7 +103,7 @@
             if Instant::now() >= give_up_at {
                 return;
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -165,8 +165,8 @@
         loop {
             let answer = connection.ask(&EndpointCommand::own(text.clone()), deadline).await?;
             if let Some(code) = answer.error_code() {
-                if code.was_not_run() && Instant::now() + ASK_EVERY < deadline {
-                    tokio::time::sleep(ASK_EVERY).await;
+                if code.was_not_run() && Instant::now() + POLL_INTERVAL < deadline {
+                    tokio::time::sleep(POLL_INTERVAL).await;
                     continue;
                 }
                 return Err(ConnectionLost::Refused(code));
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -14,7 +14,7 @@
     catalog::{ServerEntry, ServerIncarnation},
     control::{
         adapter::Adapter,
-        change::{ChangeEnd, ChangeRun, Reason, VersionedRecord, has_taken_over},
+        change::{ChangeFailure, ChangeReason, ChangeRun, VersionedRecord, has_taken_over},
         commands::Commands,
         evidence::{self, HeldPrimaryLease, LeaderByEvidence},
         record::{ChosenServer, LeadershipRecord},
@@ -31,10 +31,10 @@
 
 impl<P: Adapter> Control<P> {
     /// Confirms a record of an era that has ended, by what the group's servers say; changes the primary where it has to be.
-    pub(crate) async fn confirm_record(&self, service: &Name) -> Result<(), ChangeEnd> {
-        let known = self.known_record(service).ok_or(ChangeEnd::Superseded)?;
+    pub(crate) async fn confirm_record(&self, service: &Name) -> Result<(), ChangeFailure> {
+        let known = self.known_record(service).ok_or(ChangeFailure::Superseded)?;
         if known.record.change.is_some() {
-            return self.change_primary(service, Reason::LeftUnfinished).await;
+            return self.change_primary(service, ChangeReason::LeftUnfinished).await;
         }
         let Some(found) = self.ask_who_leads(service, &known.record).await else {
             return self.settle_without_word(service, &known).await;
@@ -72,16 +72,16 @@
         &self,
         service: &Name,
         known: &Arc<VersionedRecord>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         if let Some(reason) = self.fault_of_primary(service, known) {
             return self.change_primary(service, reason).await;
         }
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let asked_for = self.state.borrow().restore.age(Instant::now());
         if asked_for < settles * ASKS_FOR_SETTLES {
-            return Err(ChangeEnd::NoMajority);
+            return Err(ChangeFailure::NoMajority);
         }
-        self.change_primary(service, Reason::Restored).await
+        self.change_primary(service, ChangeReason::Restored).await
     }
 
     /// Returns the term in which the chosen server leads, if its order took effect.
@@ -104,7 +104,7 @@
         chosen: &ChosenServer,
         term: u64,
         commands: &mut Commands<'_, P>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let incarnation = self.incarnation_of(service, &chosen.server);
         let record = run.record.settled(chosen, incarnation, term);
         self.write_record(service, &record, run.revision).await?;
--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -92,7 +92,7 @@
 
     fn take_found(&self, found: impl Iterator<Item = Evidence>) {
         for evidence in found {
-            self.take_evidence(&evidence);
+            self.accept_evidence(&evidence);
         }
         self.news.notify_waiters();
         self.publish();
@@ -172,7 +172,7 @@
     }
 
     /// Takes the right to a primary that a majority showed, to this daemon or to another one.
-    pub(crate) fn take_evidence(&self, found: &Evidence) {
+    pub(crate) fn accept_evidence(&self, found: &Evidence) {
         let service = &found.service;
         if !may_grant_primary_lease(found.term, self.known_leader(service)) {
             return;
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -11,8 +11,8 @@
     catalog::ServerEntry,
     control::{
         adapter::Adapter,
-        change::{ChangeEnd, ChangeRun},
-        commands::{ASK_EVERY, Commands},
+        change::{ChangeFailure, ChangeRun},
+        commands::{Commands, POLL_INTERVAL},
         record::{LeadershipRecord, PrimaryLeaseDurations, StopProgress, StoppedServer, majority},
         runner::Control,
         state::SeenMember,
@@ -45,7 +45,7 @@
         service: &Name,
         run: &mut ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Result<Vec<StoppedServer>, ChangeEnd> {
+    ) -> Result<Vec<StoppedServer>, ChangeFailure> {
         let give_up_at = Instant::now() + FENCE_WITHIN;
         loop {
             let entries = self.entries(service);
@@ -60,9 +60,9 @@
                 if run.chosen().is_none() {
                     self.call_off(service, run.clone(), commands).await?;
                 }
-                return Err(ChangeEnd::NoMajority);
+                return Err(ChangeFailure::NoMajority);
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -134,7 +134,7 @@
         service: &Name,
         run: &ChangeRun,
         fenced_at: Instant,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let bounds = PrimaryLeaseDurations {
             store: self.primary_lease_duration(),
             evidence: self.evidence_duration(),
@@ -152,7 +152,7 @@
             }
             if self.promoter_lease_left(now) < DUTY_LEFT_TO_RESUME {
                 let why = "the duty could not be renewed".to_owned();
-                return Err(ChangeEnd::Store(MetadataError::NotDone(why)));
+                return Err(ChangeFailure::Store(MetadataError::NotDone(why)));
             }
             let look_at = complete_at.min(now + LOOK_AT_DUTY_EVERY);
             tokio::select! {
@@ -186,7 +186,7 @@
         service: &Name,
         run: ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         commands
             .ask_all(entries.into_iter().map(|entry| (entry, EndpointText::Resume)).collect())
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -186,10 +186,10 @@
                 state.heard_of.reading_at = Some(reading.asked_at);
             }
             self.take_reading(reading);
-            self.tell_and_look();
+            self.report_and_probe_suspicions();
         }
         for evidence in told.evidence {
-            self.take_evidence(&evidence);
+            self.accept_evidence(&evidence);
         }
         self.take_samples(told.samples);
         self.news.notify_waiters();
@@ -211,7 +211,7 @@
             state.note_read(now, self.patience())
         };
         if is_back {
-            self.try_suspected_again();
+            self.reprobe_suspected_servers();
         }
         self.grant_primary_leases(reading.asked_at, Some(&services));
     }
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -26,7 +26,7 @@
             let outcome = match held {
                 // The store has lost it, or gives its number to somebody else.
                 Some(lease) if lease.id.era < era => {
-                    self.await_turn_to_join().await;
+                    self.await_join_slot().await;
                     self.join(lasts).await
                 }
                 Some(lease) => self.renew(lease, lasts).await,
--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -2,7 +2,6 @@
 //! daemons, who leads each group.
 
 pub mod adapter;
-mod asking;
 mod backoff;
 mod change;
 mod commands;
@@ -10,6 +9,7 @@
 pub mod control_view;
 pub(crate) mod detour;
 pub mod evidence;
+mod evidence_collection;
 mod fencing;
 mod following;
 pub mod knowledge;
@@ -24,15 +24,15 @@
 pub mod probe_schedule;
 mod promoter;
 pub mod record;
-mod records;
 pub mod reported_suspicions;
 mod reports;
 mod republish;
-mod restored;
 pub mod runner;
 pub mod servers;
+mod shared_keys;
 pub mod starting;
 mod state;
+mod store_restore;
 mod suspicion;
 pub mod tree;
 mod watching;
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -88,7 +88,7 @@
             }
         };
         tokio::select! {
-            () = backoff.wait_as_follower(self.does_reader_answer()) => {}
+            () = backoff.wait_as_follower(self.does_upstream_answer()) => {}
             () = shared => backoff.reset(),
         }
     }
@@ -114,7 +114,7 @@
     ) -> Result<(), MetadataError> {
         let own = self.read_below(&self.member_key()).await?;
         if own.revision.era() > self.state.borrow().mirror.era() {
-            return self.meet_era(StoreReading { asked_at, revision: own.revision }).await;
+            return self.handle_newer_era(StoreReading { asked_at, revision: own.revision }).await;
         }
         if self.state.borrow().own_followed_to >= own.revision {
             self.on_own_reading(own.revision, asked_at);
@@ -136,7 +136,9 @@
         let asked_at = Instant::now();
         let everything = self.read_below(&self.key("")).await?;
         if everything.revision.era() > self.state.borrow().mirror.era() {
-            return self.meet_era(StoreReading { asked_at, revision: everything.revision }).await;
+            return self
+                .handle_newer_era(StoreReading { asked_at, revision: everything.revision })
+                .await;
         }
         self.on_own_snapshot(everything, asked_at);
         Ok(())
@@ -199,14 +201,14 @@
         state.keep_reading(reading);
         drop(state);
         if is_back {
-            self.try_suspected_again();
+            self.reprobe_suspected_servers();
         }
     }
 
     /// Does what follows from any reading.
     fn finish_reading(&self, now: Instant) {
         self.note_members(now);
-        self.tell_and_look();
+        self.report_and_probe_suspicions();
         self.publish();
         self.news.notify_waiters();
     }
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -18,7 +18,7 @@
     catalog::{ServerEntry, ServerIncarnation},
     control::{
         adapter::Adapter,
-        change::{Reason, VersionedRecord},
+        change::{ChangeReason, VersionedRecord},
         move_times::MoveTimes,
         record::is_primary_lost,
         runner::{Control, RENEWALS_PER_LEASE},
@@ -29,7 +29,7 @@
 };
 
 /// How often the duty's holder looks at the groups if nothing wakes it.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(200);
+pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Groups in which whoever leads is looked for at a time, before there are records. Each takes three connections and a
 /// write; 700 groups at once left a daemon with an eighth of a core no time to read a single answer within a command's
 /// 150 ms, so that most had no primary after 14 s.
@@ -67,7 +67,7 @@
     pub(crate) async fn promoter_loop(self: Rc<Self>) {
         loop {
             tokio::select! {
-                () = tokio::time::sleep(LOOK_EVERY) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
                 () = self.changed.notified() => {}
             }
             let stopping = self.stopping.borrow().is_some();
@@ -81,7 +81,7 @@
             // A burst of changes is looked at once, and looks leave time for everything else that this thread does:
             // where there are a thousand groups, a look takes some milliseconds.
             let rest = looks_at.elapsed().mul_f64(RESTS_PER_LOOK);
-            tokio::time::sleep(rest.clamp(SHORTEST_REST, LOOK_EVERY)).await;
+            tokio::time::sleep(rest.clamp(SHORTEST_REST, CHECK_INTERVAL)).await;
         }
     }
 
@@ -244,7 +244,7 @@
             ),
         }
         // The mirror hears of it by the watch; until then nothing more is to be done.
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 
     /// Starts a change for each group that needs one.
@@ -254,7 +254,7 @@
             if self.changes_running.borrow().contains_key(&service) {
                 continue;
             }
-            if self.must_settle(&service, Instant::now()) {
+            if self.must_wait_for_orders(&service, Instant::now()) {
                 continue;
             }
             let Some(reason) = self.reason_to_change(&service) else { continue };
@@ -272,8 +272,10 @@
     }
 
     /// Whether one more change for this reason may begin beside those that run.
-    fn may_begin(&self, reason: Reason) -> bool {
-        let asks_all = |reason: &Reason| matches!(reason, Reason::Unknown | Reason::Restored);
+    fn may_begin(&self, reason: ChangeReason) -> bool {
+        let asks_all = |reason: &ChangeReason| {
+            matches!(reason, ChangeReason::Unknown | ChangeReason::Restored)
+        };
         if !asks_all(&reason) {
             return true;
         }
@@ -282,15 +284,15 @@
     }
 
     /// Says why a group's primary has to be changed; `None` if it need not be.
-    pub(crate) fn reason_to_change(&self, service: &Name) -> Option<Reason> {
+    pub(crate) fn reason_to_change(&self, service: &Name) -> Option<ChangeReason> {
         let Some(known) = self.known_record(service) else {
-            return (!self.entries(service).is_empty()).then_some(Reason::Unknown);
+            return (!self.entries(service).is_empty()).then_some(ChangeReason::Unknown);
         };
         if !self.state.borrow().is_confirmed(&known.record) {
-            return Some(Reason::Restored);
+            return Some(ChangeReason::Restored);
         }
         if known.record.change.is_some() {
-            return Some(Reason::LeftUnfinished);
+            return Some(ChangeReason::LeftUnfinished);
         }
         self.fault_of_primary(service, &known)
     }
@@ -300,31 +302,31 @@
         &self,
         service: &Name,
         known: &VersionedRecord,
-    ) -> Option<Reason> {
+    ) -> Option<ChangeReason> {
         let entries = self.entries(service);
         let Some(primary) = entries.iter().find(|entry| *entry.server == *known.record.primary)
         else {
             let is_gone = !entries.is_empty() && self.is_missing_for_long(service);
-            return is_gone.then_some(Reason::Gone);
+            return is_gone.then_some(ChangeReason::Gone);
         };
         self.state.borrow_mut().primary_missing_since.remove(service);
         if self.state.borrow_mut().is_primary_restarted(service, &known.record) {
-            return Some(Reason::Restarted);
+            return Some(ChangeReason::Restarted);
         }
         if primary.leaving {
             let other = entries.iter().any(|entry| !entry.leaving);
-            return other.then_some(Reason::Leaving);
+            return other.then_some(ChangeReason::Leaving);
         }
         let state = self.state.borrow();
         if self.is_lost_to_witnesses(&state, service, &known.record.primary) {
-            return Some(Reason::Unreachable);
+            return Some(ChangeReason::Unreachable);
         }
         let times = MoveTimes {
             behind_at: state.replicas_behind.get(service).copied(),
             moved_at: state.lead_moved.get(service).copied(),
             checked_at: state.lead_checked.get(service).copied(),
         };
-        times.allow_move(Instant::now()).then_some(Reason::ReplicasBehind)
+        times.allow_move(Instant::now()).then_some(ChangeReason::ReplicasBehind)
     }
 
     /// Whether so many of a primary's witnesses can't reach it that it is to be replaced.
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -40,7 +40,7 @@
 
 /// Which of two records of a group counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CountingRecord {
+pub enum RecordSource {
     /// The one that the store holds.
     Stored,
     /// The one that this daemon knows from before the store was restored.
@@ -49,7 +49,7 @@
 
 /// How a daemon came to the present era of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct EraSeen {
+pub struct EraView {
     /// The era.
     pub era: Era,
     /// For how long this daemon has known of it.
@@ -58,7 +58,7 @@
     pub knew_before: bool,
 }
 
-impl EraSeen {
+impl EraView {
     /// Whether a group's leadership is left as it is for now, if its record is this one: an order that was given before the
     /// restore may still take effect, though the store has lost all trace of it.
     pub fn must_wait(&self, record: Option<&LeadershipRecord>, order_settles: Duration) -> bool {
@@ -73,7 +73,7 @@
     }
 }
 
-impl CountingRecord {
+impl RecordSource {
     /// Decides between what a daemon knows and what the store holds in this era.
     ///
     /// Whoever writes a record in the present era has gathered what daemons know first, so it counts. One of an ended era
@@ -82,12 +82,12 @@
         known: Option<&LeadershipRecord>,
         stored: Option<&LeadershipRecord>,
         era: Era,
-    ) -> CountingRecord {
+    ) -> RecordSource {
         match (known, stored) {
-            (_, Some(stored)) if stored.era == era.0 => CountingRecord::Stored,
-            (Some(known), Some(stored)) if known.is_after(stored) => CountingRecord::Known,
-            (Some(_), None) if era > Era::NONE => CountingRecord::Known,
-            _ => CountingRecord::Stored,
+            (_, Some(stored)) if stored.era == era.0 => RecordSource::Stored,
+            (Some(known), Some(stored)) if known.is_after(stored) => RecordSource::Known,
+            (Some(_), None) if era > Era::NONE => RecordSource::Known,
+            _ => RecordSource::Stored,
         }
     }
 }
@@ -109,7 +109,8 @@
     /// Its identity.
     pub server: String,
     /// The position up to which it keeps the history of the ended term.
-    pub keeps: u64,
+    #[serde(rename = "keeps")]
+    pub kept_position: u64,
 }
 
 /// Terms whose starts are kept; older ones matter only to sessions that have written nothing since.
@@ -138,7 +139,7 @@
         let mut starts = self.starts.clone();
         // A primary that only started anew goes on in its term.
         if term > self.term {
-            let start = model::Position(chosen.keeps);
+            let start = model::Position(chosen.kept_position);
             starts.push(TermStart { term: model::Term(term), start });
         }
         let surplus = starts.len().saturating_sub(KEPT_STARTS);
@@ -189,7 +190,7 @@
 
 /// What a successor is chosen by, beside what the stopped servers hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Succession<'a> {
+pub struct SuccessorSelection<'a> {
     /// The record of the group, from before the successor leads.
     pub record: &'a LeadershipRecord,
     /// Servers that are listed.
@@ -202,7 +203,7 @@
     pub is_primary_listed: bool,
 }
 
-impl Succession<'_> {
+impl SuccessorSelection<'_> {
     /// Chooses the server that holds the most; among equals one that stays.
     ///
     /// The primary that is to be replaced is chosen where it `may_stay` and holds more than any other, so
@@ -220,7 +221,10 @@
         let best = holds_most(on_branch().filter(is_first_choice))
             .or_else(|| holds_most(on_branch().filter(|server| !server.status.leads)))
             .or_else(|| holds_most(stopped.iter().filter(|_| self.is_history_lost(stopped))))?;
-        Some(ChosenServer { server: best.server.clone(), keeps: best.status.received.position.0 })
+        Some(ChosenServer {
+            server: best.server.clone(),
+            kept_position: best.status.received.position.0,
+        })
     }
 
     /// Whether nobody can have the history of the term in force any more: its primary is gone for good, and
--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     control::{
-        adapter::Adapter, backoff::Backoff, record::CountingRecord, runner::Control, state::State,
+        adapter::Adapter, backoff::Backoff, record::RecordSource, runner::Control, state::State,
     },
     metadata::{
         Era, Item, MetadataError, MetadataStore, Revision, Transaction, TransactionOutcome,
@@ -126,8 +126,8 @@
             let stored = self.stored_record(service);
             let stored_record = stored.as_ref().map(|stored| &stored.record);
             let counts =
-                CountingRecord::choose(Some(&known.record), stored_record, state.mirror.era());
-            if counts == CountingRecord::Stored {
+                RecordSource::choose(Some(&known.record), stored_record, state.mirror.era());
+            if counts == RecordSource::Stored {
                 continue;
             }
             let key = self.record_key(service);
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -19,7 +19,7 @@
 use crate::{
     control::{
         adapter::Adapter,
-        change::Reason,
+        change::ChangeReason,
         control_view::{ControlView, Observation},
         packing::Packer,
         peer_link::{Asker, HandedOver},
@@ -123,7 +123,7 @@
     /// Wakes the answers to daemons that follow the store through this one.
     pub(crate) news: Notify,
     /// Changes of primary that this daemon makes now, with their reasons.
-    pub(crate) changes_running: RefCell<BTreeMap<Name, Reason>>,
+    pub(crate) changes_running: RefCell<BTreeMap<Name, ChangeReason>>,
     pub(crate) change_count: Cell<u64>,
     pub(crate) format: P::Format,
     pub(crate) control_view: watch::Sender<Arc<ControlView>>,
@@ -252,7 +252,7 @@
     /// Publishes what is believed now.
     pub(crate) fn publish(&self) {
         let now = Instant::now();
-        self.take_doubted_entries(now);
+        self.apply_deferred_entries(now);
         let mut state = self.state.borrow_mut();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
         if state.is_store_silent(self.patience()) {
--- a/crates/proxy/src/control/records.rs
+++ b/crates/proxy/src/control/shared_keys.rs
@@ -14,7 +14,7 @@
         adapter::Adapter,
         change::VersionedRecord,
         control_view::{Basis, GroupLeader},
-        record::{CountingRecord, LeadershipRecord, PrimaryChange},
+        record::{LeadershipRecord, PrimaryChange, RecordSource},
         republish::BACKUP_CONFIGURATION_KEY,
         runner::Control,
         state::{MemberValue, SeenMember, State},
@@ -41,8 +41,8 @@
     }
 
     /// Takes over a change of a key that daemons share; returns the service if it is a leadership record, which
-    /// [`Control::take_over_records`] takes over with the others that changed at the same time.
-    pub(crate) fn on_own_key(&self, key: &str) -> Option<Name> {
+    /// [`Control::apply_records`] takes over with the others that changed at the same time.
+    pub(crate) fn on_shared_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
         if let Some(service) = rest.strip_prefix("groups/") {
             return Some(Name::from(service));
@@ -53,7 +53,7 @@
             self.on_backup_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
             self.note_own_suspicion(key);
-            self.look_at_suspicion(key, suspicion);
+            self.probe_suspected_server(key, suspicion);
         }
         None
     }
@@ -84,7 +84,7 @@
 
     /// Takes over leadership records that changed, all of them before anything is published: a daemon that reads the
     /// records of a thousand groups would else make and publish its beliefs a thousand times.
-    pub(crate) fn take_over_records(&self, services: &[Name]) {
+    pub(crate) fn apply_records(&self, services: &[Name]) {
         let changed: Vec<(Name, Arc<VersionedRecord>)> = services
             .iter()
             .filter_map(|service| Some((service.clone(), self.read_record(service)?)))
@@ -117,15 +117,15 @@
         let mut state = self.state.borrow_mut();
         let known = state.records.remove(service);
         let (before, now) = (known.as_ref().map(|it| &it.record), stored.as_ref());
-        let counting = CountingRecord::choose(before, now.map(|it| &it.record), state.mirror.era());
+        let counting = RecordSource::choose(before, now.map(|it| &it.record), state.mirror.era());
         let counts = match counting {
-            CountingRecord::Stored => {
+            RecordSource::Stored => {
                 if let (Some(known), Some(stored)) = (before, &stored) {
                     self.tell_given_up(service, known, &stored.record);
                 }
                 stored?
             }
-            CountingRecord::Known => {
+            RecordSource::Known => {
                 self.republish.notify_one();
                 let item = state.mirror.get(&self.record_key(service));
                 let revision = item.map_or(Revision::ABSENT, |item| item.revision);
@@ -219,6 +219,6 @@
             puts: vec![(key, Bytes::from(change_id), Some(lease.id))],
             ..Transaction::default()
         };
-        self.write_soon(transaction, "acknowledge_stop");
+        self.queue_write(transaction, "acknowledge_stop");
     }
 }
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -23,9 +23,9 @@
         record::LeadershipRecord,
         reported_suspicions::ReportedSuspicions,
         republish::ConfigurationVersions,
-        restored::Restore,
         servers::{ServerList, ServersByService},
-        witnesses::Witnessing,
+        store_restore::Restore,
+        witnesses::WitnessCache,
     },
     metadata::{LeaseId, Revision},
 };
@@ -119,7 +119,7 @@
     pub(crate) reported_suspicions: ReportedSuspicions,
     /// When servers were looked at that others suspect, and of which this daemon is a witness.
     pub(crate) probe_schedule: ProbeSchedule,
-    pub(crate) witnessing: Witnessing,
+    pub(crate) witness_cache: WitnessCache,
     /// When the store was last found again after a time without it.
     pub(crate) store_back_at: Option<Instant>,
     pub(crate) published_servers: Arc<ServersByService>,
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -19,7 +19,7 @@
         adapter::Adapter,
         change::VersionedRecord,
         peers::StoreReading,
-        record::{EraSeen, LeadershipRecord},
+        record::{EraView, LeadershipRecord},
         runner::Control,
         state::State,
     },
@@ -45,7 +45,7 @@
     /// The store's revision as it was first read in this era: what stands there or below came out of the copy.
     copied_to: Revision,
     /// Servers' entries in the copy that go against what is known.
-    doubted: BTreeSet<String>,
+    deferred: BTreeSet<String>,
 }
 
 impl Restore {
@@ -126,7 +126,12 @@
 
     /// Whether an entry of the copy goes against what is known of its server: that it is gone, leaves, or has started again
     /// since. It counts once its server had time to write again, if it then still stands there.
-    pub(crate) fn doubts(&mut self, item: &Item, entry: &ServerEntry, grace: Duration) -> bool {
+    pub(crate) fn contradicts_known_server(
+        &mut self,
+        item: &Item,
+        entry: &ServerEntry,
+        grace: Duration,
+    ) -> bool {
         let restore = &self.restore;
         let is_copied = restore.knew_before && item.revision <= restore.copied_to;
         if !is_copied || restore.age(Instant::now()) >= grace {
@@ -140,7 +145,7 @@
             Some(known) => known.leaving && !entry.leaving,
         };
         if is_against {
-            self.restore.doubted.insert(item.key.clone());
+            self.restore.deferred.insert(item.key.clone());
         }
         is_against
     }
@@ -164,7 +169,7 @@
             entered_at: Some(now),
             knew_before,
             copied_to: revision,
-            doubted: BTreeSet::new(),
+            deferred: BTreeSet::new(),
         };
         // The duty ended with its lease, and what was missing while nothing was heard can't be known.
         state.promoter_lease = None;
@@ -189,7 +194,10 @@
 
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
     /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
-    pub(crate) async fn meet_era(&self, reading: StoreReading) -> Result<(), MetadataError> {
+    pub(crate) async fn handle_newer_era(
+        &self,
+        reading: StoreReading,
+    ) -> Result<(), MetadataError> {
         if self.zone_reader().is_none() {
             return self.read_everything().await;
         }
@@ -218,12 +226,12 @@
             has_entered
         };
         if has_entered {
-            self.take_over_records(std::slice::from_ref(service));
+            self.apply_records(std::slice::from_ref(service));
         }
     }
 
     /// Waits for this daemon's turn to join again: all daemons of the fleet have lost their leases at the same moment.
-    pub(crate) async fn await_turn_to_join(&self) {
+    pub(crate) async fn await_join_slot(&self) {
         let members = self.state.borrow().members.len() as u32;
         let longest = (JOIN_EVERY * members).min(JOIN_WITHIN);
         let part: f64 = rand::rng().random_range(0.0..1.0);
@@ -231,10 +239,10 @@
     }
 
     /// Whether a group's leadership is left as it is for now.
-    pub(crate) fn must_settle(&self, service: &Name, now: Instant) -> bool {
+    pub(crate) fn must_wait_for_orders(&self, service: &Name, now: Instant) -> bool {
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let state = self.state.borrow();
-        let seen = EraSeen {
+        let seen = EraView {
             era: state.mirror.era(),
             known_for: state.restore.age(now),
             knew_before: state.restore.knew_before,
@@ -255,16 +263,16 @@
     }
 
     /// Takes over what the copy said of servers against what was known, where they did not write again in time.
-    pub(crate) fn take_doubted_entries(&self, now: Instant) {
-        let doubted: Vec<Item> = {
+    pub(crate) fn apply_deferred_entries(&self, now: Instant) {
+        let deferred: Vec<Item> = {
             let mut state = self.state.borrow_mut();
-            if state.restore.doubted.is_empty() || state.restore.age(now) < self.lapse_grace() {
+            if state.restore.deferred.is_empty() || state.restore.age(now) < self.lapse_grace() {
                 return;
             }
-            let keys = std::mem::take(&mut state.restore.doubted);
+            let keys = std::mem::take(&mut state.restore.deferred);
             keys.iter().filter_map(|key| state.mirror.get(key).cloned()).collect()
         };
-        for item in doubted {
+        for item in deferred {
             log::info!(
                 event = "entry_taken_back", key = item.key.as_str();
                 "a server's entry of before the restore counts again, as nothing else was written"
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -139,14 +139,14 @@
         let suspected = state.suspected.iter().filter(|(_, asked_at)| is_confirmed(asked_at));
         let wanted: BTreeSet<String> =
             suspected.map(|((service, server), _)| self.suspicion_key(service, server)).collect();
-        let State { reported_suspicions, witnessing, members, members_version, mirror, .. } =
+        let State { reported_suspicions, witness_cache, members, members_version, mirror, .. } =
             &mut *state;
         let may_put = |key: &str| {
             let Some((below, _)) = key.rsplit_once('/') else { return false };
             let Some((_, server)) = below.rsplit_once('/') else { return false };
             let hosts = || members.keys().map(|host| &**host);
             let look = || is_witness(server, &self.settings.host, hosts());
-            witnessing.is_witness(&Name::from(server), *members_version, look)
+            witness_cache.is_witness(&Name::from(server), *members_version, look)
                 || mirror.below(&format!("{below}/")).nth(MOST_OTHERS - 1).is_none()
         };
         let untold = reported_suspicions.untold(&wanted, Instant::now(), may_put);
@@ -166,7 +166,7 @@
     /// Has a server looked at that another daemon suspects, if this one is a witness: one daemon alone may be wrong, and
     /// the witnesses may have no reason of their own to notice. A server that this one can't reach either is tried again
     /// and again anyhow.
-    pub(crate) fn look_at_suspicion(&self, key: &str, suspicion: &str) {
+    pub(crate) fn probe_suspected_server(&self, key: &str, suspicion: &str) {
         let mut parts = suspicion.split('/');
         let (Some(service), Some(server)) = (parts.next(), parts.next()) else { return };
         let pair = (Name::from(service), Name::from(server));
@@ -175,10 +175,10 @@
             if state.mirror.get(key).is_none() || state.suspected.contains_key(&pair) {
                 return;
             }
-            let State { witnessing, members, members_version, probe_schedule, .. } = &mut *state;
+            let State { witness_cache, members, members_version, probe_schedule, .. } = &mut *state;
             let hosts = || members.keys().map(|host| &**host);
             let look = || is_witness(server, &self.settings.host, hosts());
-            if !witnessing.is_witness(&pair.1, *members_version, look)
+            if !witness_cache.is_witness(&pair.1, *members_version, look)
                 || !probe_schedule.on_suspected(&pair, Instant::now())
             {
                 return;
@@ -189,7 +189,7 @@
 
     /// Does what follows from a reading: suspicions that the store should show by now and does not are told, and servers
     /// that were suspected again are looked at.
-    pub(crate) fn tell_and_look(&self) {
+    pub(crate) fn report_and_probe_suspicions(&self) {
         self.suspicions_due.notify_one();
         self.look_again();
     }
@@ -212,7 +212,7 @@
     }
 
     /// Has the servers tried again that this daemon could not reach before the store was back.
-    pub(crate) fn try_suspected_again(&self) {
+    pub(crate) fn reprobe_suspected_servers(&self) {
         let unconfirmed: Vec<(Name, Name)> = {
             let state = self.state.borrow();
             let is_older =
@@ -271,7 +271,7 @@
     }
 
     /// Starts a write whose failure costs time and nothing else.
-    pub(crate) fn write_soon(&self, transaction: Transaction, what: &'static str) {
+    pub(crate) fn queue_write(&self, transaction: Transaction, what: &'static str) {
         // A full ring means that the store has been silent for long; a later reading makes up for it.
         if self.writes.0.try_send((transaction, what)).is_err() {
             log::warn!(event = "write_dropped", what = what; "too many writes wait for the store");
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -235,12 +235,12 @@
             }
             if key.starts_with(&*self.settings.metadata.prefix) {
                 own_changed = true;
-                records.extend(self.on_own_key(&key));
+                records.extend(self.on_shared_key(&key));
             } else {
                 self.on_foreign_change(change);
             }
         }
-        self.take_over_records(&records);
+        self.apply_records(&records);
         if own_changed {
             self.changed.notify_waiters();
         }
@@ -308,7 +308,7 @@
         match self.format.decode_server(&item.key, &item.value) {
             Ok(entry) => {
                 let mut state = self.state.borrow_mut();
-                if state.doubts(item, &entry, self.lapse_grace()) {
+                if state.contradicts_known_server(item, &entry, self.lapse_grace()) {
                     return;
                 }
                 let (server, leaving, leads) =
--- a/crates/proxy/src/control/witnesses.rs
+++ b/crates/proxy/src/control/witnesses.rs
@@ -10,12 +10,12 @@
 
 /// Witnesses of one server at the most. A third of them says that it is lost; where a sixth of the daemons is cut off
 /// from it, as many as that among 45 are hardly ever found.
-pub const MOST_WITNESSES: usize = 45;
+pub const MAX_WITNESSES: usize = 45;
 
 /// Returns the witnesses of a server; the same on every daemon that knows the same members.
 pub fn witnesses_of<'a>(server: &str, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let mut witnesses = rank_hosts(server, members);
-    witnesses.truncate(MOST_WITNESSES);
+    witnesses.truncate(MAX_WITNESSES);
     witnesses
 }
 
@@ -28,17 +28,17 @@
     let own = (rendezvous_score(server, host), host);
     let before =
         members.into_iter().filter(|member| (rendezvous_score(server, member), *member) > own);
-    before.take(MOST_WITNESSES).count() < MOST_WITNESSES
+    before.take(MAX_WITNESSES).count() < MAX_WITNESSES
 }
 
 /// The servers of which this daemon is known to be a witness, or not to be one, among the present members.
 #[derive(Debug, Default)]
-pub(crate) struct Witnessing {
+pub(crate) struct WitnessCache {
     members_version: u64,
     known: HashMap<Name, bool>,
 }
 
-impl Witnessing {
+impl WitnessCache {
     /// Says whether this daemon is a witness, by `look` where that was not found out since members changed.
     pub(crate) fn is_witness(
         &mut self,
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -13,8 +13,8 @@
         mirror::{Mirror, News},
         move_times::MoveTimes,
         record::{
-            ChosenServer, CountingRecord, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations,
-            StopProgress, StoppedServer, Succession, is_primary_lost,
+            ChosenServer, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations, RecordSource,
+            StopProgress, StoppedServer, SuccessorSelection, is_primary_lost,
         },
         servers::{Lapsed, ServerList},
     },
@@ -116,8 +116,14 @@
 }
 
 /// A group of three servers whose primary in term 1 is `a`.
-fn succession(record: &LeadershipRecord) -> Succession<'_> {
-    Succession { record, servers: 3, synchronous: 0, may_stay: false, is_primary_listed: true }
+fn succession(record: &LeadershipRecord) -> SuccessorSelection<'_> {
+    SuccessorSelection {
+        record,
+        servers: 3,
+        synchronous: 0,
+        may_stay: false,
+        is_primary_listed: true,
+    }
 }
 
 fn first_record() -> LeadershipRecord {
@@ -126,7 +132,9 @@
 
 #[test]
 fn the_successor_holds_the_most_and_stays() {
-    let chosen = |server: &str, keeps| Some(ChosenServer { server: server.to_owned(), keeps });
+    let chosen = |server: &str, kept_position| {
+        Some(ChosenServer { server: server.to_owned(), kept_position })
+    };
     let old = stopped("a", 9, true, true);
     let behind = stopped("b", 7, false, false);
     let ahead = stopped("c", 9, false, false);
@@ -142,7 +150,7 @@
     ];
     let record = first_record();
     for (name, servers, synchronous, expected) in cases {
-        let succession = Succession { synchronous, ..succession(&record) };
+        let succession = SuccessorSelection { synchronous, ..succession(&record) };
         assert_eq!(succession.choose(&servers), expected, "{name}");
     }
 }
@@ -153,7 +161,7 @@
     let behind = stopped("b", 8, false, false);
     let level = stopped("c", 9, false, false);
     let record = first_record();
-    let succession = Succession { may_stay: true, ..succession(&record) };
+    let succession = SuccessorSelection { may_stay: true, ..succession(&record) };
     let chosen = |servers: &[StoppedServer]| succession.choose(servers).unwrap().server;
     assert_eq!(chosen(&[old.clone(), behind.clone()]), "a");
     assert_eq!(chosen(&[old, behind, level]), "c");
@@ -162,7 +170,7 @@
 #[test]
 fn a_successor_holds_nothing_that_a_promotion_took_back() {
     // Term 2 began with nine entries; its primary `b` is to be replaced.
-    let keeps_nine = ChosenServer { server: "b".to_owned(), keeps: 9 };
+    let keeps_nine = ChosenServer { server: "b".to_owned(), kept_position: 9 };
     let record = first_record().settled(&keeps_nine, None, 2);
     let server = |server: &str, term, received, replaced| StoppedServer {
         server: server.to_owned(),
@@ -173,7 +181,9 @@
     let former = |received| server("a", 1, received, false);
     let follower = |received| server("c", 2, received, false);
     let primary = || server("b", 2, 40, true);
-    let chosen = |server: &str, keeps| Some(ChosenServer { server: server.to_owned(), keeps });
+    let chosen = |server: &str, kept_position| {
+        Some(ChosenServer { server: server.to_owned(), kept_position })
+    };
     let cases = [
         ("a follower before a longer log", vec![former(12), follower(10)], true, chosen("c", 10)),
         ("the primary that stepped down", vec![former(12), primary()], true, chosen("b", 40)),
@@ -195,8 +205,11 @@
     ];
     for (name, servers, is_primary_listed, expected) in cases {
         let servers_listed = if is_primary_listed { 3 } else { 2 };
-        let succession =
-            Succession { is_primary_listed, servers: servers_listed, ..succession(&record) };
+        let succession = SuccessorSelection {
+            is_primary_listed,
+            servers: servers_listed,
+            ..succession(&record)
+        };
         assert_eq!(succession.choose(&servers), expected, "{name}");
     }
 }
@@ -205,13 +218,15 @@
 fn a_settled_record_says_where_the_term_began() {
     let record =
         LeadershipRecord { term: 3, primary: "a".to_owned(), ..LeadershipRecord::default() };
-    let settled = record.settled(&ChosenServer { server: "b".to_owned(), keeps: 17 }, None, 4);
+    let settled =
+        record.settled(&ChosenServer { server: "b".to_owned(), kept_position: 17 }, None, 4);
     assert_eq!((settled.term, settled.primary.as_str()), (4, "b"));
     assert_eq!(settled.change, None);
     assert_eq!(settled.starts[0].term, Term(4));
     assert_eq!(settled.starts[0].start.0, 17);
     // The primary started anew under another identity: no term began.
-    let renamed = record.settled(&ChosenServer { server: "c".to_owned(), keeps: 17 }, None, 3);
+    let renamed =
+        record.settled(&ChosenServer { server: "c".to_owned(), kept_position: 17 }, None, 3);
     assert_eq!((renamed.term, renamed.primary.as_str()), (3, "c"));
     assert!(renamed.starts.is_empty());
 }
@@ -422,9 +437,10 @@
 /// What is known is put back over the copy, and never over what was confirmed in the present era.
 #[test]
 fn the_latest_record_of_an_ended_era_counts_until_one_is_confirmed() {
-    use CountingRecord::{Known, Stored};
+    use RecordSource::{Known, Stored};
     let changing = |chosen: Option<&str>| {
-        let chosen = chosen.map(|server| ChosenServer { server: server.to_owned(), keeps: 1 });
+        let chosen =
+            chosen.map(|server| ChosenServer { server: server.to_owned(), kept_position: 1 });
         let change = PrimaryChange { id: "1.1".to_owned(), reason: "gone".to_owned(), chosen };
         LeadershipRecord { change: Some(change), ..written(0, 0, 4) }
     };
@@ -441,7 +457,7 @@
         ("confirmed meanwhile", Some(written(1, 9, 6)), Some(written(2, 3, 5)), 2, Stored),
     ];
     for (name, known, stored, era, expected) in cases {
-        let counts = CountingRecord::choose(known.as_ref(), stored.as_ref(), Era(era));
+        let counts = RecordSource::choose(known.as_ref(), stored.as_ref(), Era(era));
         assert_eq!(counts, expected, "{name}");
     }
 }
--- a/crates/proxy/tests/history_model.rs
+++ b/crates/proxy/tests/history_model.rs
@@ -13,7 +13,7 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use proxy::{
-    control::record::{ChosenServer, LeadershipRecord, StoppedServer, Succession},
+    control::record::{ChosenServer, LeadershipRecord, StoppedServer, SuccessorSelection},
     statement::EndpointStatus,
 };
 
@@ -138,7 +138,7 @@
             .collect();
         let before = self.record.clone();
         let record = if any_branch { &LeadershipRecord::default() } else { &before };
-        let succession = Succession {
+        let succession = SuccessorSelection {
             record,
             servers: SERVERS,
             synchronous: 0,
--- a/crates/proxy/tests/restore_model.rs
+++ b/crates/proxy/tests/restore_model.rs
@@ -15,7 +15,7 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use proxy::{
-    control::record::{ChosenServer, CountingRecord, EraSeen, LeadershipRecord, PrimaryChange},
+    control::record::{ChosenServer, EraView, LeadershipRecord, PrimaryChange, RecordSource},
     metadata::{Era, Revision},
 };
 
@@ -277,8 +277,8 @@
             daemon.era = Some(era);
         }
         let stored = store.record.as_ref().map(|(record, _)| record);
-        let counts = CountingRecord::choose(daemon.record.as_ref(), stored, era);
-        if counts == CountingRecord::Stored {
+        let counts = RecordSource::choose(daemon.record.as_ref(), stored, era);
+        if counts == RecordSource::Stored {
             daemon.record = stored.cloned();
         }
         if let Some(record) = &daemon.record {
@@ -308,8 +308,8 @@
         let daemon = self.daemons[number].clone();
         let stands = self.store.record.as_ref().map_or(0, |(_, revision)| *revision);
         let stored = self.store.record.as_ref().map(|(record, _)| record);
-        let counts = CountingRecord::choose(daemon.record.as_ref(), stored, self.era);
-        if let Some(record) = daemon.record.filter(|_| counts == CountingRecord::Known)
+        let counts = RecordSource::choose(daemon.record.as_ref(), stored, self.era);
+        if let Some(record) = daemon.record.filter(|_| counts == RecordSource::Known)
             && stands == daemon.record_revision
         {
             self.put_record(record);
@@ -352,7 +352,7 @@
         let daemon = &self.daemons[number];
         let known = daemon.record.clone()?;
         let era = daemon.era?;
-        let seen = EraSeen {
+        let seen = EraView {
             era,
             known_for: Duration::from_millis(self.now_ms - daemon.entered_at_ms),
             knew_before: daemon.knew_before,
@@ -379,7 +379,7 @@
             // The servers' word, where the record is of an ended era.
             None if known.era != era.0 => Some((written(self.settled(&known)), None)),
             None => {
-                let chosen = ChosenServer { server: server.to_string(), keeps: 0 };
+                let chosen = ChosenServer { server: server.to_string(), kept_position: 0 };
                 let change = PrimaryChange {
                     id: String::new(),
                     reason: String::new(),
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -9,7 +9,7 @@
 use proxy::control::{
     probe_schedule::ProbeSchedule,
     reported_suspicions::{PendingSuspicionWrites, ReportedSuspicions},
-    witnesses::{MOST_WITNESSES, is_witness, witnesses_of},
+    witnesses::{MAX_WITNESSES, is_witness, witnesses_of},
 };
 
 fn hosts(count: usize) -> Vec<String> {
@@ -23,7 +23,7 @@
         let hosts = hosts(count);
         let members = || hosts.iter().map(String::as_str);
         let witnesses: BTreeSet<&str> = witnesses_of("i-1", members()).into_iter().collect();
-        assert_eq!(witnesses.len(), count.min(MOST_WITNESSES), "of {count}");
+        assert_eq!(witnesses.len(), count.min(MAX_WITNESSES), "of {count}");
         for host in members() {
             let expected = witnesses.contains(host);
             assert_eq!(is_witness("i-1", host, members()), expected, "{host} of {count}");
@@ -39,7 +39,7 @@
     let servers: Vec<String> = (0..1_000).map(|number| format!("i-{number}")).collect();
     let of_one = |host| servers.iter().filter(|server| is_witness(server, host, members())).count();
     let most = members().step_by(30).map(of_one).max();
-    let mean = servers.len() * MOST_WITNESSES / hosts.len();
+    let mean = servers.len() * MAX_WITNESSES / hosts.len();
     assert!(most <= Some(2 * mean), "{most:?} where the mean is {mean}");
 }
 
