--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -1,4 +1,4 @@
-//! The servers, as their entries in the store say.
+//! The list of servers, maintained from their entries in the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,38 +10,37 @@
 
 use crate::catalog::{ServerEntry, ServerIncarnation};
 
-struct Known {
+struct KnownServer {
     entry: Arc<ServerEntry>,
-    /// When its entry disappeared. An entry can lapse while the store is out of the servers' reach, so
-    /// the server is believed in for a while longer.
+    /// When its entry disappeared. An entry can lapse while the servers can't reach the store, so the server stays listed
+    /// for a grace time.
     lapsed_at: Option<Instant>,
 }
 
-/// Servers whose entries have stayed away.
+/// Servers whose entries have been missing for the grace time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lapsed {
-    /// Those that are taken for leaving ones from now on.
+    /// Servers that are treated as leaving from now on.
     pub leaving: Vec<Name>,
-    /// Those that are not listed any more.
+    /// Servers that are no longer listed.
     pub gone: Vec<Name>,
 }
 
 /// Servers by their service.
 pub type ServersByService = HashMap<Name, Vec<Arc<ServerEntry>>>;
 
-/// Every server that has an entry, or had one a moment ago.
+/// Every server that has an entry, or had one within the grace time.
 #[derive(Default)]
 pub struct ServerList {
-    known: BTreeMap<String, Known>,
-    /// How many of them have no entry.
+    known: BTreeMap<String, KnownServer>,
+    /// The number of servers without an entry.
     lapsed: usize,
-    /// Made when it is asked for, and kept until something changes: whoever promotes looks at the servers of every
-    /// group again and again, and with a thousand groups did little else while each look made the whole.
+    /// Built on demand and cached until a server changes, since the promoter reads the servers of every group often.
     by_service: Option<Arc<ServersByService>>,
 }
 
 impl ServerList {
-    /// Drops a server at once: its entry says nothing that can be read, so it is none that may be used.
+    /// Removes a server immediately because its entry can't be read. Returns whether it was listed.
     pub fn discard(&mut self, key: &str) -> bool {
         let Some(known) = self.known.remove(key) else { return false };
         self.lapsed -= usize::from(known.lapsed_at.is_some());
@@ -49,20 +48,20 @@
         true
     }
 
-    /// Returns the life of the server whose entry has this key, if it is known and tells of lives. It makes no list of all
-    /// servers: a daemon that read the entries of three thousand and made that list for each did little else.
+    /// Returns the incarnation of the server whose entry has this key, if it is known and reports one. Does not build the
+    /// list by service, which would be slow when many entries are read in sequence.
     pub fn incarnation_at(&self, key: &str) -> Option<ServerIncarnation> {
         self.known.get(key)?.entry.incarnation
     }
 
-    /// Returns the life of a service's server that is listed now, if servers tell of lives.
+    /// Returns the incarnation of a listed server of a service, if it reports one.
     pub fn incarnation_of(&mut self, service: &str, server: &str) -> Option<ServerIncarnation> {
         let by_service = self.by_service();
         let entries = by_service.get(service)?;
         entries.iter().find(|entry| &*entry.server == server)?.incarnation
     }
 
-    /// Whether a server that was known in the life `then` is listed in another one.
+    /// Whether a server that was known in the incarnation `then` is now listed in another one.
     pub fn is_restarted(
         &mut self,
         service: &str,
@@ -73,7 +72,7 @@
         self.incarnation_of(service, server).is_some_and(|now| now != then)
     }
 
-    /// Takes over an entry; returns whether anything that matters changed.
+    /// Applies an entry; returns whether it changed the list.
     pub fn put(&mut self, key: &str, entry: ServerEntry) -> bool {
         match self.known.get_mut(key) {
             Some(known) if *known.entry == entry && known.lapsed_at.is_none() => return false,
@@ -83,7 +82,7 @@
                 known.lapsed_at = None;
             }
             None => {
-                let known = Known { entry: Arc::new(entry), lapsed_at: None };
+                let known = KnownServer { entry: Arc::new(entry), lapsed_at: None };
                 self.known.insert(key.to_owned(), known);
             }
         }
@@ -91,7 +90,8 @@
         true
     }
 
-    /// Notes that an entry disappeared. A server that was leaving is gone; any other may have lapsed.
+    /// Handles a removed entry. A leaving server is removed; the entry of any other one may have lapsed. Returns whether
+    /// the list changed.
     pub fn remove(&mut self, key: &str, now: Instant) -> bool {
         let Some(known) = self.known.get_mut(key) else { return false };
         if known.entry.leaving {
@@ -104,7 +104,7 @@
         false
     }
 
-    /// Notes that an entry is missing that its server did not take away, as in a store that was restored.
+    /// Marks an entry as missing that its server did not remove, as in a restored store.
     pub fn lapse(&mut self, key: &str, now: Instant) {
         let Some(known) = self.known.get_mut(key) else { return };
         if known.lapsed_at.is_none() {
@@ -113,31 +113,30 @@
         }
     }
 
-    /// Returns the server whose entry has this key, or had it a moment ago.
+    /// Returns the server whose entry has this key, or had it within the grace time.
     pub fn at(&self, key: &str) -> Option<&ServerEntry> {
         self.known.get(key).map(|known| &*known.entry)
     }
 
-    /// Takes servers whose entry has been gone for longer than `grace` for leaving ones, and drops them
-    /// after as long again. Some servers never say that they leave and serve on for a while, so a primary
-    /// among them leads until it is replaced.
+    /// Treats servers whose entry has been missing for `grace` as leaving, and removes them after twice that time. Some
+    /// servers leave without announcing it and serve for a while, so a primary among them leads until it is replaced.
     pub fn expire(&mut self, grace: Duration, now: Instant) -> Lapsed {
         if self.lapsed == 0 {
             return Lapsed::default();
         }
-        let gone_for = |known: &Known| {
+        let missing_for = |known: &KnownServer| {
             known.lapsed_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
         };
         let mut lapsed = Lapsed::default();
         for known in self.known.values_mut() {
-            if gone_for(known) >= grace * 2 {
+            if missing_for(known) >= grace * 2 {
                 lapsed.gone.push(known.entry.server.clone());
-            } else if gone_for(known) >= grace && !known.entry.leaving {
+            } else if missing_for(known) >= grace && !known.entry.leaving {
                 Arc::make_mut(&mut known.entry).leaving = true;
                 lapsed.leaving.push(known.entry.server.clone());
             }
         }
-        self.known.retain(|_, known| gone_for(known) < grace * 2);
+        self.known.retain(|_, known| missing_for(known) < grace * 2);
         self.lapsed -= lapsed.gone.len();
         if lapsed != Lapsed::default() {
             self.by_service = None;
@@ -145,7 +144,7 @@
         lapsed
     }
 
-    /// Forgets how long entries have been missing, as after a time in which the store was away.
+    /// Restarts the grace time of all missing entries, as after an outage of the store.
     pub fn restart_grace(&mut self, now: Instant) {
         for known in self.known.values_mut() {
             if known.lapsed_at.is_some() {
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Returns the servers by service; the same value for as long as nothing changes.
+    /// Returns the servers by service; the cached value as long as no server changes.
     pub fn by_service(&mut self) -> Arc<ServersByService> {
         let known = &self.known;
         let by_service = self.by_service.get_or_insert_with(|| {
