--- a/crates/proxy/src/control/witnesses.rs
+++ b/crates/proxy/src/control/witnesses.rs
@@ -1,18 +1,18 @@
-//! Which daemons look whether a server lives that somebody can't reach, and whose word on it counts.
+//! The witnesses of a server: the daemons that probe it when another one can't reach it, and whose reports count.
 //!
-//! If every daemon looked, each suspicion would open a connection from all of them, and in a large fleet one busy server
-//! would be asked by so many that it answers none in time. See `docs/PLATFORM.md`, "Who leads".
+//! Limiting them keeps a suspicion in a large fleet from opening a connection to the server from every daemon. See
+//! `docs/PLATFORM.md`, "Who leads".
 
 use std::collections::HashMap;
 
 use model::Name;
 use routing::{rank_hosts, rendezvous_score};
 
-/// Witnesses of one server at the most. A third of them says that it is lost; where a sixth of the daemons is cut off
-/// from it, as many as that among 45 are hardly ever found.
+/// The largest number of witnesses of one server. A third of them must agree to replace a primary, which is very unlikely
+/// when only a small part of the fleet is disconnected from it.
 pub const MAX_WITNESSES: usize = 45;
 
-/// Returns the witnesses of a server; the same on every daemon that knows the same members.
+/// Returns the witnesses of a server. Every daemon that knows the same members gets the same result.
 pub fn witnesses_of<'a>(server: &str, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let mut witnesses = rank_hosts(server, members);
     witnesses.truncate(MAX_WITNESSES);
@@ -31,7 +31,7 @@
     before.take(MAX_WITNESSES).count() < MAX_WITNESSES
 }
 
-/// The servers of which this daemon is known to be a witness, or not to be one, among the present members.
+/// A cache of whether this daemon is a witness of a server, for the current members.
 #[derive(Debug, Default)]
 pub(crate) struct WitnessCache {
     members_version: u64,
@@ -39,17 +39,17 @@
 }
 
 impl WitnessCache {
-    /// Says whether this daemon is a witness, by `look` where that was not found out since members changed.
+    /// Returns whether this daemon is a witness of a server; calls `compute` if that is unknown for the current members.
     pub(crate) fn is_witness(
         &mut self,
         server: &Name,
         members_version: u64,
-        look: impl FnOnce() -> bool,
+        compute: impl FnOnce() -> bool,
     ) -> bool {
         if self.members_version != members_version {
             self.members_version = members_version;
             self.known.clear();
         }
-        *self.known.entry(server.clone()).or_insert_with(look)
+        *self.known.entry(server.clone()).or_insert_with(compute)
     }
 }
