--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -1,8 +1,8 @@
-//! How a primary is changed, step by step.
+//! The steps of a change of primary.
 //!
-//! Record that it begins, so that daemons stop → stop the servers → wait until no right can be left →
-//! record whom → order → verify → record the outcome. Every step can be taken up by the next holder of
-//! the duty. `docs/PLATFORM.md`, "Who leads", has the argument and the table of faults.
+//! Record the change, so that daemons stop using the primary → stop the servers → wait until no daemon can hold a primary
+//! lease → record the successor → order its promotion → verify → record the outcome. A new promoter can resume at
+//! every step. `docs/PLATFORM.md`, "Who leads", has the argument and the table of faults.
 
 use std::{
     sync::Arc,
@@ -29,28 +29,28 @@
     statement::{EndpointStatus, EndpointText},
 };
 
-/// How long a server may take to answer a command where nothing has failed: an overloaded primary takes
-/// its time, and what it holds counts.
-const PLANNED_COMMAND_WITHIN: Duration = Duration::from_millis(1_000);
-/// An order must leave within this time after the store confirmed the duty; a new holder waits longer
+/// Timeout of a command in a planned change: an overloaded primary answers slowly, and its position is needed.
+const PLANNED_COMMAND_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The longest time between the store's confirmation of the promoter lease and the order. A new promoter waits longer
 /// than this before its first order.
-const ORDER_WITHIN: Duration = Duration::from_millis(400);
-/// How many entries a replica may lack that is to take over without need: it receives, and gets the rest
-/// in a moment.
-const NEARLY_LEVEL: u64 = 8;
+const MAX_ORDER_DELAY: Duration = Duration::from_millis(400);
+/// How long to wait for a promotion to take effect before it is ordered again.
+const REORDER_AFTER: Duration = Duration::from_millis(1_200);
+/// How many log entries a replica may lack to take over in an optional change; it receives the rest during the change.
+const MAX_SUCCESSOR_LAG_ENTRIES: u64 = 8;
 
 /// Why a change ended without a new primary.
 #[derive(Debug)]
 pub(crate) enum ChangeFailure {
-    /// The store did not do what was asked; the next look goes on from what it holds.
+    /// A call to the store failed; the next check resumes from what the store holds.
     Store(MetadataError),
-    /// Another daemon changed the record, or holds the duty now.
+    /// Another daemon changed the record or is the promoter now.
     Superseded,
-    /// Too few servers answered; the change was called off.
+    /// Too few servers answered; the change was cancelled.
     NoMajority,
     /// No server can take over yet.
     NoSuccessor,
-    /// The chosen server did not come to lead in time.
+    /// The chosen server did not become primary in time.
     NotSettled,
 }
 
@@ -61,12 +61,12 @@
             ChangeFailure::Superseded => f.write_str("another daemon has taken over"),
             ChangeFailure::NoMajority => f.write_str("too few servers answered"),
             ChangeFailure::NoSuccessor => f.write_str("no server can take over yet"),
-            ChangeFailure::NotSettled => f.write_str("the chosen server did not come to lead"),
+            ChangeFailure::NotSettled => f.write_str("the chosen server did not become primary"),
         }
     }
 }
 
-/// A record with the revision at which it was read or written.
+/// A leadership record with the store revision at which it was read or written.
 #[derive(Clone, Debug)]
 pub(crate) struct VersionedRecord {
     pub(crate) record: LeadershipRecord,
@@ -76,22 +76,22 @@
 /// Why a primary is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeReason {
-    /// Nobody knows yet who leads.
+    /// The group has no leadership record yet.
     Unknown,
-    /// Another daemon began a change and did not finish it.
+    /// Another daemon started a change and did not finish it.
     LeftUnfinished,
-    /// The store was restored, and its record may be older than what was done since.
+    /// The store was restored from a backup, so its record may be outdated.
     Restored,
-    /// The primary's entry is gone.
+    /// The primary is no longer listed.
     Gone,
-    /// The primary started again and holds nothing of what it led with.
+    /// The primary process restarted and lost the state in which it was primary.
     Restarted,
     /// The primary is leaving.
     Leaving,
-    /// Too many daemons can't reach the primary.
+    /// Enough witnesses can't reach the primary.
     Unreachable,
-    /// Every replica shows too old data, and the primary can't run all reads alone. A replica that has
-    /// received everything can lead at once, and the former primary then runs reads.
+    /// All replicas apply too slowly for the reads, and the primary can't run all reads alone. A replica that has received
+    /// everything can take over immediately, and the old primary then serves reads.
     ReplicasBehind,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl PrimaryChange {
-    /// Whether nothing has failed, so that the change takes a second and its end is sure.
+    /// Whether the change was not caused by a failure. Such a change takes about a second.
     pub(crate) fn is_planned(&self) -> bool {
         [ChangeReason::Leaving, ChangeReason::ReplicasBehind]
             .iter()
@@ -119,7 +119,7 @@
     }
 }
 
-/// A change that this daemon carries out.
+/// A change that this daemon drives.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeRun {
     pub(crate) record: LeadershipRecord,
@@ -136,7 +136,7 @@
         self.record.change.as_ref().map_or("", |change| &change.reason)
     }
 
-    /// Whether nothing has failed, so that the old primary can lead until the order.
+    /// Whether the change was not caused by a failure, so that the old primary can lead until the order.
     pub(crate) fn is_planned(&self) -> bool {
         self.record.change.as_ref().is_some_and(PrimaryChange::is_planned)
     }
@@ -153,11 +153,11 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Changes a group's primary and tells the log how that ended.
+    /// Settles a group's leadership and logs the outcome.
     pub(crate) async fn change_and_log(&self, service: &Name, reason: ChangeReason) {
         let began = Instant::now();
         let ended = match reason {
-            ChangeReason::Unknown => self.find_first_primary(service).await,
+            ChangeReason::Unknown => self.record_first_primary(service).await,
             ChangeReason::Restored => self.confirm_record(service).await,
             _ => self.change_primary(service, reason).await,
         };
@@ -166,20 +166,20 @@
             Ok(()) => log::info!(
                 event = "change_done", service = &**service, reason = reason.as_str(),
                 took_ms = took_ms;
-                "a group's leadership is settled"
+                "group leadership settled"
             ),
             Err(end) => {
                 log::info!(
                     event = "change_ended", service = &**service, reason = reason.as_str(),
                     took_ms = took_ms, why = end.to_string().as_str();
-                    "a change of primary ended without one"
+                    "change of primary ended without a new primary"
                 );
                 tokio::time::sleep(CHECK_INTERVAL).await;
             }
         }
     }
 
-    /// Writes a record if it still stands at `expected`, and the duty is still this daemon's.
+    /// Writes a record if the stored one is still at `expected` and this daemon is still the promoter.
     pub(crate) async fn write_record(
         &self,
         service: &Name,
@@ -205,7 +205,7 @@
             }
             Ok(TransactionOutcome::Conflict)
             | Err(MetadataError::NoAnswer(_) | MetadataError::Unfinished) => {
-                // The answer to an earlier attempt may have been lost: what stands there decides.
+                // The answer to an earlier attempt may have been lost, so the stored value decides.
                 let read = self.store.get(&key, self.read_timeout()).await;
                 self.count_call("get", &read);
                 let in_era = |item: &Item| item.revision.era() == lease.revision.era();
@@ -214,7 +214,7 @@
                     _ => Err(ChangeFailure::Superseded),
                 }
             }
-            // Where the store was restored meanwhile, whatever was done was done under a duty that has ended.
+            // If the store was restored meanwhile, the write used a promoter lease of an earlier era.
             Err(MetadataError::EraChanged(_)) => {
                 self.note_unwritten(service, record);
                 Err(ChangeFailure::Superseded)
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Carries a change out, or goes on with one that another daemon left.
+    /// Changes the primary, or resumes a change that another daemon left unfinished.
     pub(crate) async fn change_primary(
         &self,
         service: &Name,
@@ -233,69 +233,71 @@
         let known = self.known_record(service).ok_or(ChangeFailure::Superseded)?;
         if reason == ChangeReason::ReplicasBehind {
             self.state.borrow_mut().lead_checked.insert(service.clone(), Instant::now());
-            self.check_level_replica(service, &known.record).await?;
+            self.check_caught_up_replica(service, &known.record).await?;
             self.state.borrow_mut().lead_moved.insert(service.clone(), Instant::now());
         }
         let run = self.begin_change(service, known, reason).await?;
-        self.step("begun", service, &run);
+        self.log_step("begun", service, &run);
         let mut commands = Commands::new(self);
         if matches!(reason, ChangeReason::Leaving | ChangeReason::ReplicasBehind) {
-            commands.within = PLANNED_COMMAND_WITHIN;
+            commands.timeout = PLANNED_COMMAND_TIMEOUT;
         }
-        let ended = self.carry_out(service, run, &mut commands).await;
+        let ended = self.complete_change(service, run, &mut commands).await;
         if let Err(ChangeFailure::Store(_)) = &ended {
-            // Nobody can go on without the store; until it is back the old primary is used by evidence,
-            // which takes servers that are not paused. Whoever goes on stops them again.
+            // The change can't continue without the store. Until it is back, daemons use the old primary on evidence, which
+            // requires servers that are not paused. The daemon that resumes the change stops them again.
             let entries = self.entries(service).into_iter();
-            commands.ask_all(entries.map(|entry| (entry, EndpointText::Resume)).collect()).await;
+            commands.send_all(entries.map(|entry| (entry, EndpointText::Resume)).collect()).await;
         }
         ended
     }
 
-    async fn carry_out(
+    async fn complete_change(
         &self,
         service: &Name,
         mut run: ChangeRun,
         commands: &mut Commands<'_, P>,
     ) -> Result<(), ChangeFailure> {
-        // The order of an earlier attempt may have taken effect, and only the record of that be missing. The servers are in the
-        // new term then and take no pause for it any more.
+        // The order of an earlier attempt may have taken effect without being recorded. The servers are then in the new
+        // term and refuse to be paused for it.
         if let Some(chosen) = run.chosen()
             && let Some(entry) = self.entry_of(service, &chosen.server)
-            && let Some(term) = self.term_led(&entry, &run, &chosen, commands).await
+            && let Some(term) = self.takeover_term(&entry, &run, &chosen, commands).await
         {
-            return self.settle(service, &run, &chosen, term, commands).await;
+            return self.record_takeover(service, &run, &chosen, term, commands).await;
         }
-        let stopped = self.await_stop(service, &mut run, commands).await?;
+        let stopped = self.fence_old_primary(service, &mut run, commands).await?;
         if let Some(mut chosen) = run.chosen() {
-            // An order may have been given before; it is repeated, and no other server is named. If it
-            // does not lead yet, it may have received more since it was chosen.
+            // A promotion may have been ordered before, so it is repeated for the same server. If that server is not primary
+            // yet, it may have received more entries since it was chosen.
             let now = stopped.iter().find(|server| server.server == chosen.server);
             if let Some(now) = now.filter(|now| now.status.term.0 == run.record.term) {
                 chosen.kept_position = now.status.received.position.0;
             }
-            return self.order_and_settle(service, run, chosen, commands).await;
+            return self.promote_and_record(service, run, chosen, commands).await;
         }
         let entries = self.entries(service);
         let succession = SuccessorSelection {
             record: &run.record,
             servers: entries.len(),
-            synchronous: self.synchronous_replicas(service),
-            may_stay: run.reason() == ChangeReason::ReplicasBehind.as_str(),
+            synchronous_replicas: self.synchronous_replicas(service),
+            may_keep_primary: run.reason() == ChangeReason::ReplicasBehind.as_str(),
             is_primary_listed: entries.iter().any(|it| *it.server == *run.record.primary),
         };
         let chosen = succession.choose(&stopped);
-        match chosen.filter(|chosen| chosen.server != run.record.primary || !leads_on(&stopped)) {
-            Some(chosen) => self.order_and_settle(service, run, chosen, commands).await,
+        match chosen
+            .filter(|chosen| chosen.server != run.record.primary || !old_primary_leads(&stopped))
+        {
+            Some(chosen) => self.promote_and_record(service, run, chosen, commands).await,
             None => {
-                self.call_off(service, run, commands).await?;
+                self.cancel_change(service, run, commands).await?;
                 Err(ChangeFailure::NoSuccessor)
             }
         }
     }
 
-    /// Whether some replica has received nearly all that the primary holds.
-    pub(crate) async fn check_level_replica(
+    /// Fails unless some replica has received nearly everything that the primary holds.
+    pub(crate) async fn check_caught_up_replica(
         &self,
         service: &Name,
         record: &LeadershipRecord,
@@ -305,26 +307,28 @@
             entries.iter().filter(|entry| !entry.leaving || *entry.server == *record.primary);
         let asks = asks.map(|entry| (entry.clone(), EndpointText::Status)).collect();
         let mut commands = Commands::new(self);
-        commands.within = PLANNED_COMMAND_WITHIN;
-        let statuses = commands.ask_all(asks).await;
+        commands.timeout = PLANNED_COMMAND_TIMEOUT;
+        let statuses = commands.send_all(asks).await;
         let leads = |entry: &Arc<ServerEntry>| *entry.server == *record.primary;
         let primary = statuses.iter().find(|(entry, status)| leads(entry) && status.leads);
         let (_, primary) = primary.ok_or(ChangeFailure::NoSuccessor)?;
-        let is_level = |status: &EndpointStatus| {
+        let is_caught_up = |status: &EndpointStatus| {
             status.received.term == primary.received.term
-                && status.received.position.0 + NEARLY_LEVEL >= primary.received.position.0
+                && status.received.position.0 + MAX_SUCCESSOR_LAG_ENTRIES
+                    >= primary.received.position.0
         };
-        let level = statuses.iter().any(|(entry, status)| !leads(entry) && is_level(status));
-        level.then_some(()).ok_or(ChangeFailure::NoSuccessor)
+        let caught_up =
+            statuses.iter().any(|(entry, status)| !leads(entry) && is_caught_up(status));
+        caught_up.then_some(()).ok_or(ChangeFailure::NoSuccessor)
     }
 
-    /// Returns how many replicas receive a write before it is acknowledged.
+    /// Returns the number of replicas that receive a write before it is acknowledged.
     pub(crate) fn synchronous_replicas(&self, service: &Name) -> u32 {
         let state = self.state.borrow();
         state.catalog.services.get(service).map_or(0, |rule| rule.synchronous_replicas)
     }
 
-    /// Records that the group changes its primary, from when on no daemon renews its right to it.
+    /// Records that the group's primary is being changed; from then on no daemon renews its primary lease.
     pub(crate) async fn begin_change(
         &self,
         service: &Name,
@@ -345,19 +349,19 @@
         Ok(ChangeRun { record, revision, recorded_at: Instant::now() })
     }
 
-    /// Tells the log and the metrics of a step.
-    pub(crate) fn step(&self, step: &'static str, service: &Name, run: &ChangeRun) {
+    /// Logs and counts a step of a change.
+    pub(crate) fn log_step(&self, step: &'static str, service: &Name, run: &ChangeRun) {
         self.metrics.promotion_steps.with_label_values(&[step]).inc();
         log::info!(
             event = "change_step", step = step, service = &**service, term = run.record.term,
             primary = run.record.primary.as_str(), change = run.id(),
             since_begun_ms = run.recorded_at.elapsed().as_millis() as u64;
-            "a step of a change of primary"
+            "change of primary reached a step"
         );
     }
 
-    /// Orders that the chosen server lead, and records it once it does.
-    pub(crate) async fn order_and_settle(
+    /// Orders the promotion of the chosen server, and records it once that server is primary.
+    pub(crate) async fn promote_and_record(
         &self,
         service: &Name,
         mut run: ChangeRun,
@@ -366,15 +370,15 @@
     ) -> Result<(), ChangeFailure> {
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let give_up_at = Instant::now() + settles;
-        let mut running = true;
-        while running && Instant::now() < give_up_at {
-            running = self.order(service, &mut run, &chosen).await?;
-            self.step("ordered", service, &run);
-            if let Some(term) = self.await_lead(service, &run, &chosen, commands).await {
-                return self.settle(service, &run, &chosen, term, commands).await;
+        let mut is_running = true;
+        while is_running && Instant::now() < give_up_at {
+            is_running = self.order_promotion(service, &mut run, &chosen).await?;
+            self.log_step("ordered", service, &run);
+            if let Some(term) = self.await_takeover(service, &run, &chosen, commands).await {
+                return self.record_takeover(service, &run, &chosen, term, commands).await;
             }
         }
-        // It will not lead any more: the next look may choose another.
+        // The order can no longer take effect, so the next attempt may choose another server.
         let change =
             run.record.change.clone().map(|change| PrimaryChange { chosen: None, ..change });
         let record = LeadershipRecord { change, ..run.record.clone() };
@@ -382,8 +386,8 @@
         Err(ChangeFailure::NotSettled)
     }
 
-    /// Gives the order, right after the store confirmed the duty; `false` if the server is not running.
-    pub(crate) async fn order(
+    /// Orders the promotion directly after the store confirmed the promoter lease; `false` if the server is not running.
+    pub(crate) async fn order_promotion(
         &self,
         service: &Name,
         run: &mut ChangeRun,
@@ -393,8 +397,8 @@
         run.set_chosen(chosen.clone());
         run.revision = self.write_record(service, &run.record, run.revision).await?;
         let lease = self.held_promoter_lease().ok_or(ChangeFailure::Superseded)?;
-        if confirmed_at.elapsed() > ORDER_WITHIN {
-            // Another daemon may have taken the duty meanwhile; it is confirmed anew.
+        if confirmed_at.elapsed() > MAX_ORDER_DELAY {
+            // Another daemon may have become promoter meanwhile, so the lease is confirmed again.
             return Ok(true);
         }
         let order = PromotionOrder {
@@ -410,25 +414,25 @@
                 log::info!(
                     event = "order_failed", service = &**service, server = chosen.server.as_str(),
                     fencing_token = lease.fencing_token, why = error.to_string().as_str();
-                    "a promotion's order was not answered with success"
+                    "promotion order failed"
                 );
                 Ok(error != OrderError::NotRunning)
             }
         }
     }
 
-    /// Waits for the chosen server to lead; returns its term.
-    pub(crate) async fn await_lead(
+    /// Waits for the chosen server to become primary; returns its term.
+    pub(crate) async fn await_takeover(
         &self,
         service: &Name,
         run: &ChangeRun,
         chosen: &ChosenServer,
         commands: &mut Commands<'_, P>,
     ) -> Option<u64> {
-        let again_at = Instant::now() + Duration::from_millis(1_200);
-        while Instant::now() < again_at {
+        let give_up_at = Instant::now() + REORDER_AFTER;
+        while Instant::now() < give_up_at {
             let entry = self.entry_of(service, &chosen.server)?;
-            if let Some(term) = self.term_led(&entry, run, chosen, commands).await {
+            if let Some(term) = self.takeover_term(&entry, run, chosen, commands).await {
                 return Some(term);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -436,7 +440,7 @@
         None
     }
 
-    /// Lets the other servers receive again.
+    /// Lets the other servers receive entries again.
     pub(crate) async fn resume_others(
         &self,
         service: &Name,
@@ -448,19 +452,19 @@
         let others = self.entries(service).into_iter();
         let others = others.filter(|entry| *entry.server != *chosen.server);
         let asks = others.map(|entry| match *entry.server == *old_primary {
-            // It becomes a replica at once instead of when it hears of the new primary.
+            // It becomes a replica immediately instead of when it learns of the new primary.
             true => (entry, EndpointText::StepDown { term }),
             false => (entry, EndpointText::Resume),
         });
-        commands.ask_all(asks.collect()).await;
+        commands.send_all(asks.collect()).await;
     }
 
-    /// Writes the record of a group that has none: whoever leads leads.
-    pub(crate) async fn find_first_primary(&self, service: &Name) -> Result<(), ChangeFailure> {
+    /// Writes the first record of a group, which names the server that already leads.
+    pub(crate) async fn record_first_primary(&self, service: &Name) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         let mut commands = Commands::new(self);
         let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
-        let statuses = commands.ask_all(asks).await;
+        let statuses = commands.send_all(asks).await;
         if statuses.len() < majority(entries.len()) {
             return Err(ChangeFailure::NoMajority);
         }
@@ -482,13 +486,13 @@
     }
 }
 
-/// Whether the old primary was left to lead.
-fn leads_on(stopped: &[StoppedServer]) -> bool {
-    stopped.iter().any(|server| server.replaced && server.status.leads)
+/// Whether the old primary still leads.
+fn old_primary_leads(stopped: &[StoppedServer]) -> bool {
+    stopped.iter().any(|server| server.is_old_primary && server.status.leads)
 }
 
-/// Whether the chosen server leads, and not just still. One that leads in the term that was in force
-/// is the former primary, started anew under another identity: nobody else has led since.
+/// Whether the chosen server has become primary, rather than having remained so. A server that leads in the recorded term
+/// under another identity is the old primary after a restart.
 pub(crate) fn has_taken_over(
     record: &LeadershipRecord,
     chosen: &ChosenServer,
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to servers in a change of primary, over connections of the control thread's own.
+//! Commands to servers during a change of primary, over the control thread's own connections.
 
 use std::{
     collections::HashMap,
@@ -19,51 +19,51 @@
     statement::{EndpointCommand, EndpointStatus, EndpointText, ErrorCode},
 };
 
-/// How long a server may take to answer a command of a change that is made because of a failure.
-const COMMAND_WITHIN: Duration = Duration::from_millis(150);
-/// How long a replica may take to receive what a stepped-down primary still holds.
-const CATCH_UP_WITHIN: Duration = Duration::from_millis(800);
-/// The pause between two questions to a server.
+/// Timeout of a command when the change was caused by a failure.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long to wait for a replica to receive the entries that a stepped-down primary still holds.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
+/// The interval between two requests to a server whose state is polled.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Connections of the control thread's own, for the commands of one change.
+/// Sends the commands of one change over the control thread's own connections.
 pub(crate) struct Commands<'a, P: Adapter> {
     pub(crate) control: &'a Control<P>,
-    pub(crate) open: HashMap<Name, EndpointConnection<P::Dialect>>,
-    /// How long a server may take to answer.
-    pub(crate) within: Duration,
+    pub(crate) connections: HashMap<Name, EndpointConnection<P::Dialect>>,
+    /// The timeout of one command.
+    pub(crate) timeout: Duration,
 }
 
 impl<'a, P: Adapter> Commands<'a, P> {
     pub(crate) fn new(control: &'a Control<P>) -> Commands<'a, P> {
-        Commands { control, open: HashMap::new(), within: COMMAND_WITHIN }
+        Commands { control, connections: HashMap::new(), timeout: COMMAND_TIMEOUT }
     }
 
-    /// Gives a server a command and returns its status after it.
-    pub(crate) async fn ask(
+    /// Sends a command to a server and returns its status afterwards.
+    pub(crate) async fn send(
         &mut self,
         entry: &Arc<ServerEntry>,
         text: EndpointText,
     ) -> Result<EndpointStatus, ConnectionLost> {
-        let open = self.open.remove(&entry.server);
+        let existing = self.connections.remove(&entry.server);
         let (connection, status) =
-            self.control.command(open, entry.clone(), text, self.within).await?;
+            self.control.send_command(existing, entry.clone(), text, self.timeout).await?;
         if let Some(connection) = connection {
-            self.open.insert(entry.server.clone(), connection);
+            self.connections.insert(entry.server.clone(), connection);
         }
         Ok(status)
     }
 
-    /// Gives several servers their commands at once; returns those that answered.
-    pub(crate) async fn ask_all(
+    /// Sends commands to several servers concurrently; returns the statuses of those that answered.
+    pub(crate) async fn send_all(
         &mut self,
         asks: Vec<(Arc<ServerEntry>, EndpointText)>,
     ) -> Vec<(Arc<ServerEntry>, EndpointStatus)> {
-        let (control, within) = (self.control, self.within);
+        let (control, timeout) = (self.control, self.timeout);
         let running = asks.into_iter().map(|(entry, text)| {
-            let open = self.open.remove(&entry.server);
+            let existing = self.connections.remove(&entry.server);
             async move {
-                let answered = control.command(open, entry.clone(), text, within).await;
+                let answered = control.send_command(existing, entry.clone(), text, timeout).await;
                 (entry, answered)
             }
         });
@@ -73,30 +73,30 @@
             match answer {
                 Ok((connection, status)) => {
                     if let Some(connection) = connection {
-                        self.open.insert(entry.server.clone(), connection);
+                        self.connections.insert(entry.server.clone(), connection);
                     }
                     statuses.push((entry, status));
                 }
                 Err(lost) => log::info!(
                     event = "server_silent", server = &*entry.server,
                     why = lost.to_string().as_str();
-                    "a server did not answer a command"
+                    "server did not answer a command"
                 ),
             }
         }
         statuses
     }
 
-    /// Waits until some replica has received what the old primary holds.
+    /// Waits until some replica has received everything that the old primary holds, or the timeout expires.
     pub(crate) async fn await_catch_up(
         &mut self,
         replicas: &[Arc<ServerEntry>],
         old: &EndpointStatus,
     ) {
-        let give_up_at = Instant::now() + CATCH_UP_WITHIN;
+        let give_up_at = Instant::now() + CATCH_UP_TIMEOUT;
         loop {
             let asks = replicas.iter().map(|entry| (entry.clone(), EndpointText::Status));
-            let statuses = self.ask_all(asks.collect()).await;
+            let statuses = self.send_all(asks.collect()).await;
             if statuses.iter().any(|(_, status)| status.received >= old.received) {
                 return;
             }
@@ -108,24 +108,24 @@
     }
 }
 
-/// A server's status, with the connection that it came over if that is the control thread's own.
-pub(crate) type Commanded<E> = (Option<EndpointConnection<E>>, EndpointStatus);
+/// A server's status, and the connection that returned it if it belongs to the control thread.
+pub(crate) type CommandResult<E> = (Option<EndpointConnection<E>>, EndpointStatus);
 
 impl<P: Adapter> Control<P> {
-    /// Gives a server a command over a connection of the control thread's own; where the server
-    /// grants no more of them, over those that sessions share.
-    pub(crate) async fn command(
+    /// Sends a command over a connection of the control thread, or over a shared session connection if the server
+    /// accepts no more connections.
+    pub(crate) async fn send_command(
         &self,
-        open: Option<EndpointConnection<P::Dialect>>,
+        existing: Option<EndpointConnection<P::Dialect>>,
         entry: Arc<ServerEntry>,
         text: EndpointText,
-        within: Duration,
-    ) -> Result<Commanded<P::Dialect>, ConnectionLost> {
-        match self.ask_over(open, entry.clone(), text.clone(), within).await {
+        timeout: Duration,
+    ) -> Result<CommandResult<P::Dialect>, ConnectionLost> {
+        match self.send_over(existing, entry.clone(), text.clone(), timeout).await {
             Ok((connection, status)) => Ok((Some(connection), status)),
             Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)) => {
                 let (answer, answered) = oneshot::channel();
-                let deadline = Instant::now() + within;
+                let deadline = Instant::now() + timeout;
                 let ask = CommandAsk {
                     service: entry.service.clone(),
                     server: entry.server.clone(),
@@ -133,7 +133,7 @@
                     deadline,
                     answer,
                 };
-                // A full ring means that the serving thread is behind; the command is given again.
+                // If the queue is full, the serving thread is overloaded; the caller repeats the command.
                 let _ = self.asks.try_send(Ask::Command(ask));
                 match tokio::time::timeout_at(deadline.into(), answered).await {
                     Ok(Ok(status)) => Ok((None, status)),
@@ -146,20 +146,21 @@
         }
     }
 
-    pub(crate) async fn ask_over(
+    /// Sends a command over `existing` or a new connection, and retries refusals that did not run it until the timeout.
+    pub(crate) async fn send_over(
         &self,
-        open: Option<EndpointConnection<P::Dialect>>,
+        existing: Option<EndpointConnection<P::Dialect>>,
         entry: Arc<ServerEntry>,
         mut text: EndpointText,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(EndpointConnection<P::Dialect>, EndpointStatus), ConnectionLost> {
-        let deadline = Instant::now() + within;
-        let mut connection = match open {
+        let deadline = Instant::now() + timeout;
+        let mut connection = match existing {
             Some(connection) if connection.is_quiet() => connection,
             _ => {
                 let introduction =
                     Introduction { host: &self.settings.host, principal: &Principal::Daemon };
-                EndpointConnection::open(&self.dialect, &entry, introduction, within).await?
+                EndpointConnection::open(&self.dialect, &entry, introduction, timeout).await?
             }
         };
         loop {
@@ -172,7 +173,7 @@
                 return Err(ConnectionLost::Refused(code));
             }
             if text == EndpointText::Resume {
-                // Its answer holds no status.
+                // The answer to a resume contains no status.
                 text = EndpointText::Status;
                 continue;
             }
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -1,7 +1,7 @@
-//! Confirming, after the store was restored, who leads each group, before anybody uses a primary by the store's word again.
+//! Confirms the primary of each group after the store was restored, before daemons use a primary on the basis of the store.
 //!
-//! The holder of the duty waits until an order from before can't take effect any more and daemons have put back what they
-//! know, then asks the servers. See `docs/design/store-restored.md`.
+//! The promoter waits until earlier promotion orders can't take effect any more and the daemons have republished what they
+//! know, then queries the servers. See `docs/design/store-restored.md`.
 
 use std::{
     sync::Arc,
@@ -25,33 +25,35 @@
     statement::EndpointText,
 };
 
-/// How many times as long as an order takes to settle the servers are asked who leads before a group whose servers don't
-/// agree gets a new primary: a driver that died may have left them paused, and nobody know of it.
-const ASKS_FOR_SETTLES: u32 = 2;
+/// How long the servers are queried before a group without agreement gets a new primary, in multiples of the time that an
+/// order takes to settle. A promoter that failed may have left them paused.
+const QUERY_ORDER_PERIODS: u32 = 2;
 
 impl<P: Adapter> Control<P> {
-    /// Confirms a record of an era that has ended, by what the group's servers say; changes the primary where it has to be.
+    /// Confirms a record of an earlier era by querying the group's servers, or changes the primary if necessary.
     pub(crate) async fn confirm_record(&self, service: &Name) -> Result<(), ChangeFailure> {
         let known = self.known_record(service).ok_or(ChangeFailure::Superseded)?;
         if known.record.change.is_some() {
             return self.change_primary(service, ChangeReason::LeftUnfinished).await;
         }
-        let Some(found) = self.ask_who_leads(service, &known.record).await else {
-            return self.settle_without_word(service, &known).await;
+        let Some(found) = self.query_leader(service, &known.record).await else {
+            return self.resolve_without_agreement(service, &known).await;
         };
-        let record = confirmed(&known.record, &found, self.incarnation_of(service, &found.server));
+        let record =
+            confirmed_record(&known.record, &found, self.incarnation_of(service, &found.server));
         self.write_record(service, &record, known.revision).await?;
         self.metrics.restores.with_label_values(&["confirmed"]).inc();
         log::info!(
             event = "record_confirmed", service = &**service, primary = &*found.server,
             term = found.term.0, known_term = known.record.term;
-            "the servers say who leads, and the record counts again"
+            "leadership record confirmed by the servers"
         );
         Ok(())
     }
 
-    /// Asks the group's servers; a majority is enough for the primary that this daemon may use at the moment, else all.
-    async fn ask_who_leads(
+    /// Queries the group's servers. A majority suffices for the primary that this daemon may use now; otherwise all of them
+    /// have to agree.
+    async fn query_leader(
         &self,
         service: &Name,
         record: &LeadershipRecord,
@@ -61,43 +63,43 @@
         let held = HeldPrimaryLease { known_term: held.known_term.max(Term(record.term)), ..held };
         let mut commands = Commands::new(self);
         let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
-        let answered = commands.ask_all(asks).await;
+        let answered = commands.send_all(asks).await;
         let statuses: Vec<_> =
             answered.into_iter().map(|(entry, status)| (entry.server.clone(), status)).collect();
-        evidence::judge(&statuses, entries.len(), &held)
+        evidence::judge_statuses(&statuses, entries.len(), &held)
     }
 
-    /// Goes on where the servers' answers don't show who leads: replaces a primary that has failed, and any after a while.
-    async fn settle_without_word(
+    /// Handles answers that don't show a primary: replaces a failed primary at once, and any primary after a while.
+    async fn resolve_without_agreement(
         &self,
         service: &Name,
         known: &Arc<VersionedRecord>,
     ) -> Result<(), ChangeFailure> {
-        if let Some(reason) = self.fault_of_primary(service, known) {
+        if let Some(reason) = self.primary_fault(service, known) {
             return self.change_primary(service, reason).await;
         }
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
-        let asked_for = self.state.borrow().restore.age(Instant::now());
-        if asked_for < settles * ASKS_FOR_SETTLES {
+        let era_age = self.state.borrow().restore.age(Instant::now());
+        if era_age < settles * QUERY_ORDER_PERIODS {
             return Err(ChangeFailure::NoMajority);
         }
         self.change_primary(service, ChangeReason::Restored).await
     }
 
-    /// Returns the term in which the chosen server leads, if its order took effect.
-    pub(crate) async fn term_led(
+    /// Returns the term in which the chosen server leads, if the order took effect.
+    pub(crate) async fn takeover_term(
         &self,
         entry: &Arc<ServerEntry>,
         run: &ChangeRun,
         chosen: &ChosenServer,
         commands: &mut Commands<'_, P>,
     ) -> Option<u64> {
-        let status = commands.ask(entry, EndpointText::Status).await.ok()?;
+        let status = commands.send(entry, EndpointText::Status).await.ok()?;
         has_taken_over(&run.record, chosen, &status).then_some(status.term.0)
     }
 
-    /// Records that the chosen server leads, and lets the others go on.
-    pub(crate) async fn settle(
+    /// Records the chosen server as primary, and resumes the other servers.
+    pub(crate) async fn record_takeover(
         &self,
         service: &Name,
         run: &ChangeRun,
@@ -106,15 +108,15 @@
         commands: &mut Commands<'_, P>,
     ) -> Result<(), ChangeFailure> {
         let incarnation = self.incarnation_of(service, &chosen.server);
-        let record = run.record.settled(chosen, incarnation, term);
+        let record = run.record.with_new_primary(chosen, incarnation, term);
         self.write_record(service, &record, run.revision).await?;
-        self.step("settled", service, run);
+        self.log_step("settled", service, run);
         let old = run.record.primary.as_str();
         self.resume_others(service, chosen, old, Term(term), commands).await;
         Ok(())
     }
 
-    /// Returns where the duty's key stands if it is of an era that has ended: nobody holds the duty by it.
+    /// Returns the revision of the promoter key if it is of an earlier era, in which case no daemon is promoter.
     pub(crate) fn expired_promoter_key(&self, state: &State) -> Option<Revision> {
         let item = state.mirror.get(&self.promoter_key())?;
         let text = std::str::from_utf8(&item.value).ok()?;
@@ -122,7 +124,7 @@
         (era < state.mirror.era().0).then_some(item.revision)
     }
 
-    /// Takes the key of a duty away whose era has ended; the duty is free once that is heard of.
+    /// Removes the promoter key of an earlier era, so that the role can be acquired.
     pub(crate) async fn remove_expired_promoter_key(&self, revision: Revision) {
         let transaction = Transaction {
             expected: vec![(self.promoter_key(), revision)],
@@ -133,19 +135,20 @@
         self.count_call("commit", &removed);
         match removed {
             Ok(TransactionOutcome::Done(_)) => log::info!(
-                event = "duty_ended"; "the duty of before the store's restore was taken away"
+                event = "duty_ended"; "removed the promoter key of an earlier store era"
             ),
             Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseOver) => {}
             Err(error) => log::info!(
                 event = "duty_unclear", why = error.to_string().as_str();
-                "whether the duty's key was taken away is not known yet"
+                "the removal of the expired promoter key may not have been applied"
             ),
         }
     }
 }
 
-/// Returns a record that says what the servers showed. Where they are in a later term than it knows, where that began is lost.
-fn confirmed(
+/// Returns the record with the primary that the servers reported. The term starts are unknown if the servers are in a term
+/// that the record does not contain.
+fn confirmed_record(
     record: &LeadershipRecord,
     found: &LeaderByEvidence,
     incarnation: Option<ServerIncarnation>,
--- a/crates/proxy/src/control/evidence.rs
+++ b/crates/proxy/src/control/evidence.rs
@@ -1,14 +1,14 @@
-//! The right to use a primary while the store is out of reach, by what the servers themselves say.
+//! Primary leases that are based on the statuses of the servers while the store is unreachable.
 //!
-//! Whoever promotes stops a majority of the servers first and then waits for as long as this right
-//! lasts. So a majority that is not stopped, when asked, shows that no later term has begun and that
-//! none will for that long. See `docs/PLATFORM.md`, "Who leads".
+//! A promoter stops a majority of the servers and then waits for the duration of such a lease. A majority that is not
+//! stopped therefore shows that no later term has started and that none will start within that duration. See
+//! `docs/PLATFORM.md`, "Who leads".
 
 use model::{Name, Term};
 
 use crate::{control::record::majority, statement::EndpointStatus};
 
-/// Who leads by the word of a majority.
+/// The primary that the servers' statuses show.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderByEvidence {
     /// The server.
@@ -17,42 +17,41 @@
     pub term: Term,
 }
 
-/// What a daemon knows of a group when evidence reaches it, its own or another daemon's.
+/// What a daemon knows of a group when it receives evidence, its own or another daemon's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLeader {
-    /// The latest term that it knows of.
+    /// The latest known term.
     pub term: Term,
-    /// Whether the record that it knows shows a change under way.
+    /// Whether the known record shows a change in progress.
     pub changing: bool,
-    /// Whether its own knowledge of the store is old.
+    /// Whether the daemon has not read the store recently.
     pub is_store_silent: bool,
 }
 
-/// Whether evidence may give a right where so much is known.
+/// Whether evidence of the term `found` may grant a primary lease to a daemon with this knowledge.
 ///
-/// Another daemon that is cut off from the store may have asked the servers before they were stopped. A daemon
-/// that knows from the store of the change has told whoever drives it that it stopped, and must not begin again:
-/// a write would be acknowledged at a primary whose replicas receive nothing any more, and be rolled back.
+/// The evidence may come from a daemon without a connection to the store that queried the servers before they were stopped.
+/// A daemon that knows of the change from the store has acknowledged the stop and must not resume: a write would be
+/// acknowledged by a primary whose replicas no longer receive entries, and then be discarded.
 pub fn may_grant_primary_lease(found: Term, known: KnownLeader) -> bool {
     found >= known.term && (!known.changing || known.is_store_silent)
 }
 
-/// What a daemon holds of a group at the moment at which it asks the group's servers.
+/// The primary lease of a group that a daemon holds when it queries the group's servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeldPrimaryLease {
-    /// The latest term that it knows of: an earlier one is never taken up again.
+    /// The latest known term; statuses of earlier terms are ignored.
     pub known_term: Term,
-    /// The primary that it may use at that moment, if any.
-    pub in_force: Option<LeaderByEvidence>,
+    /// The primary that the daemon may use at that moment.
+    pub usable_leader: Option<LeaderByEvidence>,
 }
 
-/// Judges the statuses of a group's servers; `servers` counts those that did not answer too.
+/// Judges the statuses of a group's servers; `servers` includes those that did not answer.
 ///
-/// A majority is enough to go on with a right that was in force when it was asked: a change of primary waits
-/// for such a right to end, so none has been completed. Once the right has ended one may have been, and then
-/// the former primary and a replica that has heard of nothing since are a majority too; only all servers
-/// together show that none of them leads a later term.
-pub fn judge(
+/// A majority suffices to extend a lease that was valid when the servers were queried: a change of primary waits for such
+/// a lease to expire, so none has completed. After the lease has expired, a change may have completed and the old primary
+/// with an uninformed replica may still form a majority. Then only all servers together show that none leads a later term.
+pub fn judge_statuses(
     statuses: &[(Name, EndpointStatus)],
     servers: usize,
     held: &HeldPrimaryLease,
@@ -71,7 +70,7 @@
         return None;
     }
     let found = LeaderByEvidence { server: server.clone(), term };
-    let needed = match held.in_force == Some(found.clone()) {
+    let needed = match held.usable_leader == Some(found.clone()) {
         true => majority(servers),
         false => servers,
     };
--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -1,4 +1,4 @@
-//! Asking the servers themselves who leads, while the store is silent.
+//! Queries the servers for the primary of each group while the store does not answer.
 
 use std::{
     collections::HashMap,
@@ -26,40 +26,41 @@
     statement::{EndpointStatus, EndpointText},
 };
 
-/// Askings for evidence within the time that it holds.
-const EVIDENCE_PER_TERM: u32 = 2;
-/// How often it is looked whom to ask while the store is silent.
-const LOOK_EVERY: Duration = Duration::from_millis(30);
-/// How long before its right ends a daemon that follows another one asks for itself: a round trip and a server's
-/// work. What is passed on comes every 150 ms, some 60 ms old, and lasts 300.
-const ASK_BEFORE_END: Duration = Duration::from_millis(50);
-/// How long a service counts as used after a caller last asked for it.
-const USED_FOR: Duration = Duration::from_secs(10);
-/// Groups that are asked although no caller has asked for them lately, so that a right to them is at hand when one does.
-/// A fleet of some ten groups is asked as a whole. With a thousand, 300 daemons that each asked all servers every 150 ms
-/// while the store was slow kept them busy with 289,000 questions in 42 s, and their connections with it.
-const MOST_UNUSED_ASKED: usize = 32;
-/// How long an answer that might speak against a majority is waited for once there is one; a round trip
-/// between availability zones and the server's own work.
-const LAST_WORD_WITHIN: Duration = Duration::from_millis(40);
+/// Queries of a group within the time that evidence remains valid.
+const QUERIES_PER_EVIDENCE_DURATION: u32 = 2;
+/// How often the groups to query are determined while the store does not answer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(30);
+/// How long before the end of its primary lease a daemon with an upstream queries the servers itself: a round trip and the
+/// server's processing time.
+const QUERY_BEFORE_EXPIRY: Duration = Duration::from_millis(50);
+/// How long a service counts as used after a request of a caller.
+const USED_SERVICE_TTL: Duration = Duration::from_secs(10);
+/// The largest number of recently unused groups that are queried, so that a primary lease exists when a caller needs one.
+/// In a large fleet, queries of all groups by every daemon would overload the servers.
+const MAX_UNUSED_SERVICES_QUERIED: usize = 32;
+/// How long to wait for answers that may contradict a majority: a round trip between availability zones and the server's
+/// processing time.
+const DISSENT_TIMEOUT: Duration = Duration::from_millis(40);
+/// The part of the evidence duration after which a query times out.
+const QUERY_TIMEOUT_PART: f64 = 0.75;
 
 impl<P: Adapter> Control<P> {
-    /// While the store is silent, asks the servers themselves who leads. Groups are asked each by itself: one
-    /// whose servers don't answer takes all of its time, and must not make the others' evidence old.
+    /// Queries the servers for their primary while the store does not answer. Each group is queried independently, so that
+    /// a group without answers does not delay the evidence of the others.
     pub(crate) async fn evidence_loop(self: Rc<Self>) {
-        let every = self.evidence_duration() / EVIDENCE_PER_TERM;
+        let interval = self.evidence_duration() / QUERIES_PER_EVIDENCE_DURATION;
         let mut running = FuturesUnordered::new();
-        let mut asked = HashMap::new();
+        let mut queried_at = HashMap::new();
         loop {
-            let look_after = if self.needs_evidence() { LOOK_EVERY } else { every };
+            let check_after = if self.needs_evidence() { CHECK_INTERVAL } else { interval };
             tokio::select! {
-                () = tokio::time::sleep(look_after) => {}
+                () = tokio::time::sleep(check_after) => {}
                 Some(found) = running.next(), if !running.is_empty() => {
                     let mut found: Vec<Option<Evidence>> = vec![found];
                     while let Some(Some(more)) = running.next().now_or_never() {
                         found.push(more);
                     }
-                    self.take_found(found.into_iter().flatten());
+                    self.accept_all(found.into_iter().flatten());
                 }
             }
             if !self.needs_evidence() {
@@ -67,30 +68,30 @@
                 continue;
             }
             let now = Instant::now();
-            asked.retain(|_, asked_at: &mut Instant| now.duration_since(*asked_at) < every);
-            for service in self.services_to_ask(now) {
-                if asked.contains_key(&service) {
+            queried_at.retain(|_, asked_at: &mut Instant| now.duration_since(*asked_at) < interval);
+            for service in self.services_to_query(now) {
+                if queried_at.contains_key(&service) {
                     continue;
                 }
-                asked.insert(service.clone(), now);
-                running.push(self.clone().ask_for_evidence(service));
+                queried_at.insert(service.clone(), now);
+                running.push(self.clone().collect_evidence(service));
             }
         }
     }
 
-    /// Whether the store says nothing of who leads, because it is silent or was restored and what it holds is not confirmed.
+    /// Whether the store can't show the primaries, because it does not answer or its restored records are not confirmed.
     fn needs_evidence(&self) -> bool {
         let state = self.state.borrow();
-        // Nobody confirms who leads a service that the configuration does not have any more.
-        let is_left_open = |(service, known): (&Name, &Arc<VersionedRecord>)| {
+        // Records of services that are no longer configured are never confirmed.
+        let is_unconfirmed = |(service, known): (&Name, &Arc<VersionedRecord>)| {
             !state.is_confirmed(&known.record) && state.catalog.services.contains_key(service)
         };
         state.is_store_silent(self.patience())
             || self.store.era() > state.mirror.era()
-            || state.records.iter().any(is_left_open)
+            || state.records.iter().any(is_unconfirmed)
     }
 
-    fn take_found(&self, found: impl Iterator<Item = Evidence>) {
+    fn accept_all(&self, found: impl Iterator<Item = Evidence>) {
         for evidence in found {
             self.accept_evidence(&evidence);
         }
@@ -98,51 +99,51 @@
         self.publish();
     }
 
-    /// Returns the services whose servers this daemon asks itself. One that follows another daemon
-    /// leaves it to that one for as long as its rights last, so that servers are not asked by everyone: hundreds
-    /// that asked each for itself took a good part of the servers' time for nothing but that. Groups that no
-    /// caller of this daemon asks for are left out where there are many.
-    fn services_to_ask(&self, now: Instant) -> Vec<Name> {
+    /// Returns the services whose servers this daemon queries itself. A daemon with an upstream relies on its evidence as
+    /// long as its own primary leases last, to limit the load on the servers. Only a few unused services are included.
+    fn services_to_query(&self, now: Instant) -> Vec<Name> {
         let follows = self.zone_reader().is_some();
-        // In a large fleet unused ones are left to whoever is followed: hundreds that each ask for them fill the links
-        // between regions, and by that keep the store out of reach.
-        let most_unused = match follows && self.is_fleet_large() {
+        // In a large fleet the upstream queries the unused ones; queries by every daemon would saturate the links between
+        // regions.
+        let max_unused = match follows && self.is_fleet_large() {
             true => 0,
-            false => MOST_UNUSED_ASKED,
+            false => MAX_UNUSED_SERVICES_QUERIED,
         };
         let mut state = self.state.borrow_mut();
-        state.used_at.retain(|_, used_at| now.duration_since(*used_at) < USED_FOR);
+        state.used_at.retain(|_, used_at| now.duration_since(*used_at) < USED_SERVICE_TTL);
         let state = &*state;
         let is_known = |service: &Name| {
-            let lead = state.leaders.get(service);
-            lead.is_some_and(|lead| !lead.changing && lead.valid_until > now + ASK_BEFORE_END)
+            let leader = state.leaders.get(service);
+            leader.is_some_and(|leader| {
+                !leader.changing && leader.valid_until > now + QUERY_BEFORE_EXPIRY
+            })
         };
         let services = state.published_servers.keys();
         let (used, mut unused): (Vec<&Name>, Vec<&Name>) =
             services.partition(|service| state.used_at.contains_key(*service));
-        // The same ones each time, so that the rights to them last.
+        // Sorted to select the same ones each time, so that their primary leases are extended.
         unused.sort_unstable();
-        unused.truncate(most_unused);
+        unused.truncate(max_unused);
         let considered = used.into_iter().chain(unused);
         considered.filter(|service| !(follows && is_known(service))).cloned().collect()
     }
 
-    /// Asks one group's servers which primary a majority shows.
-    async fn ask_for_evidence(self: Rc<Self>, service: Name) -> Option<Evidence> {
+    /// Queries one group's servers and judges their statuses.
+    async fn collect_evidence(self: Rc<Self>, service: Name) -> Option<Evidence> {
         let asked_at = Instant::now();
-        let deadline = asked_at + self.evidence_duration().mul_f64(0.75);
+        let deadline = asked_at + self.evidence_duration().mul_f64(QUERY_TIMEOUT_PART);
         let servers: Vec<Name> = {
             let state = self.state.borrow();
             let entries = state.published_servers.get(&service);
             entries.into_iter().flatten().map(|entry| entry.server.clone()).collect()
         };
         let held = self.held_primary_lease(&service, asked_at);
-        let judge = |statuses: &[_]| evidence::judge(statuses, servers.len(), &held);
-        let statuses = self.ask_statuses(&service, &servers, deadline, &judge).await;
+        let judge = |statuses: &[_]| evidence::judge_statuses(statuses, servers.len(), &held);
+        let statuses = self.query_statuses(&service, &servers, deadline, &judge).await;
         let Some(found) = judge(&statuses) else {
             log::debug!(
                 event = "no_evidence", service = &*service, known_term = held.known_term.0,
-                in_force = held.in_force.is_some(), servers = servers.len(), statuses = format!("{statuses:?}").as_str();
+                in_force = held.usable_leader.is_some(), servers = servers.len(), statuses = format!("{statuses:?}").as_str();
                 "the servers' answers do not show who leads"
             );
             return None;
@@ -150,28 +151,31 @@
         Some(Evidence { service, server: found.server, term: found.term, asked_at })
     }
 
+    /// Returns this daemon's primary lease of a service at `now`.
     pub(crate) fn held_primary_lease(&self, service: &Name, now: Instant) -> HeldPrimaryLease {
         let state = self.state.borrow();
-        let lead = state.leaders.get(service);
-        let in_force = lead.filter(|lead| lead.is_valid(now));
+        let leader = state.leaders.get(service);
+        let usable = leader.filter(|leader| leader.is_valid(now));
         HeldPrimaryLease {
-            known_term: lead.map_or(Term(0), |lead| lead.term),
-            in_force: in_force
-                .map(|lead| LeaderByEvidence { server: lead.server.clone(), term: lead.term }),
+            known_term: leader.map_or(Term(0), |leader| leader.term),
+            usable_leader: usable.map(|leader| LeaderByEvidence {
+                server: leader.server.clone(),
+                term: leader.term,
+            }),
         }
     }
 
     fn known_leader(&self, service: &Name) -> KnownLeader {
         let state = self.state.borrow();
-        let lead = state.leaders.get(service);
+        let leader = state.leaders.get(service);
         KnownLeader {
-            term: lead.map_or(Term(0), |lead| lead.term),
-            changing: lead.is_some_and(|lead| lead.changing),
+            term: leader.map_or(Term(0), |leader| leader.term),
+            changing: leader.is_some_and(|leader| leader.changing),
             is_store_silent: state.is_store_silent(self.patience()),
         }
     }
 
-    /// Takes the right to a primary that a majority showed, to this daemon or to another one.
+    /// Grants a primary lease on evidence that this daemon or another one collected.
     pub(crate) fn accept_evidence(&self, found: &Evidence) {
         let service = &found.service;
         if !may_grant_primary_lease(found.term, self.known_leader(service)) {
@@ -184,18 +188,19 @@
         let mut state = self.state.borrow_mut();
         state.keep_evidence(found);
         let known = state.leaders.get(service);
-        if known.is_none_or(|lead| !lead.is_valid(found.asked_at)) {
+        if known.is_none_or(|leader| !leader.is_valid(found.asked_at)) {
             log::info!(
                 event = "right_gained", service = &**service, server = &*found.server,
                 term = found.term.0, basis = Basis::Evidence.as_str(),
                 age_ms = found.asked_at.elapsed().as_millis() as u64;
-                "a primary may be used by the word of a majority"
+                "primary lease granted on evidence of the servers"
             );
         }
-        let same = known.filter(|lead| lead.server == found.server && lead.term == found.term);
-        let still = same.filter(|lead| !lead.changing).map(|lead| lead.valid_until);
-        let history = known.map(|lead| lead.history.clone()).unwrap_or_default();
-        let lead = GroupLeader {
+        let same =
+            known.filter(|leader| leader.server == found.server && leader.term == found.term);
+        let still = same.filter(|leader| !leader.changing).map(|leader| leader.valid_until);
+        let history = known.map(|leader| leader.history.clone()).unwrap_or_default();
+        let leader = GroupLeader {
             server: found.server.clone(),
             term: found.term,
             valid_until: still.map_or(valid_until, |until| until.max(valid_until)),
@@ -204,13 +209,12 @@
             planned: false,
             history,
         };
-        Arc::make_mut(&mut state.leaders).insert(service.clone(), lead);
+        Arc::make_mut(&mut state.leaders).insert(service.clone(), leader);
     }
 
-    /// Asks servers over the connections that sessions share; returns the answers in time. Once they are
-    /// enough, the others get only a moment more: what one of them might say against is heard, and a
-    /// dead server does not use up the time that the answers hold.
-    async fn ask_statuses(
+    /// Queries servers over shared session connections; returns the statuses that arrive in time. Once these suffice, the
+    /// remaining servers get only [`DISSENT_TIMEOUT`], so that a failed server does not use up the evidence's validity.
+    async fn query_statuses(
         &self,
         service: &Name,
         servers: &[Name],
@@ -227,7 +231,7 @@
                 deadline,
                 answer,
             };
-            // A full ring means that the serving thread is behind; this round goes without it.
+            // If the queue is full, the serving thread is overloaded; this round omits the server.
             if self.asks.try_send(Ask::Command(ask)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
@@ -238,7 +242,7 @@
         while let Ok(Some(answered)) = tokio::time::timeout_at(until.into(), waiting.next()).await {
             statuses.extend(answered);
             if judge(&statuses).is_some() {
-                until = until.min(Instant::now() + LAST_WORD_WITHIN);
+                until = until.min(Instant::now() + DISSENT_TIMEOUT);
             }
         }
         statuses
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -1,4 +1,4 @@
-//! The first half of a change of primary: the servers are stopped, and nobody holds a right any more.
+//! Fencing during a change of primary: stops the servers and waits until no daemon holds a primary lease.
 
 use std::{
     sync::Arc,
@@ -21,44 +21,43 @@
     statement::{EndpointStatus, EndpointText},
 };
 
-/// How long a planned change waits for daemons to stop before it pauses the replicas.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(300);
-/// How much of the duty's lease must be left for the servers' pauses to be ended under it: a command and its answer on
-/// busy servers.
-const DUTY_LEFT_TO_RESUME: Duration = Duration::from_millis(300);
-/// How often it is looked whether so much is left.
-const LOOK_AT_DUTY_EVERY: Duration = Duration::from_millis(50);
-/// How long a change may look for a majority before it is called off.
-const FENCE_WITHIN: Duration = Duration::from_secs(3);
+/// How long a planned change waits for the daemons' acknowledgements before it pauses the replicas.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The remaining promoter lease that is needed to resume paused servers: one command and its answer on busy servers.
+const MIN_LEASE_TO_RESUME: Duration = Duration::from_millis(300);
+/// How often the remaining promoter lease is checked.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a change tries to stop a majority before it is cancelled.
+const FENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Servers that answered while the group was stopped.
-pub(crate) struct Fence {
+/// The servers that answered while the group was being stopped.
+pub(crate) struct StoppedGroup {
     pub(crate) servers: Vec<StoppedServer>,
-    /// Those of them that show to any daemon that asks that the old primary may not be used.
-    pub(crate) fenced: usize,
+    /// How many of them now report to every daemon that the old primary must not be used.
+    pub(crate) fenced_count: usize,
 }
 
 impl<P: Adapter> Control<P> {
-    /// Stops the servers, and waits until no daemon can hold a right to the old primary.
-    pub(crate) async fn await_stop(
+    /// Stops the servers and waits until no daemon can hold a primary lease for the old primary.
+    pub(crate) async fn fence_old_primary(
         &self,
         service: &Name,
         run: &mut ChangeRun,
         commands: &mut Commands<'_, P>,
     ) -> Result<Vec<StoppedServer>, ChangeFailure> {
-        let give_up_at = Instant::now() + FENCE_WITHIN;
+        let give_up_at = Instant::now() + FENCE_TIMEOUT;
         loop {
             let entries = self.entries(service);
             let stopped = self.stop_servers(service, &entries, run, commands).await;
-            if stopped.fenced >= majority(entries.len()) {
-                self.step("fenced", service, run);
-                self.await_daemons(service, run, Instant::now()).await?;
-                self.step("stopped", service, run);
+            if stopped.fenced_count >= majority(entries.len()) {
+                self.log_step("fenced", service, run);
+                self.await_daemon_stops(service, run, Instant::now()).await?;
+                self.log_step("stopped", service, run);
                 return Ok(stopped.servers);
             }
             if Instant::now() >= give_up_at {
                 if run.chosen().is_none() {
-                    self.call_off(service, run.clone(), commands).await?;
+                    self.cancel_change(service, run.clone(), commands).await?;
                 }
                 return Err(ChangeFailure::NoMajority);
             }
@@ -66,57 +65,58 @@
         }
     }
 
-    /// Steps the old primary down and pauses the replicas; returns those that answered.
+    /// Steps the old primary down and pauses the replicas; returns the servers that answered.
     pub(crate) async fn stop_servers(
         &self,
         service: &Name,
         entries: &[Arc<ServerEntry>],
         run: &ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Fence {
+    ) -> StoppedGroup {
         let term = Term(run.record.term + 1);
         let (old, replicas): (Vec<_>, Vec<_>) =
             entries.iter().cloned().partition(|entry| *entry.server == *run.record.primary);
         let step_down = |entry| (entry, EndpointText::StepDown { term });
-        let planned = run.is_planned();
-        let mut primary = if planned {
-            // It leads on until the order, so that nothing is lost if the change can't go on.
-            self.await_answers(service, run).await;
+        let is_planned = run.is_planned();
+        let mut primary = if is_planned {
+            // It remains primary until the order, so that nothing is lost if the change can't continue.
+            self.await_acknowledgements(service, run).await;
             let ask = |entry| (entry, EndpointText::Status);
-            commands.ask_all(old.iter().cloned().map(ask).collect()).await
+            commands.send_all(old.iter().cloned().map(ask).collect()).await
         } else {
-            commands.ask_all(old.iter().cloned().map(step_down).collect()).await
+            commands.send_all(old.iter().cloned().map(step_down).collect()).await
         };
         if let Some((_, status)) = primary.first() {
-            // What it still holds was acknowledged to callers: a replica gets the time to receive it.
+            // Its last entries may be acknowledged to callers, so a replica gets time to receive them.
             commands.await_catch_up(&replicas, status).await;
         }
         let pause = |entry| (entry, EndpointText::Pause { term });
-        let paused = commands.ask_all(replicas.into_iter().map(pause).collect()).await;
+        let paused = commands.send_all(replicas.into_iter().map(pause).collect()).await;
         let needs_primary = paused.len() < majority(entries.len());
-        if planned && needs_primary {
-            primary = commands.ask_all(old.into_iter().map(step_down).collect()).await;
+        if is_planned && needs_primary {
+            primary = commands.send_all(old.into_iter().map(step_down).collect()).await;
         }
-        // A primary that was not stepped down is no part of the majority.
-        let fenced = paused.len() + if planned && !needs_primary { 0 } else { primary.len() };
-        let stopped = |replaced: bool| {
+        // A primary that was not stepped down does not count towards the majority.
+        let fenced_count =
+            paused.len() + if is_planned && !needs_primary { 0 } else { primary.len() };
+        let stopped = |is_old_primary: bool| {
             move |(entry, status): (Arc<ServerEntry>, EndpointStatus)| StoppedServer {
                 server: entry.server.to_string(),
                 status,
                 leaving: entry.leaving,
-                replaced,
+                is_old_primary,
             }
         };
         let primary = primary.into_iter().map(stopped(true));
         let servers = primary.chain(paused.into_iter().map(stopped(false))).collect();
-        Fence { servers, fenced }
+        StoppedGroup { servers, fenced_count }
     }
 
-    /// Waits a moment for the daemons to say that they stopped, so that a replica can receive the last
-    /// writes before it is paused.
-    async fn await_answers(&self, service: &Name, run: &ChangeRun) {
-        let until = run.recorded_at + ANSWERS_WITHIN;
-        while !self.all_answered(service, run) && Instant::now() < until {
+    /// Waits briefly for the daemons to acknowledge the stop, so that a replica can receive the last writes before it is
+    /// paused.
+    async fn await_acknowledgements(&self, service: &Name, run: &ChangeRun) {
+        let until = run.recorded_at + ACKNOWLEDGEMENT_TIMEOUT;
+        while !self.all_acknowledged(service, run) && Instant::now() < until {
             tokio::select! {
                 () = tokio::time::sleep_until(until.into()) => {}
                 () = self.changed.notified() => {}
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Waits until every daemon that may hold a right has said that it stopped, or the rights ended.
+    /// Waits until every daemon that may hold a primary lease has acknowledged the stop, or these leases have expired.
     ///
-    /// A duty that can't be renewed ends the wait while it still holds: nobody else can have begun a change then, so the
-    /// pauses can be ended and evidence serves the group. Once it has ended they can't, and the group would have no
-    /// primary until the store is back; where the last renewal was half a second old as a planned change began, it had not.
-    pub(crate) async fn await_daemons(
+    /// Gives up shortly before an unrenewed promoter lease expires: until then no other daemon can have started a change,
+    /// so the servers can be resumed and used on evidence. Otherwise the group would have no primary until the store is
+    /// back.
+    pub(crate) async fn await_daemon_stops(
         &self,
         service: &Name,
         run: &ChangeRun,
@@ -143,45 +143,45 @@
             let progress = StopProgress {
                 recorded_at: run.recorded_at,
                 fenced_at: Some(fenced_at),
-                all_answered: self.all_answered(service, run),
+                all_acknowledged: self.all_acknowledged(service, run),
             };
             let Some(complete_at) = progress.complete_at(bounds) else { return Ok(()) };
             let now = Instant::now();
             if now >= complete_at {
                 return Ok(());
             }
-            if self.promoter_lease_left(now) < DUTY_LEFT_TO_RESUME {
-                let why = "the duty could not be renewed".to_owned();
+            if self.promoter_lease_left(now) < MIN_LEASE_TO_RESUME {
+                let why = "the promoter lease could not be renewed".to_owned();
                 return Err(ChangeFailure::Store(MetadataError::NotDone(why)));
             }
-            let look_at = complete_at.min(now + LOOK_AT_DUTY_EVERY);
+            let check_at = complete_at.min(now + LEASE_CHECK_INTERVAL);
             tokio::select! {
-                () = tokio::time::sleep_until(look_at.into()) => {}
+                () = tokio::time::sleep_until(check_at.into()) => {}
                 () = self.changed.notified() => {}
             }
         }
     }
 
-    /// Whether every daemon that may hold a right has said that it stopped.
-    pub(crate) fn all_answered(&self, service: &Name, run: &ChangeRun) -> bool {
+    /// Whether every daemon that may hold a primary lease has acknowledged the stop.
+    pub(crate) fn all_acknowledged(&self, service: &Name, run: &ChangeRun) -> bool {
         let state = self.state.borrow();
-        // A daemon that vanished before this one began to watch may still hold a right.
-        let lasting = self.primary_lease_duration().mul_f64(1.1);
-        let watched = state
+        // A daemon that disappeared before this one watched the members may still hold a primary lease.
+        let lease_duration = self.primary_lease_duration().mul_f64(1.1);
+        let watched_long_enough = state
             .watching_since
-            .is_some_and(|since| run.recorded_at.saturating_duration_since(since) > lasting);
+            .is_some_and(|since| run.recorded_at.saturating_duration_since(since) > lease_duration);
         let may_hold = |member: &SeenMember| {
-            run.recorded_at.checked_sub(lasting).is_none_or(|from| member.seen_at >= from)
+            run.recorded_at.checked_sub(lease_duration).is_none_or(|from| member.seen_at >= from)
         };
-        watched
+        watched_long_enough
             && state.members_seen.iter().filter(|(_, member)| may_hold(member)).all(|(host, _)| {
                 let key = self.key(&format!("stopped/{service}/{host}"));
                 state.mirror.get(&key).is_some_and(|item| item.value == run.id().as_bytes())
             })
     }
 
-    /// Leaves the old primary in place, as nothing was ordered.
-    pub(crate) async fn call_off(
+    /// Cancels a change before any promotion was ordered, so that the old primary remains in place.
+    pub(crate) async fn cancel_change(
         &self,
         service: &Name,
         run: ChangeRun,
@@ -189,11 +189,11 @@
     ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         commands
-            .ask_all(entries.into_iter().map(|entry| (entry, EndpointText::Resume)).collect())
+            .send_all(entries.into_iter().map(|entry| (entry, EndpointText::Resume)).collect())
             .await;
         let record = LeadershipRecord { change: None, ..run.record.clone() };
         self.write_record(service, &record, run.revision).await?;
-        self.step("called_off", service, &run);
+        self.log_step("called_off", service, &run);
         Ok(())
     }
 }
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -1,7 +1,7 @@
-//! The duty to promote.
+//! The promoter role.
 //!
-//! One daemon at a time holds the duty: a key under a lease of its own, whose creation revision is the
-//! fencing token. Its holder looks after the groups and changes their primaries (`change`).
+//! One daemon at a time is the promoter: it owns a key under a lease of its own, whose creation revision is the fencing
+//! token. The promoter monitors the groups and changes their primaries (`change`).
 
 use std::{
     collections::HashSet,
@@ -28,24 +28,21 @@
     metadata::{LeaseId, MetadataStore, Revision, Transaction, TransactionOutcome},
 };
 
-/// How often the duty's holder looks at the groups if nothing wakes it.
+/// How often the promoter checks the groups if nothing wakes it.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Groups in which whoever leads is looked for at a time, before there are records. Each takes three connections and a
-/// write; 700 groups at once left a daemon with an eighth of a core no time to read a single answer within a command's
-/// 150 ms, so that most had no primary after 14 s.
-const MOST_FIRST_AT_ONCE: usize = 32;
-/// How long the holder rests at the least after a look.
-const SHORTEST_REST: Duration = Duration::from_millis(5);
-/// How much longer it rests than the look took, so that looks take a fifth of its time at the most.
-const RESTS_PER_LOOK: f64 = 4.0;
-/// Daemons that want the duty wait up to this long first, so that they rarely collide, and as long again for each
-/// member that comes before them: hundreds that start together would else take a lease each and try in vain, a
-/// sixth of all calls to the store on a quiet day of 295 daemons.
-const TAKE_JITTER: Duration = Duration::from_millis(60);
-/// Members before a daemon that it waits for at the most; who are dead are still listed for some seconds.
-const MOST_BEFORE: usize = 8;
+/// Groups whose current primary is determined concurrently, so that their answers can be read within the command timeout.
+const MAX_CONCURRENT_DISCOVERIES: usize = 32;
+/// The shortest rest after a check of the groups.
+const MIN_REST: Duration = Duration::from_millis(5);
+/// The rest after a check in multiples of its duration, so that checks take at most a fifth of the thread's time.
+const REST_PER_CHECK: f64 = 4.0;
+/// The longest random delay before a daemon tries to become promoter, and the delay per member before it in the order of
+/// names. Without it all daemons of a fleet that starts would request a lease and collide.
+const ACQUIRE_JITTER: Duration = Duration::from_millis(60);
+/// The largest number of preceding members that delay a daemon, since failed ones stay listed for some seconds.
+const MAX_MEMBERS_BEFORE: usize = 8;
 
-/// The duty as this daemon holds it.
+/// The promoter lease that this daemon holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PromoterLease {
     pub(crate) fencing_token: u64,
@@ -53,17 +50,17 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Returns the key of the duty.
+    /// Returns the key of the promoter role.
     pub(crate) fn promoter_key(&self) -> String {
         self.key("duty")
     }
 
-    /// Returns the key of a group's record.
+    /// Returns the key of a group's leadership record.
     pub(crate) fn record_key(&self, service: &Name) -> String {
         self.key(&format!("groups/{service}"))
     }
 
-    /// Takes the duty when nobody has it, and looks after the groups while this daemon holds it.
+    /// Acquires the promoter role when it is free, and checks the groups while this daemon is the promoter.
     pub(crate) async fn promoter_loop(self: Rc<Self>) {
         loop {
             tokio::select! {
@@ -71,21 +68,21 @@
                 () = self.changed.notified() => {}
             }
             let stopping = self.stopping.borrow().is_some();
-            let looks_at = Instant::now();
+            let checked_at = Instant::now();
             match self.held_promoter_lease() {
                 Some(lease) if stopping => self.release_promoter_lease(lease).await,
                 Some(_) => self.check_groups(),
                 None if stopping => {}
                 None => self.acquire_promoter_lease().await,
             }
-            // A burst of changes is looked at once, and looks leave time for everything else that this thread does:
-            // where there are a thousand groups, a look takes some milliseconds.
-            let rest = looks_at.elapsed().mul_f64(RESTS_PER_LOOK);
-            tokio::time::sleep(rest.clamp(SHORTEST_REST, CHECK_INTERVAL)).await;
+            // Handles a burst of changes with one check, and leaves time for the thread's other tasks: with a thousand
+            // groups a check takes several milliseconds.
+            let rest = checked_at.elapsed().mul_f64(REST_PER_CHECK);
+            tokio::time::sleep(rest.clamp(MIN_REST, CHECK_INTERVAL)).await;
         }
     }
 
-    /// Returns the duty if this daemon holds it by what it knows.
+    /// Returns the promoter lease if this daemon holds it, as far as it knows.
     pub(crate) fn held_promoter_lease(&self) -> Option<PromoterLease> {
         let state = self.state.borrow();
         let item = state.mirror.get(&self.promoter_key())?;
@@ -98,19 +95,20 @@
         })
     }
 
-    /// Returns how much is left of the duty's lease by this daemon's own clock; nothing if it does not hold the duty.
+    /// Returns the remaining promoter lease by this daemon's own clock; zero if it is not the promoter.
     pub(crate) fn promoter_lease_left(&self, now: Instant) -> Duration {
         let held = self.held_promoter_lease();
         let lease = self.state.borrow().promoter_lease.filter(|_| held.is_some());
         lease.map_or(Duration::ZERO, |lease| lease.valid_until.saturating_duration_since(now))
     }
 
-    /// The value names the lease too, so that a restarted daemon does not take over its former life's.
+    /// Returns the value of the promoter key. It contains the lease, so that a restarted daemon does not mistake the key of
+    /// its previous process for its own.
     pub(crate) fn promoter_value(&self, lease: LeaseId) -> Bytes {
         Bytes::from(format!("{} {lease}", self.settings.host))
     }
 
-    /// Takes the duty if nobody has it.
+    /// Acquires the promoter role if it is free.
     pub(crate) async fn acquire_promoter_lease(&self) {
         let is_free = |control: &Self| {
             let state = control.state.borrow();
@@ -125,14 +123,14 @@
             return;
         }
         let part: f64 = rand::rng().random_range(0.0..1.0);
-        let before = self.members_before().min(MOST_BEFORE) as f64;
-        tokio::time::sleep(TAKE_JITTER.mul_f64(before + part)).await;
+        let before = self.members_before().min(MAX_MEMBERS_BEFORE) as f64;
+        tokio::time::sleep(ACQUIRE_JITTER.mul_f64(before + part)).await;
         if !is_free(self) {
             return;
         }
         let ended = self.expired_promoter_key(&self.state.borrow());
         if let Some(revision) = ended {
-            // Its key goes first, so that whoever takes the duty creates it: that is what makes the fencing token.
+            // The expired key is removed first, since the fencing token is the revision at which the key is created.
             return self.remove_expired_promoter_key(revision).await;
         }
         let Some(lease) = self.obtain_promoter_lease().await else { return };
@@ -141,31 +139,31 @@
             puts: vec![(self.promoter_key(), self.promoter_value(lease.id), Some(lease.id))],
             removes: Vec::new(),
         };
-        let taken = self.store.commit(&transaction, self.write_timeout()).await;
-        self.count_call("commit", &taken);
-        match taken {
+        let acquired = self.store.commit(&transaction, self.write_timeout()).await;
+        self.count_call("commit", &acquired);
+        match acquired {
             Ok(TransactionOutcome::Done(revision)) => log::info!(
                 event = "duty_taken", fencing_token = revision.fencing_token();
-                "this daemon promotes from now on"
+                "this daemon is the promoter now"
             ),
             Ok(TransactionOutcome::Conflict) => {}
             Ok(TransactionOutcome::LeaseOver) => self.state.borrow_mut().promoter_lease = None,
-            // If it was done after all, the next reading shows it.
+            // If the commit was applied, the next store read shows it.
             Err(error) => log::info!(
                 event = "duty_unclear", why = error.to_string().as_str();
-                "whether the duty was taken is not known yet"
+                "the acquisition of the promoter role may not have been applied"
             ),
         }
     }
 
-    /// Returns how many members come before this daemon by name.
+    /// Returns the number of members that precede this daemon in the order of names.
     pub(crate) fn members_before(&self) -> usize {
         let state = self.state.borrow();
         state.members.keys().take_while(|host| **host < self.settings.host).count()
     }
 
-    /// Returns the lease that the duty stands under, shorter than a member's: while it lasts after its
-    /// holder's death, nobody promotes.
+    /// Returns the lease for the promoter key. It is shorter than a member's lease, since no daemon can promote between a
+    /// promoter's failure and the end of its lease.
     pub(crate) async fn obtain_promoter_lease(&self) -> Option<HeldLease> {
         let now = Instant::now();
         if let Some(lease) =
@@ -173,12 +171,12 @@
         {
             return Some(lease);
         }
-        let lasts = Duration::from_millis(self.settings.metadata.duty_lease_ms);
-        let granted = self.store.grant(lasts, self.write_timeout()).await;
+        let duration = Duration::from_millis(self.settings.metadata.duty_lease_ms);
+        let granted = self.store.grant(duration, self.write_timeout()).await;
         self.count_call("grant", &granted);
         match granted {
             Ok(id) => {
-                let lease = HeldLease { id, valid_until: now + lasts };
+                let lease = HeldLease { id, valid_until: now + duration };
                 self.state.borrow_mut().promoter_lease = Some(lease);
                 Some(lease)
             }
@@ -186,18 +184,18 @@
                 log::info!(
                     event = "store_unreachable", call = "duty_lease",
                     why = error.to_string().as_str();
-                    "no lease was granted for the duty"
+                    "no promoter lease was granted"
                 );
                 None
             }
         }
     }
 
-    /// Renews the duty's lease while this daemon holds the duty.
+    /// Renews the promoter lease while this daemon is the promoter.
     pub(crate) async fn promoter_lease_loop(self: Rc<Self>) {
-        let lasts = Duration::from_millis(self.settings.metadata.duty_lease_ms);
+        let duration = Duration::from_millis(self.settings.metadata.duty_lease_ms);
         loop {
-            tokio::time::sleep(lasts / RENEWALS_PER_LEASE).await;
+            tokio::time::sleep(duration / RENEWALS_PER_LEASE).await;
             let lease = self.state.borrow().promoter_lease;
             let Some(lease) = lease.filter(|_| self.held_promoter_lease().is_some()) else {
                 continue;
@@ -208,23 +206,23 @@
             let mut state = self.state.borrow_mut();
             match renewed {
                 Ok(true) => {
-                    let valid_until = sent_at + lasts;
+                    let valid_until = sent_at + duration;
                     state.promoter_lease = Some(HeldLease { valid_until, ..lease });
                 }
                 Ok(false) => {
-                    log::info!(event = "duty_lost"; "the duty's lease was over");
+                    log::info!(event = "duty_lost"; "the promoter lease had expired");
                     state.promoter_lease = None;
                 }
                 Err(error) => log::info!(
                     event = "store_unreachable", call = "duty_lease",
                     why = error.to_string().as_str();
-                    "the duty's lease was not renewed"
+                    "the promoter lease was not renewed"
                 ),
             }
         }
     }
 
-    /// Leaves the duty to another daemon before this one stops; a change under way is finished first.
+    /// Releases the promoter role before this daemon stops, once no change is running.
     pub(crate) async fn release_promoter_lease(&self, lease: PromoterLease) {
         if !self.changes_running.borrow().is_empty() {
             return;
@@ -234,16 +232,16 @@
             puts: Vec::new(),
             removes: vec![self.promoter_key()],
         };
-        let left = self.store.commit(&transaction, self.write_timeout()).await;
-        self.count_call("commit", &left);
-        match left {
-            Ok(_) => log::info!(event = "duty_left"; "this daemon stops and promotes no more"),
+        let released = self.store.commit(&transaction, self.write_timeout()).await;
+        self.count_call("commit", &released);
+        match released {
+            Ok(_) => log::info!(event = "duty_left"; "released the promoter role before stopping"),
             Err(error) => log::info!(
                 event = "duty_not_left", why = error.to_string().as_str();
-                "the duty may end only with this daemon's lease"
+                "the promoter role may remain taken until the lease expires"
             ),
         }
-        // The mirror hears of it by the watch; until then nothing more is to be done.
+        // The watch updates the mirror; until then there is nothing to do.
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 
@@ -257,8 +255,8 @@
             if self.must_wait_for_orders(&service, Instant::now()) {
                 continue;
             }
-            let Some(reason) = self.reason_to_change(&service) else { continue };
-            if !self.may_begin(reason) {
+            let Some(reason) = self.change_reason(&service) else { continue };
+            if !self.may_start_change(reason) {
                 continue;
             }
             self.changes_running.borrow_mut().insert(service.clone(), reason);
@@ -271,20 +269,21 @@
         }
     }
 
-    /// Whether one more change for this reason may begin beside those that run.
-    fn may_begin(&self, reason: ChangeReason) -> bool {
-        let asks_all = |reason: &ChangeReason| {
+    /// Whether one more change for this reason may start beside the running ones.
+    fn may_start_change(&self, reason: ChangeReason) -> bool {
+        let queries_all_servers = |reason: &ChangeReason| {
             matches!(reason, ChangeReason::Unknown | ChangeReason::Restored)
         };
-        if !asks_all(&reason) {
+        if !queries_all_servers(&reason) {
             return true;
         }
         let running = self.changes_running.borrow();
-        running.values().filter(|reason| asks_all(reason)).count() < MOST_FIRST_AT_ONCE
+        running.values().filter(|reason| queries_all_servers(reason)).count()
+            < MAX_CONCURRENT_DISCOVERIES
     }
 
-    /// Says why a group's primary has to be changed; `None` if it need not be.
-    pub(crate) fn reason_to_change(&self, service: &Name) -> Option<ChangeReason> {
+    /// Returns why a group's primary has to be changed; `None` if it has not.
+    pub(crate) fn change_reason(&self, service: &Name) -> Option<ChangeReason> {
         let Some(known) = self.known_record(service) else {
             return (!self.entries(service).is_empty()).then_some(ChangeReason::Unknown);
         };
@@ -294,11 +293,11 @@
         if known.record.change.is_some() {
             return Some(ChangeReason::LeftUnfinished);
         }
-        self.fault_of_primary(service, &known)
+        self.primary_fault(service, &known)
     }
 
-    /// Says what is wrong with a group's recorded primary; `None` if nothing is.
-    pub(crate) fn fault_of_primary(
+    /// Returns the fault for which a group's recorded primary has to be replaced, if any.
+    pub(crate) fn primary_fault(
         &self,
         service: &Name,
         known: &VersionedRecord,
@@ -306,7 +305,7 @@
         let entries = self.entries(service);
         let Some(primary) = entries.iter().find(|entry| *entry.server == *known.record.primary)
         else {
-            let is_gone = !entries.is_empty() && self.is_missing_for_long(service);
+            let is_gone = !entries.is_empty() && self.is_missing_beyond_grace(service);
             return is_gone.then_some(ChangeReason::Gone);
         };
         self.state.borrow_mut().primary_missing_since.remove(service);
@@ -318,7 +317,7 @@
             return other.then_some(ChangeReason::Leaving);
         }
         let state = self.state.borrow();
-        if self.is_lost_to_witnesses(&state, service, &known.record.primary) {
+        if self.is_unreachable_for_witnesses(&state, service, &known.record.primary) {
             return Some(ChangeReason::Unreachable);
         }
         let times = MoveTimes {
@@ -329,12 +328,12 @@
         times.allow_move(Instant::now()).then_some(ChangeReason::ReplicasBehind)
     }
 
-    /// Whether so many of a primary's witnesses can't reach it that it is to be replaced.
-    fn is_lost_to_witnesses(&self, state: &State, service: &Name, primary: &str) -> bool {
+    /// Whether enough of a primary's witnesses can't reach it to replace it.
+    fn is_unreachable_for_witnesses(&self, state: &State, service: &Name, primary: &str) -> bool {
         let prefix = self.key(&format!("suspicions/{service}/{primary}/"));
         let suspecting: HashSet<&str> =
             state.mirror.below(&prefix).filter_map(|item| item.key.strip_prefix(&prefix)).collect();
-        // Most groups are suspected by nobody, and ranking the members takes its time.
+        // Most primaries are not suspected, and ranking the members is expensive.
         if suspecting.is_empty() {
             return false;
         }
@@ -343,14 +342,14 @@
         is_primary_lost(agreeing, witnesses.len())
     }
 
-    /// Returns the life of a service's server as its entry tells it.
+    /// Returns the incarnation of a service's server from its entry.
     pub(crate) fn incarnation_of(&self, service: &Name, server: &str) -> Option<ServerIncarnation> {
         self.state.borrow_mut().servers.incarnation_of(service, server)
     }
 
-    /// Whether the primary's entry has been missing for so long, in readings of a store that answered
-    /// all the while, that it did not just lapse while the store was away.
-    pub(crate) fn is_missing_for_long(&self, service: &Name) -> bool {
+    /// Whether the primary's entry has been missing for the grace time while the store answered, so that it did not merely
+    /// lapse during an outage of the store.
+    pub(crate) fn is_missing_beyond_grace(&self, service: &Name) -> bool {
         let now = Instant::now();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
         let mut state = self.state.borrow_mut();
@@ -361,17 +360,17 @@
         now.saturating_duration_since(since.max(watching_since)) >= grace
     }
 
-    /// Returns a group's record as this daemon knows it.
+    /// Returns a group's leadership record as this daemon knows it.
     pub(crate) fn known_record(&self, service: &Name) -> Option<Arc<VersionedRecord>> {
         self.state.borrow().records.get(service).cloned()
     }
 
-    /// Returns a server of a group, if it is listed.
+    /// Returns a listed server of a group.
     pub(crate) fn entry_of(&self, service: &Name, server: &str) -> Option<Arc<ServerEntry>> {
         self.entries(service).into_iter().find(|entry| *entry.server == *server)
     }
 
-    /// Returns a group's servers.
+    /// Returns a group's listed servers.
     pub(crate) fn entries(&self, service: &Name) -> Vec<Arc<ServerEntry>> {
         self.state.borrow_mut().servers.by_service().get(service).cloned().unwrap_or_default()
     }
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -41,7 +41,7 @@
     /// When this daemon entered the present era; `None` where the store tells of none.
     entered_at: Option<Instant>,
     /// Whether it knew the store before, so that it can tell what was lost.
-    knew_before: bool,
+    knew_earlier_era: bool,
     /// The store's revision as it was first read in this era: what stands there or below came out of the copy.
     copied_to: Revision,
     /// Servers' entries in the copy that go against what is known.
@@ -81,7 +81,7 @@
     fn keep_unheard_records(&mut self, heard_to: Revision) {
         for (service, written) in std::mem::take(&mut self.written) {
             let known = self.records.get(&service);
-            let is_later = known.is_none_or(|known| written.record.is_after(&known.record));
+            let is_later = known.is_none_or(|known| written.record.is_later_than(&known.record));
             if written.revision > heard_to && is_later {
                 self.records.insert(service, Arc::new(written));
             }
@@ -100,21 +100,21 @@
     pub(crate) fn is_lost_by_restore(&self, key: &str) -> bool {
         let restore = &self.restore;
         let now = Instant::now();
-        restore.knew_before
+        restore.knew_earlier_era
             && restore.age(now) < MEMBERS_RETURN_WITHIN
             && self.mirror.removed_at(key) == Some(restore.copied_to)
     }
 
     /// Drops members that were missing in the copy and have not joined again in time.
     pub(crate) fn drop_lost_members(&mut self, prefix: &str, now: Instant) {
-        if !self.restore.knew_before || self.restore.age(now) < MEMBERS_RETURN_WITHIN {
+        if !self.restore.knew_earlier_era || self.restore.age(now) < MEMBERS_RETURN_WITHIN {
             return;
         }
         let State { members, mirror, .. } = self;
         let before = members.len();
         members.retain(|host, _| mirror.get(&format!("{prefix}{host}")).is_some());
         let dropped = before - members.len();
-        self.restore.knew_before = false;
+        self.restore.knew_earlier_era = false;
         if dropped > 0 {
             self.members_version += 1;
             log::info!(
@@ -133,7 +133,7 @@
         grace: Duration,
     ) -> bool {
         let restore = &self.restore;
-        let is_copied = restore.knew_before && item.revision <= restore.copied_to;
+        let is_copied = restore.knew_earlier_era && item.revision <= restore.copied_to;
         if !is_copied || restore.age(Instant::now()) >= grace {
             return false;
         }
@@ -160,14 +160,14 @@
         if era <= before {
             return;
         }
-        let knew_before = state.mirror.followed_to() != Revision::ABSENT;
+        let knew_earlier_era = state.mirror.followed_to() != Revision::ABSENT;
         let lost_from = state.mirror.followed_to();
         state.mirror.enter(era);
         state.keep_unheard_records(lost_from);
         let now = Instant::now();
         state.restore = Restore {
             entered_at: Some(now),
-            knew_before,
+            knew_earlier_era,
             copied_to: revision,
             deferred: BTreeSet::new(),
         };
@@ -178,7 +178,7 @@
         state.acknowledged.clear();
         drop(state);
         self.metrics.now.with_label_values(&["store_era"]).set(era.0 as i64);
-        if !knew_before {
+        if !knew_earlier_era {
             log::info!(event = "store_era", era = era.0; "the store tells its era");
             return;
         }
@@ -245,9 +245,9 @@
         let seen = EraView {
             era: state.mirror.era(),
             known_for: state.restore.age(now),
-            knew_before: state.restore.knew_before,
+            knew_earlier_era: state.restore.knew_earlier_era,
         };
-        seen.must_wait(state.records.get(service).map(|known| &known.record), settles)
+        seen.must_wait_for_orders(state.records.get(service).map(|known| &known.record), settles)
     }
 
     /// Takes over that a server's entry is not there any more.
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -8,7 +8,8 @@
     catalog::ServerEntry,
     control::{
         evidence::{
-            HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge, may_grant_primary_lease,
+            HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge_statuses,
+            may_grant_primary_lease,
         },
         mirror::{Mirror, News},
         move_times::MoveTimes,
@@ -45,10 +46,10 @@
     };
     let right = |known: u64, server: &str, term: u64| HeldPrimaryLease {
         known_term: Term(known),
-        in_force: found(server, term),
+        usable_leader: found(server, term),
     };
     // A right that ends while nobody can be asked may have ended for a change of primary.
-    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), in_force: None };
+    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), usable_leader: None };
     let cases = [
         ("primary and a replica", vec![primary(), replica("b")], 3, found("a", 3)),
         ("the primary alone", vec![primary()], 3, None),
@@ -66,11 +67,11 @@
         // What was in force is what the answers are to show again.
         let held = match &expected {
             Some(lead) => {
-                HeldPrimaryLease { known_term: Term(known), in_force: Some(lead.clone()) }
+                HeldPrimaryLease { known_term: Term(known), usable_leader: Some(lead.clone()) }
             }
             None => right(known, "a", 3),
         };
-        assert_eq!(judge(&statuses, 3, &held), expected, "{name}");
+        assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
     }
     let all = || vec![primary(), replica("b"), replica("c")];
     let cases = [
@@ -82,7 +83,7 @@
         ("everybody in a later term", all(), right(2, "b", 2), found("a", 3)),
     ];
     for (name, statuses, held, expected) in cases {
-        assert_eq!(judge(&statuses, 3, &held), expected, "{name}");
+        assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
     }
 }
 
@@ -106,12 +107,12 @@
     }
 }
 
-fn stopped(server: &str, received: u64, leaving: bool, replaced: bool) -> StoppedServer {
+fn stopped(server: &str, received: u64, leaving: bool, is_old_primary: bool) -> StoppedServer {
     StoppedServer {
         server: server.to_owned(),
-        status: status(replaced, 1, received, 2),
+        status: status(is_old_primary, 1, received, 2),
         leaving,
-        replaced,
+        is_old_primary,
     }
 }
 
@@ -120,8 +121,8 @@
     SuccessorSelection {
         record,
         servers: 3,
-        synchronous: 0,
-        may_stay: false,
+        synchronous_replicas: 0,
+        may_keep_primary: false,
         is_primary_listed: true,
     }
 }
@@ -149,8 +150,8 @@
         ("enough of them", vec![behind, ahead], 1, chosen("c", 9)),
     ];
     let record = first_record();
-    for (name, servers, synchronous, expected) in cases {
-        let succession = SuccessorSelection { synchronous, ..succession(&record) };
+    for (name, servers, synchronous_replicas, expected) in cases {
+        let succession = SuccessorSelection { synchronous_replicas, ..succession(&record) };
         assert_eq!(succession.choose(&servers), expected, "{name}");
     }
 }
@@ -161,7 +162,7 @@
     let behind = stopped("b", 8, false, false);
     let level = stopped("c", 9, false, false);
     let record = first_record();
-    let succession = SuccessorSelection { may_stay: true, ..succession(&record) };
+    let succession = SuccessorSelection { may_keep_primary: true, ..succession(&record) };
     let chosen = |servers: &[StoppedServer]| succession.choose(servers).unwrap().server;
     assert_eq!(chosen(&[old.clone(), behind.clone()]), "a");
     assert_eq!(chosen(&[old, behind, level]), "c");
@@ -171,12 +172,12 @@
 fn a_successor_holds_nothing_that_a_promotion_took_back() {
     // Term 2 began with nine entries; its primary `b` is to be replaced.
     let keeps_nine = ChosenServer { server: "b".to_owned(), kept_position: 9 };
-    let record = first_record().settled(&keeps_nine, None, 2);
-    let server = |server: &str, term, received, replaced| StoppedServer {
+    let record = first_record().with_new_primary(&keeps_nine, None, 2);
+    let server = |server: &str, term, received, is_old_primary| StoppedServer {
         server: server.to_owned(),
         status: status(false, term, received, 3),
         leaving: false,
-        replaced,
+        is_old_primary,
     };
     let former = |received| server("a", 1, received, false);
     let follower = |received| server("c", 2, received, false);
@@ -218,15 +219,21 @@
 fn a_settled_record_says_where_the_term_began() {
     let record =
         LeadershipRecord { term: 3, primary: "a".to_owned(), ..LeadershipRecord::default() };
-    let settled =
-        record.settled(&ChosenServer { server: "b".to_owned(), kept_position: 17 }, None, 4);
+    let settled = record.with_new_primary(
+        &ChosenServer { server: "b".to_owned(), kept_position: 17 },
+        None,
+        4,
+    );
     assert_eq!((settled.term, settled.primary.as_str()), (4, "b"));
     assert_eq!(settled.change, None);
     assert_eq!(settled.starts[0].term, Term(4));
     assert_eq!(settled.starts[0].start.0, 17);
     // The primary started anew under another identity: no term began.
-    let renamed =
-        record.settled(&ChosenServer { server: "c".to_owned(), kept_position: 17 }, None, 3);
+    let renamed = record.with_new_primary(
+        &ChosenServer { server: "c".to_owned(), kept_position: 17 },
+        None,
+        3,
+    );
     assert_eq!((renamed.term, renamed.primary.as_str()), (3, "c"));
     assert!(renamed.starts.is_empty());
 }
@@ -239,7 +246,8 @@
         evidence: Duration::from_millis(300),
     };
     let after = |ms| recorded_at + Duration::from_millis(ms);
-    let progress = |fenced_at, all_answered| StopProgress { recorded_at, fenced_at, all_answered };
+    let progress =
+        |fenced_at, all_acknowledged| StopProgress { recorded_at, fenced_at, all_acknowledged };
     let complete = |progress: StopProgress| progress.complete_at(bounds);
     assert_eq!(complete(progress(None, true)), None);
     assert_eq!(complete(progress(Some(after(20)), true)), Some(after(335)));
--- a/crates/proxy/tests/history_model.rs
+++ b/crates/proxy/tests/history_model.rs
@@ -133,7 +133,7 @@
                 server: place.to_string(),
                 status: self.status(place),
                 leaving: false,
-                replaced: place == primary,
+                is_old_primary: place == primary,
             })
             .collect();
         let before = self.record.clone();
@@ -141,8 +141,8 @@
         let succession = SuccessorSelection {
             record,
             servers: SERVERS,
-            synchronous: 0,
-            may_stay: false,
+            synchronous_replicas: 0,
+            may_keep_primary: false,
             is_primary_listed: true,
         };
         if let Some(chosen) = succession.choose(&stopped) {
@@ -160,7 +160,7 @@
         let new = &mut self.servers[place];
         new.leads = true;
         new.term = term;
-        self.record = self.record.settled(chosen, None, term);
+        self.record = self.record.with_new_primary(chosen, None, term);
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
--- a/crates/proxy/tests/leadership_model.rs
+++ b/crates/proxy/tests/leadership_model.rs
@@ -16,7 +16,7 @@
 };
 use proxy::{
     control::{
-        evidence::{HeldPrimaryLease, LeaderByEvidence, judge},
+        evidence::{HeldPrimaryLease, LeaderByEvidence, judge_statuses},
         record::{PrimaryLeaseDurations, StopProgress, majority},
     },
     statement::EndpointStatus,
@@ -184,13 +184,13 @@
                 _ => EVIDENCE_RIGHT_MS,
             }),
         };
-        let progress = |all_answered| StopProgress {
+        let progress = |all_acknowledged| StopProgress {
             recorded_at: at(recorded_at_ms),
             fenced_at: Some(at(fenced_at_ms)),
-            all_answered,
+            all_acknowledged,
         };
-        let complete_ms = |all_answered| {
-            let complete_at = progress(all_answered).complete_at(bounds).unwrap();
+        let complete_ms = |all_acknowledged| {
+            let complete_at = progress(all_acknowledged).complete_at(bounds).unwrap();
             complete_at.duration_since(base).as_millis() as u64
         };
         let without = complete_ms(false);
@@ -280,9 +280,9 @@
                 || rights
                     .iter()
                     .any(|right| right.known_at_ms <= asked_at_ms && asked_at_ms < right.until_ms);
-            let in_force = is_in_force.then(|| old.clone());
-            let held = HeldPrimaryLease { known_term: Term(1), in_force };
-            if judge(&statuses, SERVERS, &held) == Some(old.clone()) {
+            let usable_leader = is_in_force.then(|| old.clone());
+            let held = HeldPrimaryLease { known_term: Term(1), usable_leader };
+            if judge_statuses(&statuses, SERVERS, &held) == Some(old.clone()) {
                 rights.push(HeldUntil {
                     known_at_ms: question.known_at_ms(),
                     until_ms: asked_at_ms + EVIDENCE_RIGHT_MS,
--- a/crates/proxy/tests/restore_model.rs
+++ b/crates/proxy/tests/restore_model.rs
@@ -134,7 +134,7 @@
     /// The era that it has read the store in; `None` before the first reading.
     era: Option<Era>,
     entered_at_ms: u64,
-    knew_before: bool,
+    knew_earlier_era: bool,
     /// The record that counts, with the revision at which one stands in the store.
     record: Option<LeadershipRecord>,
     record_revision: u64,
@@ -271,7 +271,7 @@
             return Ok(());
         }
         if daemon.era != Some(era) {
-            daemon.knew_before = daemon.era.is_some();
+            daemon.knew_earlier_era = daemon.era.is_some();
             daemon.entered_at_ms = now_ms;
             daemon.duty = None;
             daemon.era = Some(era);
@@ -355,9 +355,9 @@
         let seen = EraView {
             era,
             known_for: Duration::from_millis(self.now_ms - daemon.entered_at_ms),
-            knew_before: daemon.knew_before,
+            knew_earlier_era: daemon.knew_earlier_era,
         };
-        let waits = seen.must_wait(Some(&known), Duration::from_millis(SETTLES_MS));
+        let waits = seen.must_wait_for_orders(Some(&known), Duration::from_millis(SETTLES_MS));
         if waits && self.broken != Broken::NoWait {
             return None;
         }
