--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -164,7 +164,7 @@
         caller_dialect: adapter.caller_dialect,
         endpoint_dialect: adapter.endpoint_dialect,
         settings: serve_settings(settings),
-        beliefs,
+        control_view: beliefs,
         stopping,
         metrics,
         observations: observations_out,
--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -263,7 +263,7 @@
 ) {
     let mut lent: Option<Lent<E>> = None;
     loop {
-        let rest = engine.beliefs().catalog.idle_transaction;
+        let rest = engine.control_view().catalog.idle_transaction;
         let request = match rest {
             Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
                 Ok(request) => request,
@@ -343,7 +343,7 @@
     engine: &Rc<Engine<C, E>>,
     until: Instant,
 ) {
-    let mut beliefs = engine.beliefs.clone();
+    let mut beliefs = engine.control_view.clone();
     let known = beliefs.wait_for(|beliefs| beliefs.is_ready());
     // What comes too late is told so by the pool.
     let _ = tokio::time::timeout_at(until.into(), known).await;
@@ -353,7 +353,7 @@
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
 ) -> Rc<Group<E>> {
-    engine.group(&Name::from(request.service.as_str()), &engine.beliefs())
+    engine.group(&Name::from(request.service.as_str()), &engine.control_view())
 }
 
 /// Finds a connection of this daemon's own; nothing is handed on a second time.
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -149,7 +149,7 @@
         server: &Name,
         sample: Sample,
     ) {
-        let beliefs = self.beliefs();
+        let beliefs = self.control_view();
         let lead = beliefs.usable_leader(service, sample.sent_at);
         if let Some(lead) = lead.filter(|lead| lead.server == *server) {
             self.add_sample(group, service, lead, sample);
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -197,7 +197,7 @@
     /// hears of it no more, though it reaches it: a third of a fleet refused every limited account for six seconds.
     async fn lend_from_keeper(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
-        let beliefs = self.beliefs();
+        let beliefs = self.control_view();
         let wanted = Wanted { host: self.settings.host.clone(), unused, wanted };
         let keeper = self.limits.keeper(now);
         if keeper.as_ref() == Some(&self.settings.host) {
@@ -241,7 +241,7 @@
     /// Lends what there is of an account's limit, as the keeper or as one to be.
     pub(crate) fn lend(&self, account: &Name, wanted: &Wanted) -> Grant {
         let now = Instant::now();
-        let beliefs = self.beliefs();
+        let beliefs = self.control_view();
         if !beliefs.is_member(now) {
             return Grant::NotKeeper;
         }
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -32,7 +32,7 @@
                 continue;
             }
             Ask::Probe { service, server } => {
-                let group = engine.group(&service, &engine.beliefs());
+                let group = engine.group(&service, &engine.control_view());
                 engine.probe_again(&group, &service, &server);
                 continue;
             }
@@ -50,8 +50,8 @@
     engine: &Rc<Engine<C, E>>,
     ask: &CommandAsk,
 ) -> Option<EndpointStatus> {
-    let beliefs = engine.beliefs();
-    let group = engine.group(&ask.service, &beliefs);
+    let view = engine.control_view();
+    let group = engine.group(&ask.service, &view);
     let request = ConnectionRequest {
         only: Some(ask.server.clone()),
         min_point: None,
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -163,7 +163,7 @@
     /// The settings.
     pub settings: ServeSettings,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<ControlView>>,
+    pub control_view: watch::Receiver<Arc<ControlView>>,
     /// When the stop began; `None` while the daemon runs.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -190,7 +190,7 @@
     /// The settings.
     pub settings: ServeSettings,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<ControlView>>,
+    pub control_view: watch::Receiver<Arc<ControlView>>,
     /// When the stop began.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -229,7 +229,7 @@
             caller_dialect: parts.caller_dialect,
             endpoint_dialect: parts.endpoint_dialect,
             settings: parts.settings,
-            beliefs: parts.beliefs,
+            control_view: parts.control_view,
             stopping: parts.stopping,
             metrics: parts.metrics,
             callers: Cell::new(0),
@@ -241,8 +241,8 @@
     }
 
     /// Returns what is believed now.
-    pub fn beliefs(&self) -> Arc<ControlView> {
-        self.beliefs.borrow().clone()
+    pub fn control_view(&self) -> Arc<ControlView> {
+        self.control_view.borrow().clone()
     }
 
     /// Returns the milliseconds since this daemon began, rounded down.
@@ -256,7 +256,7 @@
     }
 
     /// Returns a service's group, brought up to what is believed now.
-    pub fn group(&self, service: &Name, beliefs: &ControlView) -> Rc<Group<E>> {
+    pub fn group(&self, service: &Name, view: &ControlView) -> Rc<Group<E>> {
         let group = self
             .groups
             .borrow_mut()
@@ -266,15 +266,15 @@
                 Rc::new(Group::new(self.layout.clone(), self.relays.clone(), overload))
             })
             .clone();
-        let granted = beliefs.catalog.services.get(service).map_or(0, |rule| rule.connections);
-        let by_account = beliefs.catalog.accounts.is_some();
-        let entries = beliefs.servers.get(service).map_or(&[][..], Vec::as_slice);
+        let granted = view.catalog.services.get(service).map_or(0, |rule| rule.connections);
+        let by_account = view.catalog.accounts.is_some();
+        let entries = view.servers.get(service).map_or(&[][..], Vec::as_slice);
         let slots = entries.iter().map(|entry| entry.slots).min().unwrap_or(0);
-        let share = share_of(granted, slots, beliefs.sharers, by_account);
+        let share = share_of(granted, slots, view.sharers, by_account);
         let inputs = PoolInputs {
-            servers: beliefs.servers.clone(),
-            detours: beliefs.detours.clone(),
-            owners: beliefs.owners.clone(),
+            servers: view.servers.clone(),
+            detours: view.detours.clone(),
+            owners: view.owners.clone(),
             share,
         };
         if !group.pool_inputs.borrow().is_same(&inputs) {
--- a/crates/proxy/src/serve/error_reporting.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -77,20 +77,20 @@
         job: &Job<'_>,
         refusal: Refusal,
     ) -> StatementError {
-        let beliefs = self.beliefs();
-        let lead = beliefs.leaders.get(&job.route.service);
+        let view = self.control_view();
+        let lead = view.leaders.get(&job.route.service);
         let retry_after_ms = refusal.come_back.as_millis() as u64;
         log::info!(
             event = "refused", id = id_text(&job.id).as_str(), service = &*job.route.service,
             reads = job.route.reads.as_str(), code = refusal.code.as_str(), why = refusal.why,
             primary = lead.map_or("", |lead| &*lead.server),
             lead_valid = lead.is_some_and(|lead| lead.is_valid(Instant::now())),
-            changing = beliefs.is_changing(&job.route.service),
+            changing = view.is_changing(&job.route.service),
             outage = refusal.outage.map_or("", Outage::as_str),
             remaining_ms = refusal.remaining.as_millis() as u64, sent = refusal.sent,
             expected_wait_ms = group.pool.expected_wait().as_millis() as u64,
             held_ms = job.arrived.elapsed().as_millis() as u64, retry_after_ms = retry_after_ms,
-            configuration = beliefs.catalog.version;
+            configuration = view.catalog.version;
             "a statement was refused"
         );
         StatementError::come_back(refusal.code, refusal.why, retry_after_ms)
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -78,7 +78,7 @@
     pub async fn run_single(self: &Rc<Self>, job: &Job<'_>) -> Answer {
         let mut rounds = Rounds::default();
         loop {
-            let group = self.group(&job.route.service, &self.beliefs());
+            let group = self.group(&job.route.service, &self.control_view());
             self.report_usage(&group, &job.route.service);
             let class = job.work.class();
             let mut granted = match self.grant(&group, job, class, &mut rounds).await {
@@ -157,9 +157,9 @@
         class: StatementClass,
         rounds: &mut Rounds,
     ) -> Result<Granted<E>, Denied> {
-        let beliefs = self.beliefs();
+        let view = self.control_view();
         let service = &job.route.service;
-        let known = beliefs.leaders.get(service);
+        let known = view.leaders.get(service);
         let now = Instant::now();
         let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
@@ -175,7 +175,7 @@
         }
         rounds.needs_primary = min_point.is_none();
         let lead = match min_point {
-            Some(_) => beliefs.usable_leader(service, Instant::now()).cloned(),
+            Some(_) => view.usable_leader(service, Instant::now()).cloned(),
             None => {
                 let lead = self.await_primary(group, job, class, rounds).await?;
                 if bound.is_some() && known.is_none() {
@@ -239,8 +239,8 @@
         lead: Option<&GroupLeader>,
         now: Instant,
     ) -> bool {
-        let beliefs = self.beliefs();
-        let current = beliefs.usable_leader(service, now);
+        let view = self.control_view();
+        let current = view.usable_leader(service, now);
         lead.zip(current).is_some_and(|(lead, current)| {
             lead.server == current.server && lead.term == current.term
         })
@@ -265,7 +265,7 @@
     ) -> Denied {
         if job.work.class() == StatementClass::Read
             && job.route.reads != ReadRule::Primary
-            && let Some(lead) = self.beliefs().leaders.get(&job.route.service)
+            && let Some(lead) = self.control_view().leaders.get(&job.route.service)
         {
             self.note_starved(group, &job.route.service, &lead.server);
         }
@@ -435,16 +435,16 @@
         point: Option<LogPoint>,
         deadline: Instant,
     ) -> bool {
-        let mut beliefs = self.beliefs.clone();
+        let mut view = self.control_view.clone();
         loop {
-            let current = beliefs.borrow_and_update().clone();
+            let current = view.borrow_and_update().clone();
             if let Some(known) = current.usable_leader(service, Instant::now()) {
                 if known.server == lead.server && known.term == lead.term {
                     return true;
                 }
                 return is_write_kept(point, known.term, &known.history);
             }
-            match tokio::time::timeout_at(deadline.into(), beliefs.changed()).await {
+            match tokio::time::timeout_at(deadline.into(), view.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return false,
             }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -244,7 +244,7 @@
     /// Answers a candidate.
     pub(crate) fn vote(&self, request: &VoteRequest) -> Vote {
         let now = Instant::now();
-        let vote = self.limits.vote(request, &self.beliefs(), now);
+        let vote = self.limits.vote(request, &self.control_view(), now);
         if !vote.is_bound {
             self.limits.give_way_to(&request.host, &self.settings.host, now);
         }
@@ -254,7 +254,7 @@
     /// Takes part in the election of the keeper for as long as the daemon runs.
     pub async fn keep_limits(self: Rc<Self>) {
         loop {
-            let beliefs = self.beliefs();
+            let beliefs = self.control_view();
             if !beliefs.has_limits() {
                 self.limits.resign();
                 // Before the first configuration nobody knows whether there are limits.
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -75,8 +75,8 @@
 }
 
 /// Says why no primary may be used, and since when as far as that is known.
-pub(crate) fn outage_of(beliefs: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
-    match beliefs.leaders.get(service) {
+pub(crate) fn outage_of(view: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
+    match view.leaders.get(service) {
         Some(lead) if lead.is_valid(now) => (Outage::Unreachable, now),
         Some(lead) if lead.planned => (Outage::PlannedChange, now),
         Some(lead) if lead.changing => (Outage::Failover, now),
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -84,11 +84,11 @@
         if !self.holds(group) {
             return self.await_primary_briefly(group, job, rounds).await;
         }
-        let mut beliefs = self.beliefs.clone();
+        let mut view = self.control_view.clone();
         let mut stopping = self.stopping.clone();
         let mut place = None;
         loop {
-            let current = beliefs.borrow_and_update().clone();
+            let current = view.borrow_and_update().clone();
             let now = Instant::now();
             if let Some(lead) = current.usable_leader(&job.route.service, now) {
                 if rounds.avoid.contains(&lead.server) {
@@ -121,7 +121,7 @@
                 }
             };
             tokio::select! {
-                changed = beliefs.changed() => {
+                changed = view.changed() => {
                     if changed.is_err() {
                         return Err(Denied::Refuse(self.no_primary(group, job, rounds)));
                     }
@@ -140,9 +140,9 @@
         job: &Job<'_>,
         rounds: &mut Rounds,
     ) -> Result<GroupLeader, Denied> {
-        let mut beliefs = self.beliefs.clone();
+        let mut view = self.control_view.clone();
         loop {
-            let current = beliefs.borrow_and_update().clone();
+            let current = view.borrow_and_update().clone();
             let lead = current.usable_leader(&job.route.service, Instant::now());
             if let Some(lead) = lead
                 && !rounds.avoid.contains(&lead.server)
@@ -150,7 +150,7 @@
                 return Ok(lead.clone());
             }
             let hold_until = self.hold_until(job);
-            let changed = tokio::time::timeout_at(hold_until.into(), beliefs.changed()).await;
+            let changed = tokio::time::timeout_at(hold_until.into(), view.changed()).await;
             match changed {
                 Ok(Ok(())) => rounds.avoid.clear(),
                 Ok(Err(_)) | Err(_) => {
@@ -162,7 +162,7 @@
 
     /// Until when a statement may wait for a server that can run it.
     pub(crate) fn hold_until(&self, job: &Job<'_>) -> Instant {
-        job.hold_until(self.beliefs().is_planned_gap(&job.route.service, Instant::now()))
+        job.hold_until(self.control_view().is_planned_gap(&job.route.service, Instant::now()))
     }
 
     /// Returns the point that a read's server must hold, if it may run at others than the primary by what is known now.
@@ -172,12 +172,12 @@
         job: &Job<'_>,
         class: StatementClass,
     ) -> Option<LogPoint> {
-        let beliefs = self.beliefs();
+        let view = self.control_view();
         let service = &job.route.service;
-        if let Some(sample) = beliefs.samples.get(service) {
+        if let Some(sample) = view.samples.get(service) {
             group.samples.borrow_mut().add(sample.asked_at, sample.point);
         }
-        let history = beliefs.leaders.get(service).map(|lead| lead.history.clone());
+        let history = view.leaders.get(service).map(|lead| lead.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
         placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
@@ -250,22 +250,19 @@
 
     /// How long the primary takes for a statement of this daemon's, as one of all that send it theirs.
     fn pace(&self, group: &Group<E>, service: &Name) -> Duration {
-        let beliefs = self.beliefs();
-        beliefs
-            .leaders
-            .get(service)
-            .map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
+        let view = self.control_view();
+        view.leaders.get(service).map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
     }
 
     fn pace_at(&self, group: &Group<E>, server: &Name) -> Duration {
         let slots = group.pool.entry_of(server).map_or(1, |entry| entry.slots).max(1);
-        let daemons = self.beliefs().sharers.daemons.max(1);
+        let daemons = self.control_view().sharers.daemons.max(1);
         group.pool.latency_of(server) * daemons / slots
     }
 
     /// Returns what a statement is told that finds no primary.
     fn no_primary(&self, group: &Group<E>, job: &Job<'_>, rounds: &Rounds) -> StatementError {
-        let changing = self.beliefs().is_changing(&job.route.service);
+        let changing = self.control_view().is_changing(&job.route.service);
         let (why, come_back) = if changing {
             ("the primary is being replaced", COME_BACK_CHANGING)
         } else {
@@ -303,7 +300,7 @@
         next: NextStep,
         server: Name,
     ) -> Option<StatementError> {
-        let group = self.group(&job.route.service, &self.beliefs());
+        let group = self.group(&job.route.service, &self.control_view());
         let until = match self.holds(&group) && rounds.sent > 0 {
             true => job.patience().tries_until(),
             false => self.hold_until(job),
@@ -329,8 +326,8 @@
             return false;
         }
         let now = Instant::now();
-        let beliefs = self.beliefs();
-        let lead = beliefs.usable_leader(&job.route.service, now);
+        let view = self.control_view();
+        let lead = view.usable_leader(&job.route.service, now);
         // An empty name: no server was found, so it was the primary that wasn't.
         if needs_primary(job)
             && lead.is_some_and(|lead| lead.server == *server || server.is_empty())
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -144,10 +144,10 @@
             self.refuse_session(&database, "this daemon has no configuration yet").await;
             return false;
         }
-        if !self.engine.beliefs().catalog.routes.contains_key(&database) {
+        if !self.engine.control_view().catalog.routes.contains_key(&database) {
             log::info!(
                 event = "unknown_database", database = &*database,
-                configuration = self.engine.beliefs().catalog.version;
+                configuration = self.engine.control_view().catalog.version;
                 "a caller named a database that no route has"
             );
             let why = "no route has this database";
@@ -185,8 +185,8 @@
 
     /// Waits for the first configuration: before it, nothing can be said of any database.
     async fn configuration_is_known(&self) -> bool {
-        let mut beliefs = self.engine.beliefs.clone();
-        let known = beliefs.wait_for(|beliefs| beliefs.is_ready());
+        let mut view = self.engine.control_view.clone();
+        let known = view.wait_for(|view| view.is_ready());
         matches!(tokio::time::timeout(CONFIGURATION_WITHIN, known).await, Ok(Ok(_)))
     }
 
@@ -236,7 +236,7 @@
     fn rest_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.lent.as_ref()?;
-        Some(Instant::now() + self.engine.beliefs().catalog.idle_transaction?)
+        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
     }
 
     /// Answers a message; `false` if the connection ends with it.
@@ -417,11 +417,11 @@
     }
 
     fn route(&self) -> Option<Arc<Route>> {
-        self.engine.beliefs().catalog.routes.get(&self.database).cloned()
+        self.engine.control_view().catalog.routes.get(&self.database).cloned()
     }
 
     fn account(&self, route: &Route) -> Result<Option<Arc<Account>>, UnknownKey> {
-        account_of(&self.engine.beliefs().catalog, &self.key, route)
+        account_of(&self.engine.control_view().catalog, &self.key, route)
     }
 
     /// Ends the session: its key was taken away. Nothing more runs for it, and what is open is rolled back.
@@ -437,7 +437,7 @@
         self.engine.metrics.refused.with_label_values(&["key"]).inc();
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
-            configuration = self.engine.beliefs().catalog.version;
+            configuration = self.engine.control_view().catalog.version;
             "a caller's key belongs to no client account"
         );
     }
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -87,7 +87,7 @@
         job: &Job<'_>,
         transaction: &mut Transaction<E>,
     ) -> Answer {
-        let group = self.group(&job.route.service, &self.beliefs());
+        let group = self.group(&job.route.service, &self.control_view());
         let mut rounds = Rounds { opens_transaction: true, ..Rounds::default() };
         loop {
             let is_first = transaction.lent.is_none();
