--- a/crates/proxy/src/serve/caller_link.rs
+++ b/crates/proxy/src/serve/caller_link.rs
@@ -17,7 +17,7 @@
 /// The room that a read from a caller gets.
 const READ_RESERVE_BYTES: usize = 2 * 1024;
 /// How long a caller may take to read an answer before its connection is ended.
-const CALLER_READS_WITHIN: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The caller is gone, or does not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,8 +108,7 @@
     /// Sends what was put, in one write where the socket takes it.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         let outgoing = self.outgoing.split();
-        let written =
-            tokio::time::timeout(CALLER_READS_WITHIN, self.stream.write_all(&outgoing)).await;
+        let written = tokio::time::timeout(WRITE_TIMEOUT, self.stream.write_all(&outgoing)).await;
         self.outgoing = BytesMut::new();
         match written {
             Ok(Ok(())) => Ok(()),
@@ -118,7 +117,7 @@
     }
 
     /// Gives the read buffer's memory back while the session rests.
-    pub fn rest(&mut self) {
+    pub fn release_buffer(&mut self) {
         if self.incoming.is_empty() {
             self.incoming = BytesMut::new();
         }
--- a/crates/proxy/src/serve/contradiction.rs
+++ b/crates/proxy/src/serve/contradiction.rs
@@ -33,40 +33,40 @@
 
 /// Compares what a primary showed with what it was used by: the right, and the latest sample of its log that was
 /// known when the statement was sent.
-pub fn contradiction(
-    lead: &GroupLeader,
+pub fn find_contradiction(
+    leader: &GroupLeader,
     known: Option<LogPoint>,
     shown: Option<LogPoint>,
 ) -> Option<Contradiction> {
     let shown = shown?;
-    if shown.term > lead.term {
+    if shown.term > leader.term {
         return Some(Contradiction::LaterTerm);
     }
-    let known = known.map(|known| lead.history.clamp(known))?;
+    let known = known.map(|known| leader.history.clamp(known))?;
     let is_comparable = known.term == shown.term;
     (is_comparable && shown.position < known.position).then_some(Contradiction::BehindSample)
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Looks whether an answer of a primary contradicts the right it was used by, which still holds.
-    pub(crate) fn check_answer(
+    pub(crate) fn check_primary_answer(
         &self,
         group: &Group<E>,
         service: &Name,
-        lead: &GroupLeader,
+        leader: &GroupLeader,
         known: Option<LogPoint>,
         shown: Option<LogPoint>,
     ) {
-        let Some(found) = contradiction(lead, known, shown) else { return };
+        let Some(found) = find_contradiction(leader, known, shown) else { return };
         self.metrics.contradictions.with_label_values(&[found.as_str()]).inc();
         log::error!(
-            event = "permission_contradicted", service = &**service, server = &*lead.server,
-            how = found.as_str(), term = lead.term.0, basis = lead.basis.as_str(),
+            event = "permission_contradicted", service = &**service, server = &*leader.server,
+            how = found.as_str(), term = leader.term.0, basis = leader.basis.as_str(),
             known = format!("{known:?}").as_str(), shown = format!("{shown:?}").as_str();
             "a primary's answer contradicts the right that it was used by"
         );
         group.samples.borrow_mut().clear();
-        let observation = Observation::Contradicted { service: service.clone(), term: lead.term };
+        let observation = Observation::Contradicted { service: service.clone(), term: leader.term };
         // A full ring means that the control thread is behind; the next such answer tells it again.
         let _ = self.observations.try_send(observation);
     }
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -65,14 +65,14 @@
             let lost = ConnectionLost::Garbled("a shape that was not prepared".to_owned());
             return Err((Progress::NotSent, lost));
         };
-        let own_commands = before.len();
+        let setup_commands = before.len();
         for text in before {
             connection.queue(&EndpointCommand::own(text));
         }
         connection.queue(&EndpointCommand { id: self.id.clone(), min_point: self.min_point, text });
         let sent = |lost| (Progress::Sent, lost);
         connection.flush(deadline).await.map_err(sent)?;
-        for _ in 0..own_commands {
+        for _ in 0..setup_commands {
             let answer = connection.read_answer(deadline).await.map_err(sent)?;
             if answer.error_code().is_some() {
                 let why = "the server refused a value or a shape".to_owned();
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -31,7 +31,7 @@
         limits::Limits,
         outage::GroupOutage,
         pool::{GroupPool, NoConnection, Offer},
-        primary_wait::Holding,
+        primary_wait::HoldState,
         reachability::ProbeState,
         replay::SessionValues,
         share::{Share, share_of},
@@ -173,7 +173,7 @@
     pub(crate) observations: flume::Sender<Observation>,
     pub(crate) relays: Rc<RelayLinks>,
     pub(crate) limits: Limits,
-    pub(crate) holding: Holding,
+    pub(crate) hold_state: HoldState,
     /// Where this daemon's clock begins, by which others tell it until when it may begin with their statements.
     epoch: Instant,
     /// How far the servers' zones are.
@@ -225,7 +225,7 @@
         Engine {
             limits,
             layout,
-            holding: Holding::default(),
+            hold_state: HoldState::default(),
             caller_dialect: parts.caller_dialect,
             endpoint_dialect: parts.endpoint_dialect,
             settings: parts.settings,
--- a/crates/proxy/src/serve/error_reporting.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Refusal {
     pub(crate) code: ErrorCode,
     pub(crate) why: &'static str,
-    pub(crate) come_back: Duration,
+    pub(crate) retry_delay: Duration,
     /// What it would have had to wait for, if that is known.
     pub(crate) outage: Option<Outage>,
     /// How much longer that is expected to last.
@@ -34,7 +34,7 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    pub(crate) fn note_refused(
+    pub(crate) fn on_server_error(
         &self,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
@@ -71,20 +71,20 @@
         );
     }
 
-    pub(crate) fn refuse(
+    pub(crate) fn refuse_statement(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
         refusal: Refusal,
     ) -> StatementError {
         let view = self.control_view();
-        let lead = view.leaders.get(&job.route.service);
-        let retry_after_ms = refusal.come_back.as_millis() as u64;
+        let leader = view.leaders.get(&job.route.service);
+        let retry_after_ms = refusal.retry_delay.as_millis() as u64;
         log::info!(
             event = "refused", id = id_text(&job.id).as_str(), service = &*job.route.service,
             reads = job.route.reads.as_str(), code = refusal.code.as_str(), why = refusal.why,
-            primary = lead.map_or("", |lead| &*lead.server),
-            lead_valid = lead.is_some_and(|lead| lead.is_valid(Instant::now())),
+            primary = leader.map_or("", |leader| &*leader.server),
+            lead_valid = leader.is_some_and(|leader| leader.is_valid(Instant::now())),
             changing = view.is_changing(&job.route.service),
             outage = refusal.outage.map_or("", Outage::as_str),
             remaining_ms = refusal.remaining.as_millis() as u64, sent = refusal.sent,
@@ -96,7 +96,7 @@
         StatementError::come_back(refusal.code, refusal.why, retry_after_ms)
     }
 
-    pub(crate) fn unknown_outcome(
+    pub(crate) fn lost_connection_answer(
         &self,
         job: &Job<'_>,
         server: &Name,
@@ -113,10 +113,10 @@
         refusal(error, TransactionState::Idle)
     }
 
-    pub(crate) fn unconfirmed(&self, job: &Job<'_>, lead: &GroupLeader) -> Answer {
+    pub(crate) fn unconfirmed_write(&self, job: &Job<'_>, leader: &GroupLeader) -> Answer {
         log::info!(
             event = "outcome", id = id_text(&job.id).as_str(), service = &*job.route.service,
-            server = &*lead.server, term = lead.term.0, code = ErrorCode::InDoubt.as_str(),
+            server = &*leader.server, term = leader.term.0, code = ErrorCode::InDoubt.as_str(),
             held_ms = job.arrived.elapsed().as_millis() as u64;
             "a write ran, but its server may not lead any more"
         );
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -23,7 +23,7 @@
         job::Job,
         lent::Lent,
         placement::STALENESS_MARGIN,
-        primary_wait::Rounds,
+        primary_wait::Attempts,
         verdict::{NextStep, Progress, after_error, after_loss, is_write_kept},
     },
     statement::{Answer, ErrorCode, StatementError, TransactionState},
@@ -32,18 +32,18 @@
 /// How many times a server's average answering time a read waits before a second server is tried.
 const SLOW_ANSWER_FACTOR: u32 = 6;
 /// How long nothing is tried after every server refused, before they are asked again.
-pub(crate) const ROUND_PAUSE: Duration = Duration::from_millis(15);
+pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(15);
 /// How often other daemons are told, or asked, where a primary's log stands; a fraction of the bounds that routes
 /// name, and of the time between two questions to the zone's reader.
-const SAMPLE_TOLD_EVERY: Duration = Duration::from_millis(200);
+const SAMPLE_SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a statement is refused for which a server's queue has no room in time.
-const OTHERS_FIRST: &str = "more urgent statements and those of others go first";
+const OVERLOADED_REASON: &str = "more urgent statements and those of others go first";
 
 /// A connection on which a statement may run now, with what it has to show.
-pub(crate) struct Granted<E: EndpointDialect> {
+pub(crate) struct Assignment<E: EndpointDialect> {
     pub(crate) lent: Lent<E>,
-    pub(crate) lead: Option<GroupLeader>,
+    pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log is known to have reached before the statement is sent.
     pub(crate) known: Option<LogPoint>,
@@ -68,73 +68,83 @@
 }
 
 /// Why nothing was granted.
-pub(crate) enum Denied {
+pub(crate) enum AssignError {
     Refuse(StatementError),
-    Again,
+    Retry,
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Runs a statement outside a transaction.
     pub async fn run_single(self: &Rc<Self>, job: &Job<'_>) -> Answer {
-        let mut rounds = Rounds::default();
+        let mut attempts = Attempts::default();
         loop {
             let group = self.group(&job.route.service, &self.control_view());
             self.report_usage(&group, &job.route.service);
             let class = job.work.class();
-            let mut granted = match self.grant(&group, job, class, &mut rounds).await {
-                Ok(granted) => granted,
-                Err(Denied::Refuse(error)) => return refusal(error, TransactionState::Idle),
-                Err(Denied::Again) => continue,
+            let mut assignment = match self.assign(&group, job, class, &mut attempts).await {
+                Ok(assignment) => assignment,
+                Err(AssignError::Refuse(error)) => return refusal(error, TransactionState::Idle),
+                Err(AssignError::Retry) => continue,
             };
             let sent_at = Instant::now();
-            rounds.sent += 1;
+            attempts.sent += 1;
             group.retries.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
-            let sent =
-                self.send(&group, job, &mut granted.lent, granted.min_point, may_run_again).await;
-            let reached = granted.lent.reached();
+            let sent = self
+                .send(&group, job, &mut assignment.lent, assignment.min_point, may_run_again)
+                .await;
+            let reached = assignment.lent.reached();
             let server = reached.server.clone();
             self.note_own_health(&group, &reached, &sent);
             let next = match sent {
                 Ok(answer) => match answer.error_code() {
-                    None if self.is_still_right(job, &granted) => {
-                        return self.finish_single(&group, job, granted, answer, sent_at).await;
+                    None if self.is_lease_still_valid(job, &assignment) => {
+                        return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
-                        granted.lent.give_back();
+                        assignment.lent.give_back();
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
                         self.note_path_answered(&group.pool, &reached);
-                        self.note_refused(&group, job, &server, code, granted.min_point, &answer);
-                        granted.lent.give_back();
+                        self.on_server_error(
+                            &group,
+                            job,
+                            &server,
+                            code,
+                            assignment.min_point,
+                            &answer,
+                        );
+                        assignment.lent.give_back();
                         let next = after_error(code, class);
                         if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
                         }
-                        rounds.last_error = Some(code);
+                        attempts.last_error = Some(code);
                         next
                     }
                 },
                 Err((progress, lost)) => {
-                    drop(granted);
-                    if is_no_try(&lost) {
-                        rounds.sent -= 1;
+                    drop(assignment);
+                    if is_free_attempt(&lost) {
+                        attempts.sent -= 1;
                     }
-                    rounds.last_error = refused_as(&lost);
+                    attempts.last_error = refusal_code(&lost);
                     self.note_loss(&group, &job.route.service, &reached, &lost);
-                    if let Some(error) = self.turned_away(&group, job, &rounds, &server, &lost) {
+                    if let Some(error) =
+                        self.overload_refusal(&group, job, &attempts, &server, &lost)
+                    {
                         return refusal(error, TransactionState::Idle);
                     }
                     match after_loss(progress, class) {
                         NextStep::Report(code) => {
-                            return self.unknown_outcome(job, &server, code, &lost);
+                            return self.lost_connection_answer(job, &server, code, &lost);
                         }
                         next => next,
                     }
                 }
             };
-            if let Some(error) = self.prepare_next_round(&mut rounds, job, next, server).await {
+            if let Some(error) = self.prepare_next_attempt(&mut attempts, job, next, server).await {
                 return refusal(error, TransactionState::Idle);
             }
         }
@@ -142,21 +152,25 @@
 
     /// Whether an answer may be given to the caller as far as the right to read at the primary goes. On the
     /// way through an owner a read may have waited for longer than the right that it was sent under.
-    fn is_still_right(&self, job: &Job<'_>, granted: &Granted<E>) -> bool {
-        let is_read_there = job.work.class() == StatementClass::Read && granted.lead.is_some();
+    fn is_lease_still_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
+        let is_read_there = job.work.class() == StatementClass::Read && assignment.leader.is_some();
         !is_read_there
-            || granted.lent.reached().is_own
-            || self.may_still_use(&job.route.service, granted.lead.as_ref(), Instant::now())
+            || assignment.lent.reached().is_own
+            || self.is_current_leader(
+                &job.route.service,
+                assignment.leader.as_ref(),
+                Instant::now(),
+            )
     }
 
     /// Finds a connection on which the statement, or the transaction it opens, may run now.
-    pub(crate) async fn grant(
+    pub(crate) async fn assign(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         class: StatementClass,
-        rounds: &mut Rounds,
-    ) -> Result<Granted<E>, Denied> {
+        attempts: &mut Attempts,
+    ) -> Result<Assignment<E>, AssignError> {
         let view = self.control_view();
         let service = &job.route.service;
         let known = view.leaders.get(service);
@@ -164,68 +178,71 @@
         let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
         if let Some(bound) = bound.filter(|_| min_point.is_none()) {
-            self.want_sample(group, now);
-            if let Some(lead) = known.filter(|_| !rounds.asked_for_sample) {
-                rounds.asked_for_sample = true;
-                let max_age = sample_age(bound, lead.is_valid(now));
-                if self.hear_sample(group, service, &lead.server, max_age).await {
+            self.request_sample(group, now);
+            if let Some(leader) = known.filter(|_| !attempts.requested_sample) {
+                attempts.requested_sample = true;
+                let max_age = max_sample_age(bound, leader.is_valid(now));
+                if self.hear_sample(group, service, &leader.server, max_age).await {
                     min_point = self.current_min_point(group, job, class);
                 }
             }
         }
-        rounds.needs_primary = min_point.is_none();
-        let lead = match min_point {
+        attempts.needs_primary = min_point.is_none();
+        let leader = match min_point {
             Some(_) => view.usable_leader(service, Instant::now()).cloned(),
             None => {
-                let lead = self.await_primary(group, job, class, rounds).await?;
+                let leader = self.await_primary(group, job, class, attempts).await?;
                 if bound.is_some() && known.is_none() {
                     // Only now is it known whose owner to ask where the log stands.
-                    return Err(Denied::Again);
+                    return Err(AssignError::Retry);
                 }
-                Some(lead)
+                Some(leader)
             }
         };
         let request = ConnectionRequest {
-            only: lead.as_ref().filter(|_| min_point.is_none()).map(|lead| lead.server.clone()),
+            only: leader
+                .as_ref()
+                .filter(|_| min_point.is_none())
+                .map(|leader| leader.server.clone()),
             min_point,
-            avoid: rounds.avoid.clone(),
-            primary: known.map(|lead| lead.server.clone()),
+            avoid: attempts.avoid.clone(),
+            primary: known.map(|leader| leader.server.clone()),
             priority: job.route.priority,
             yields: class == StatementClass::Read && job.route.reads != ReadRule::Primary,
-            opens_transaction: rounds.opens_transaction,
+            opens_transaction: attempts.opens_transaction,
             is_forwarded: false,
-            previous_attempts: rounds.sent,
+            previous_attempts: attempts.sent,
             cancellation: None,
             principal: Some(job.principal.clone()),
         };
         // The wait for a primary is over only now, and the wait for a connection begins.
-        let wait_until = job.wait_until(Instant::now(), group.pool.has_queues());
-        let lent = match self.acquire(group, request, job.values, wait_until).await {
+        let wait_deadline = job.wait_deadline(Instant::now(), group.pool.has_queues());
+        let lent = match self.acquire(group, request, job.values, wait_deadline).await {
             Ok(lent) => lent,
-            Err(error) => return Err(self.on_not_acquired(group, job, rounds, error).await),
+            Err(error) => return Err(self.on_acquire_failed(group, job, attempts, error).await),
         };
         // Time may have passed, and with it the right to use this primary.
         let now = Instant::now();
-        if min_point.is_none() && !self.may_still_use(service, lead.as_ref(), now) {
+        if min_point.is_none() && !self.is_current_leader(service, leader.as_ref(), now) {
             lent.give_back();
-            return Err(Denied::Again);
+            return Err(AssignError::Retry);
         }
         // A read at the primary needs no minimum point while the right to it holds, by what is believed now: the
         // right may have been given up while the statement waited for its connection.
-        let lead = lead.filter(|lead| {
-            lead.server == *lent.server() && self.may_still_use(service, Some(lead), now)
+        let leader = leader.filter(|leader| {
+            leader.server == *lent.server() && self.is_current_leader(service, Some(leader), now)
         });
-        let min_point = if lead.is_some() { None } else { min_point };
-        self.count_sent(&lent, group, lead.is_some());
+        let min_point = if leader.is_some() { None } else { min_point };
+        self.count_sent(&lent, group, leader.is_some());
         let known = group.samples.borrow().latest();
-        Ok(Granted { lent, lead, min_point, known })
+        Ok(Assignment { lent, leader, min_point, known })
     }
 
     /// Tells the control thread that a sample is wanted, now and then: a line for each read would leave a
     /// busy control thread's ring no room for what is told once, such as a server that can't be reached.
-    fn want_sample(&self, group: &Group<E>, now: Instant) {
+    fn request_sample(&self, group: &Group<E>, now: Instant) {
         let wanted_at = group.sample_requested_at.get();
-        if wanted_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
+        if wanted_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
         }
         group.sample_requested_at.set(Some(now));
@@ -233,21 +250,21 @@
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
 
-    pub(crate) fn may_still_use(
+    pub(crate) fn is_current_leader(
         &self,
         service: &Name,
-        lead: Option<&GroupLeader>,
+        leader: Option<&GroupLeader>,
         now: Instant,
     ) -> bool {
         let view = self.control_view();
         let current = view.usable_leader(service, now);
-        lead.zip(current).is_some_and(|(lead, current)| {
-            lead.server == current.server && lead.term == current.term
+        leader.zip(current).is_some_and(|(leader, current)| {
+            leader.server == current.server && leader.term == current.term
         })
     }
 
-    pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, leads: bool) {
-        let role = if leads { "primary" } else { "replica" };
+    pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, is_primary: bool) {
+        let role = if is_primary { "primary" } else { "replica" };
         let near = group
             .pool
             .entry_of(lent.server())
@@ -256,37 +273,41 @@
         self.metrics.sent.with_label_values(&[role, zone]).inc();
     }
 
-    pub(crate) async fn on_not_acquired(
+    pub(crate) async fn on_acquire_failed(
         &self,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        rounds: &mut Rounds,
+        attempts: &mut Attempts,
         error: AcquireError,
-    ) -> Denied {
+    ) -> AssignError {
         if job.work.class() == StatementClass::Read
             && job.route.reads != ReadRule::Primary
-            && let Some(lead) = self.control_view().leaders.get(&job.route.service)
+            && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
-            self.note_starved(group, &job.route.service, &lead.server);
+            self.note_starved(group, &job.route.service, &leader.server);
         }
         let expected = group.pool.expected_wait();
         match error {
             AcquireError::QueueFull => {
                 let why = "too many statements wait";
-                Denied::Refuse(self.no_room(group, job, why, expected, rounds.sent))
+                AssignError::Refuse(self.no_room_error(group, job, why, expected, attempts.sent))
             }
             AcquireError::TooLate => {
                 let why = "no connection was free in time";
-                Denied::Refuse(self.no_room(group, job, why, expected, rounds.sent))
-            }
-            AcquireError::Overloaded { retry_delay } => {
-                Denied::Refuse(self.no_room(group, job, OTHERS_FIRST, retry_delay, rounds.sent))
+                AssignError::Refuse(self.no_room_error(group, job, why, expected, attempts.sent))
             }
+            AcquireError::Overloaded { retry_delay } => AssignError::Refuse(self.no_room_error(
+                group,
+                job,
+                OVERLOADED_REASON,
+                retry_delay,
+                attempts.sent,
+            )),
             AcquireError::NoServer => {
                 let next = NextStep::TryElsewhere;
-                match self.prepare_next_round(rounds, job, next, Name::from("")).await {
-                    Some(error) => Denied::Refuse(error),
-                    None => Denied::Again,
+                match self.prepare_next_attempt(attempts, job, next, Name::from("")).await {
+                    Some(error) => AssignError::Refuse(error),
+                    None => AssignError::Retry,
                 }
             }
         }
@@ -327,7 +348,7 @@
         tokio::pin!(answered);
         tokio::select! {
             answered = &mut answered => answered,
-            () = self.give_up_waiting(group, &reached, watch) => {
+            () = self.until_abandoned(group, &reached, watch) => {
                 Err((Progress::Sent, ConnectionLost::Silent))
             }
         }
@@ -336,7 +357,7 @@
     /// Ends when another server should be tried instead of waiting for this one; a server that is
     /// silent is asked meanwhile whether it lives, by whoever owns the connection. Whatever may not run twice is
     /// waited for.
-    async fn give_up_waiting(
+    async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         reached: &Reached,
@@ -374,22 +395,22 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        granted: Granted<E>,
+        assignment: Assignment<E>,
         answer: Answer,
         sent_at: Instant,
     ) -> Answer {
-        let reached = granted.lent.reached();
-        granted.lent.give_back();
+        let reached = assignment.lent.reached();
+        assignment.lent.give_back();
         let service = &job.route.service;
         self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
-        self.note_served(group, job, granted.lead.is_some());
-        let Some(lead) = granted.lead else { return answer };
-        let sample = Sample { sent_at, known: granted.known, point: answer.point };
-        self.add_sample(group, service, &lead, sample);
+        self.note_served(group, job, assignment.leader.is_some());
+        let Some(leader) = assignment.leader else { return answer };
+        let sample = Sample { sent_at, known: assignment.known, point: answer.point };
+        self.add_sample(group, service, &leader, sample);
         if job.work.class() == StatementClass::Write
-            && !self.confirm(service, &lead, answer.point, job.deadline()).await
+            && !self.confirm_write(service, &leader, answer.point, job.deadline()).await
         {
-            return self.unconfirmed(job, &lead);
+            return self.unconfirmed_write(job, &leader);
         }
         answer
     }
@@ -399,14 +420,14 @@
         &self,
         group: &Group<E>,
         service: &Name,
-        lead: &GroupLeader,
+        leader: &GroupLeader,
         sample: Sample,
     ) {
         let Sample { sent_at, known, point } = sample;
         if let Some(point) = point
-            && self.may_still_use(service, Some(lead), Instant::now())
+            && self.is_current_leader(service, Some(leader), Instant::now())
         {
-            self.check_answer(group, service, lead, known, Some(point));
+            self.check_primary_answer(group, service, leader, known, Some(point));
             group.samples.borrow_mut().add(sent_at, point);
             group.sample_added.notify_waiters();
             self.share_sample(group, service, PrimarySample { asked_at: sent_at, point });
@@ -417,7 +438,7 @@
     fn share_sample(&self, group: &Group<E>, service: &Name, sample: PrimarySample) {
         let now = Instant::now();
         let told_at = group.sample_shared_at.get();
-        if told_at.is_some_and(|at| now.duration_since(at) < SAMPLE_TOLD_EVERY) {
+        if told_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
         }
         group.sample_shared_at.set(Some(now));
@@ -428,10 +449,10 @@
 
     /// Whether a write's answer may be given: its server still led when the answer came, or the write
     /// is known to stand in the history of the server that leads now.
-    pub(crate) async fn confirm(
+    pub(crate) async fn confirm_write(
         &self,
         service: &Name,
-        lead: &GroupLeader,
+        leader: &GroupLeader,
         point: Option<LogPoint>,
         deadline: Instant,
     ) -> bool {
@@ -439,7 +460,7 @@
         loop {
             let current = view.borrow_and_update().clone();
             if let Some(known) = current.usable_leader(service, Instant::now()) {
-                if known.server == lead.server && known.term == lead.term {
+                if known.server == leader.server && known.term == leader.term {
                     return true;
                 }
                 return is_write_kept(point, known.term, &known.history);
@@ -453,24 +474,24 @@
 
     /// Returns what a caller is told whose work only the primary can do, where others go first there: it is known that asking
     /// again at once is in vain.
-    pub(crate) fn turned_away(
+    pub(crate) fn overload_refusal(
         &self,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        rounds: &Rounds,
+        attempts: &Attempts,
         server: &Name,
         lost: &ConnectionLost,
     ) -> Option<StatementError> {
-        let is_turned_away = *lost == ConnectionLost::NotGranted(NotSent::Overloaded);
+        let is_overloaded = *lost == ConnectionLost::NotGranted(NotSent::Overloaded);
         let expected = group.pool.expected_wait_at(server, job.rank());
-        (is_turned_away && rounds.needs_primary)
-            .then(|| self.no_room(group, job, OTHERS_FIRST, expected, rounds.sent))
+        (is_overloaded && attempts.needs_primary)
+            .then(|| self.no_room_error(group, job, OVERLOADED_REASON, expected, attempts.sent))
     }
 }
 
 /// How old a sample may be that an owner is asked for. Where the primary may be used, half of the bound is left for the read
 /// itself and for others after it; where it may not, an old sample is all that there is.
-fn sample_age(bound: Duration, may_use_primary: bool) -> Duration {
+fn max_sample_age(bound: Duration, may_use_primary: bool) -> Duration {
     match may_use_primary {
         true => bound / 2,
         false => bound.saturating_sub(2 * STALENESS_MARGIN),
@@ -478,7 +499,7 @@
 }
 
 /// Returns the error that an owner's refusal stands for, if it is one for want of room.
-pub(crate) fn refused_as(lost: &ConnectionLost) -> Option<ErrorCode> {
+pub(crate) fn refusal_code(lost: &ConnectionLost) -> Option<ErrorCode> {
     match lost {
         ConnectionLost::NotGranted(NotSent::TooLate | NotSent::Overloaded) => {
             Some(ErrorCode::Overloaded)
@@ -489,6 +510,6 @@
 
 /// Whether an owner said at once that the server is no use now. It cost a round trip and no server's time, so it is not counted
 /// among the tries of an operation: else the word of a circuit would use up the try that a server which works is there for.
-fn is_no_try(lost: &ConnectionLost) -> bool {
+fn is_free_attempt(lost: &ConnectionLost) -> bool {
     matches!(lost, ConnectionLost::NotGranted(NotSent::Unreachable | NotSent::SetAside))
 }
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -103,17 +103,17 @@
         self.arrived + self.route.timeout
     }
 
-    /// How long the statement may wait for a connection; `is_queued` says that servers have queues of their own.
-    pub(crate) fn waits(&self, is_queued: bool) -> Duration {
-        let share = if is_queued { QUEUED_WAIT_SHARE } else { WAIT_SHARE };
+    /// How long the statement may wait for a connection; `has_queues` says that servers have queues of their own.
+    pub(crate) fn max_wait(&self, has_queues: bool) -> Duration {
+        let share = if has_queues { QUEUED_WAIT_SHARE } else { WAIT_SHARE };
         self.route.target_latency.mul_f64(share)
     }
 
     /// Until when the statement may wait for a connection while all of them are in use.
     /// One that waited for a primary before has as long again, since all of them come at once then.
-    pub(crate) fn wait_until(&self, now: Instant, is_queued: bool) -> Instant {
-        let waits = self.waits(is_queued);
-        if now < self.arrived + waits { self.arrived + waits } else { now + waits }
+    pub(crate) fn wait_deadline(&self, now: Instant, has_queues: bool) -> Instant {
+        let max_wait = self.max_wait(has_queues);
+        if now < self.arrived + max_wait { self.arrived + max_wait } else { now + max_wait }
     }
 
     /// How urgent it is.
@@ -122,7 +122,7 @@
     }
 
     /// Returns what it bears.
-    pub(crate) fn patience(&self) -> Patience {
+    pub(crate) fn hold_limits(&self) -> Patience {
         Patience {
             arrived: self.arrived,
             target: self.route.target_latency,
@@ -131,7 +131,7 @@
     }
 
     /// Returns what its caller is told by if it is refused.
-    pub(crate) fn come_back(&self) -> ComeBack {
+    pub(crate) fn retry_delay(&self) -> ComeBack {
         ComeBack { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -19,19 +19,19 @@
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
     /// How long it was expected to take when it was found.
     pub(crate) expected: Cell<Duration>,
-    pub(crate) line: RefCell<WaitingLine>,
+    pub(crate) queue: RefCell<WaitingLine>,
 }
 
 /// A place in a group's line, which is left when this is dropped.
-pub(crate) struct Place<'a> {
+pub(crate) struct QueuedStatement<'a> {
     outage: &'a GroupOutage,
     ticket: Ticket,
 }
 
 impl GroupOutage {
     /// Adds a statement to those that wait.
-    pub(crate) fn join(&self, rank: Rank) -> Place<'_> {
-        Place { outage: self, ticket: self.line.borrow_mut().join(rank) }
+    pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
+        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
     }
 
     /// Notes that an outage of this kind lasts, since `began_at` if it is new.
@@ -51,51 +51,51 @@
         });
         ongoing.observe(now);
         self.ongoing.set(Some(ongoing));
-        self.line.borrow_mut().close();
+        self.queue.borrow_mut().close();
         ongoing
     }
 }
 
-impl Place<'_> {
+impl QueuedStatement<'_> {
     /// Returns how many go before.
     pub(crate) fn ahead(&self) -> u32 {
-        self.outage.line.borrow().ahead_of(self.ticket) as u32
+        self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
 
     /// Returns when it goes on, now that there is a primary.
-    pub(crate) fn turn(&self, pace: Duration, latest: Instant, now: Instant) -> Instant {
-        self.outage.line.borrow_mut().turn(self.ticket, pace, latest, now)
+    pub(crate) fn resume_at(&self, interval: Duration, latest: Instant, now: Instant) -> Instant {
+        self.outage.queue.borrow_mut().turn(self.ticket, interval, latest, now)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuedStatement<'_> {
     fn drop(&mut self) {
-        self.outage.line.borrow_mut().leave(self.ticket);
+        self.outage.queue.borrow_mut().leave(self.ticket);
     }
 }
 
 /// Says why no primary may be used, and since when as far as that is known.
 pub(crate) fn outage_of(view: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
     match view.leaders.get(service) {
-        Some(lead) if lead.is_valid(now) => (Outage::Unreachable, now),
-        Some(lead) if lead.planned => (Outage::PlannedChange, now),
-        Some(lead) if lead.changing => (Outage::Failover, now),
-        Some(lead) => (Outage::LapsedRight, lead.valid_until),
+        Some(leader) if leader.is_valid(now) => (Outage::Unreachable, now),
+        Some(leader) if leader.planned => (Outage::PlannedChange, now),
+        Some(leader) if leader.changing => (Outage::Failover, now),
+        Some(leader) => (Outage::LapsedRight, leader.valid_until),
         None => (Outage::LapsedRight, now),
     }
 }
 
 /// What is expected of an outage.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct OutageForecast {
     pub(crate) outage: Outage,
     pub(crate) elapsed: Duration,
     pub(crate) remaining: Duration,
 }
 
-impl Outlook {
+impl OutageForecast {
     /// What a refused caller is told: when the outage is expected to be over, or when to try another daemon.
-    pub(crate) fn come_back(
+    pub(crate) fn retry_delay(
         &self,
         route: ComeBack,
         history: &OutageHistory,
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -23,9 +23,9 @@
     serve::{
         engine::{Engine, Group},
         error_reporting::Refusal,
-        execute::{Denied, ROUND_PAUSE},
+        execute::{AssignError, RETRY_PAUSE},
         job::Job,
-        outage::{Outlook, Place, outage_of},
+        outage::{OutageForecast, QueuedStatement, outage_of},
         placement::placement_for,
         verdict::NextStep,
     },
@@ -33,20 +33,20 @@
 };
 
 /// What a caller is told to wait where nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// What a caller is told to wait while a primary is being replaced.
-const COME_BACK_CHANGING: Duration = Duration::from_millis(400);
+const RETRY_DELAY_CHANGING: Duration = Duration::from_millis(400);
 
 /// What a daemon has learned of outages, and the tries that its callers' accounts have left.
 #[derive(Default)]
-pub(crate) struct Holding {
+pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
     tries: RefCell<TryBudget>,
 }
 
 /// What earlier attempts of one statement have shown.
 #[derive(Default)]
-pub(crate) struct Rounds {
+pub(crate) struct Attempts {
     pub(crate) avoid: Vec<Name>,
     pub(crate) last_error: Option<ErrorCode>,
     /// Whether only the primary will do.
@@ -54,22 +54,22 @@
     /// Whether a transaction is to be opened.
     pub(crate) opens_transaction: bool,
     /// Whether an owner was asked where the primary's log stood.
-    pub(crate) asked_for_sample: bool,
+    pub(crate) requested_sample: bool,
     /// How often it was sent to a server or an owner.
     pub(crate) sent: u32,
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Whether statements of a group are held by what is known of outages.
-    pub(crate) fn holds(&self, group: &Group<E>) -> bool {
+    pub(crate) fn holds_statements(&self, group: &Group<E>) -> bool {
         self.settings.overload.holding && group.is_contended()
     }
 
     /// Returns a time to come back that differs for each caller, where statements are held.
-    pub(crate) fn with_jitter(&self, come_back: Duration) -> Duration {
+    pub(crate) fn with_jitter(&self, retry_delay: Duration) -> Duration {
         match self.settings.overload.holding {
-            true => spread(come_back, rand::random()),
-            false => come_back,
+            true => spread(retry_delay, rand::random()),
+            false => retry_delay,
         }
     }
 
@@ -79,53 +79,53 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         class: StatementClass,
-        rounds: &mut Rounds,
-    ) -> Result<GroupLeader, Denied> {
-        if !self.holds(group) {
-            return self.await_primary_briefly(group, job, rounds).await;
+        attempts: &mut Attempts,
+    ) -> Result<GroupLeader, AssignError> {
+        if !self.holds_statements(group) {
+            return self.await_primary_fixed(group, job, attempts).await;
         }
         let mut view = self.control_view.clone();
         let mut stopping = self.stopping.clone();
-        let mut place = None;
+        let mut queued = None;
         loop {
             let current = view.borrow_and_update().clone();
             let now = Instant::now();
-            if let Some(lead) = current.usable_leader(&job.route.service, now) {
-                if rounds.avoid.contains(&lead.server) {
-                    rounds.avoid.clear();
-                    tokio::time::sleep(ROUND_PAUSE).await;
+            if let Some(leader) = current.usable_leader(&job.route.service, now) {
+                if attempts.avoid.contains(&leader.server) {
+                    attempts.avoid.clear();
+                    tokio::time::sleep(RETRY_PAUSE).await;
                     continue;
                 }
-                let turn = self.on_primary(group, job, &lead.server, place.as_ref(), now);
-                if turn <= now {
-                    return Ok(lead.clone());
+                let resume_at = self.resume_at(group, job, &leader.server, queued.as_ref(), now);
+                if resume_at <= now {
+                    return Ok(leader.clone());
                 }
-                tokio::time::sleep_until(turn.into()).await;
-                place = None;
+                tokio::time::sleep_until(resume_at.into()).await;
+                queued = None;
                 continue;
             }
             if self.current_min_point(group, job, class).is_some() {
-                return Err(Denied::Again);
+                return Err(AssignError::Retry);
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
             let ongoing = self.observe_outage(group, outage, began_at, now);
-            let held = place.get_or_insert_with(|| group.outage.join(job.rank()));
-            let backlog = self.pace(group, &job.route.service) * held.ahead();
+            let queued_here = queued.get_or_insert_with(|| group.outage.enqueue(job.rank()));
+            let backlog = self.service_interval(group, &job.route.service) * queued_here.ahead();
             let backlog = backlog.min(job.route.target_latency);
-            let hold = self.decide(&ongoing, job, backlog, now);
+            let hold = self.decide_hold(&ongoing, job, backlog, now);
             let was_stopping = stopping.borrow_and_update().is_some();
             let until = match hold {
                 Hold::Wait { until } if !was_stopping && until > now => until,
                 Hold::Wait { .. } | Hold::Refuse { .. } => {
-                    return Err(Denied::Refuse(self.no_primary(group, job, rounds)));
+                    return Err(AssignError::Refuse(self.no_primary_error(group, job, attempts)));
                 }
             };
             tokio::select! {
                 changed = view.changed() => {
                     if changed.is_err() {
-                        return Err(Denied::Refuse(self.no_primary(group, job, rounds)));
+                        return Err(AssignError::Refuse(self.no_primary_error(group, job, attempts)));
                     }
-                    rounds.avoid.clear();
+                    attempts.avoid.clear();
                 }
                 () = tokio::time::sleep_until(until.into()) => {}
                 _ = stopping.changed() => {}
@@ -134,27 +134,27 @@
     }
 
     /// The same where daemons have connections enough: a fixed part of the statement's time.
-    async fn await_primary_briefly(
+    async fn await_primary_fixed(
         &self,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        rounds: &mut Rounds,
-    ) -> Result<GroupLeader, Denied> {
+        attempts: &mut Attempts,
+    ) -> Result<GroupLeader, AssignError> {
         let mut view = self.control_view.clone();
         loop {
             let current = view.borrow_and_update().clone();
-            let lead = current.usable_leader(&job.route.service, Instant::now());
-            if let Some(lead) = lead
-                && !rounds.avoid.contains(&lead.server)
+            let leader = current.usable_leader(&job.route.service, Instant::now());
+            if let Some(leader) = leader
+                && !attempts.avoid.contains(&leader.server)
             {
-                return Ok(lead.clone());
+                return Ok(leader.clone());
             }
             let hold_until = self.hold_until(job);
             let changed = tokio::time::timeout_at(hold_until.into(), view.changed()).await;
             match changed {
-                Ok(Ok(())) => rounds.avoid.clear(),
+                Ok(Ok(())) => attempts.avoid.clear(),
                 Ok(Err(_)) | Err(_) => {
-                    return Err(Denied::Refuse(self.no_primary(group, job, rounds)));
+                    return Err(AssignError::Refuse(self.no_primary_error(group, job, attempts)));
                 }
             }
         }
@@ -177,7 +177,7 @@
         if let Some(sample) = view.samples.get(service) {
             group.samples.borrow_mut().add(sample.asked_at, sample.point);
         }
-        let history = view.leaders.get(service).map(|lead| lead.history.clone());
+        let history = view.leaders.get(service).map(|leader| leader.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
         placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
@@ -185,29 +185,29 @@
     }
 
     /// Returns when a statement goes on, now that there is a primary.
-    fn on_primary(
+    fn resume_at(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
         server: &Name,
-        place: Option<&Place<'_>>,
+        queued: Option<&QueuedStatement<'_>>,
         now: Instant,
     ) -> Instant {
         let ongoing = group.outage.ongoing.get();
         if ongoing.is_some_and(|ongoing| ongoing.outage != Outage::Unreachable) {
             self.end_outage(group, &job.route.service, now);
         }
-        let Some(place) = place else { return now };
+        let Some(queued) = queued else { return now };
         let outage = ongoing.map_or(Outage::Failover, |ongoing| ongoing.outage);
         self.metrics.held.with_label_values(&[outage.as_str(), "released"]).inc();
-        let pace = self.pace_at(group, server);
-        place.turn(pace, job.patience().turn_until(outage, now), now)
+        let interval = self.service_interval_at(group, server);
+        queued.resume_at(interval, job.hold_limits().turn_until(outage, now), now)
     }
 
     /// Notes that a statement was answered by the primary, which so was in reach.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.told());
-        self.holding.tries.borrow_mut().on_success(&account, job.rank());
+        self.hold_state.tries.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
             self.end_outage(group, &job.route.service, Instant::now());
         }
@@ -217,13 +217,13 @@
         let Some(ongoing) = group.outage.ongoing.take() else { return };
         let length = ongoing.length(now);
         if let Some(length) = length {
-            self.holding.history.borrow_mut().note(ongoing.outage, length);
+            self.hold_state.history.borrow_mut().note(ongoing.outage, length);
         }
         log::info!(
             event = "outage_over", service = &**service, outage = ongoing.outage.as_str(),
             took_ms = ongoing.elapsed(now).as_millis() as u64, counts = length.is_some(),
             expected_ms = group.outage.expected.get().as_millis() as u64,
-            waiting = group.outage.line.borrow().len();
+            waiting = group.outage.queue.borrow().len();
             "a primary can be used again"
         );
     }
@@ -235,143 +235,166 @@
         began_at: Instant,
         now: Instant,
     ) -> OngoingOutage {
-        group.outage.observe(outage, began_at, &self.holding.history.borrow(), now)
+        group.outage.observe(outage, began_at, &self.hold_state.history.borrow(), now)
     }
 
-    fn decide(
+    fn decide_hold(
         &self,
         ongoing: &OngoingOutage,
         job: &Job<'_>,
         backlog: Duration,
         now: Instant,
     ) -> Hold {
-        decide(&self.holding.history.borrow(), ongoing, &job.patience(), backlog, now)
+        decide(&self.hold_state.history.borrow(), ongoing, &job.hold_limits(), backlog, now)
     }
 
     /// How long the primary takes for a statement of this daemon's, as one of all that send it theirs.
-    fn pace(&self, group: &Group<E>, service: &Name) -> Duration {
+    fn service_interval(&self, group: &Group<E>, service: &Name) -> Duration {
         let view = self.control_view();
-        view.leaders.get(service).map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
+        view.leaders
+            .get(service)
+            .map_or(Duration::ZERO, |leader| self.service_interval_at(group, &leader.server))
     }
 
-    fn pace_at(&self, group: &Group<E>, server: &Name) -> Duration {
+    fn service_interval_at(&self, group: &Group<E>, server: &Name) -> Duration {
         let slots = group.pool.entry_of(server).map_or(1, |entry| entry.slots).max(1);
         let daemons = self.control_view().sharers.daemons.max(1);
         group.pool.latency_of(server) * daemons / slots
     }
 
     /// Returns what a statement is told that finds no primary.
-    fn no_primary(&self, group: &Group<E>, job: &Job<'_>, rounds: &Rounds) -> StatementError {
+    fn no_primary_error(
+        &self,
+        group: &Group<E>,
+        job: &Job<'_>,
+        attempts: &Attempts,
+    ) -> StatementError {
         let changing = self.control_view().is_changing(&job.route.service);
-        let (why, come_back) = if changing {
-            ("the primary is being replaced", COME_BACK_CHANGING)
+        let (why, retry_delay) = if changing {
+            ("the primary is being replaced", RETRY_DELAY_CHANGING)
         } else {
-            ("no primary may be used at present", COME_BACK)
+            ("no primary may be used at present", RETRY_DELAY)
         };
         let refusal = Refusal {
             code: ErrorCode::Overloaded,
             why,
-            come_back,
+            retry_delay,
             outage: None,
             remaining: Duration::ZERO,
-            sent: rounds.sent,
+            sent: attempts.sent,
         };
-        self.refuse(group, job, self.with_outlook(group, job, refusal))
+        self.refuse_statement(group, job, self.with_forecast(group, job, refusal))
     }
 
     /// Has a refusal tell what is expected of the group's outage, where there is one.
-    fn with_outlook(&self, group: &Group<E>, job: &Job<'_>, refusal: Refusal) -> Refusal {
-        let ongoing = group.outage.ongoing.get().filter(|_| self.holds(group));
+    fn with_forecast(&self, group: &Group<E>, job: &Job<'_>, refusal: Refusal) -> Refusal {
+        let ongoing = group.outage.ongoing.get().filter(|_| self.holds_statements(group));
         let Some(ongoing) = ongoing else { return refusal };
         let elapsed = ongoing.elapsed(Instant::now());
-        let history = self.holding.history.borrow();
+        let history = self.hold_state.history.borrow();
         let remaining = history.remaining(ongoing.outage, elapsed);
-        let outlook = Outlook { outage: ongoing.outage, elapsed, remaining };
-        let come_back = outlook.come_back(job.come_back(), &history, self.settings.primary_lease);
+        let forecast = OutageForecast { outage: ongoing.outage, elapsed, remaining };
+        let retry_delay =
+            forecast.retry_delay(job.retry_delay(), &history, self.settings.primary_lease);
         self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
-        Refusal { come_back, outage: Some(ongoing.outage), remaining, ..refusal }
+        Refusal { retry_delay, outage: Some(ongoing.outage), remaining, ..refusal }
     }
 
     /// Sets up another attempt; an error is what the caller is told instead.
-    pub(crate) async fn prepare_next_round(
+    pub(crate) async fn prepare_next_attempt(
         &self,
-        rounds: &mut Rounds,
+        attempts: &mut Attempts,
         job: &Job<'_>,
         next: NextStep,
         server: Name,
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.control_view());
-        let until = match self.holds(&group) && rounds.sent > 0 {
-            true => job.patience().tries_until(),
+        let until = match self.holds_statements(&group) && attempts.sent > 0 {
+            true => job.hold_limits().tries_until(),
             false => self.hold_until(job),
         };
-        if Instant::now() + ROUND_PAUSE >= until || self.is_in_vain(&group, job, rounds, &server) {
-            return Some(self.no_answer(&group, job, rounds));
+        if Instant::now() + RETRY_PAUSE >= until
+            || self.is_retry_futile(&group, job, attempts, &server)
+        {
+            return Some(self.no_answer_error(&group, job, attempts));
         }
         match next {
-            NextStep::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
-                rounds.avoid.push(server);
+            NextStep::TryElsewhere
+                if !attempts.avoid.contains(&server) && !attempts.needs_primary =>
+            {
+                attempts.avoid.push(server);
             }
             _ => {
-                rounds.avoid.clear();
-                tokio::time::sleep(ROUND_PAUSE).await;
+                attempts.avoid.clear();
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
         None
     }
 
     /// Whether another attempt would go where it can't be answered, or take room from others.
-    fn is_in_vain(&self, group: &Group<E>, job: &Job<'_>, rounds: &Rounds, server: &Name) -> bool {
-        if !self.holds(group) {
+    fn is_retry_futile(
+        &self,
+        group: &Group<E>,
+        job: &Job<'_>,
+        attempts: &Attempts,
+        server: &Name,
+    ) -> bool {
+        if !self.holds_statements(group) {
             return false;
         }
         let now = Instant::now();
         let view = self.control_view();
-        let lead = view.usable_leader(&job.route.service, now);
+        let leader = view.usable_leader(&job.route.service, now);
         // An empty name: no server was found, so it was the primary that wasn't.
         if needs_primary(job)
-            && lead.is_some_and(|lead| lead.server == *server || server.is_empty())
+            && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
             let ongoing = self.observe_outage(group, Outage::Unreachable, now, now);
-            if let Hold::Refuse { .. } = self.decide(&ongoing, job, Duration::ZERO, now) {
+            if let Hold::Refuse { .. } = self.decide_hold(&ongoing, job, Duration::ZERO, now) {
                 return true;
             }
         }
-        let cause = match rounds.last_error {
+        let cause = match attempts.last_error {
             Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => Cause::NoRoom,
             Some(_) | None => Cause::Path,
         };
         let account = Name::from(job.principal.told());
-        let mut tries = self.holding.tries.borrow_mut();
-        let may = tries.may_send_again(&account, job.rank(), rounds.sent, cause);
+        let mut tries = self.hold_state.tries.borrow_mut();
+        let may = tries.may_send_again(&account, job.rank(), attempts.sent, cause);
         if !may {
             self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
         }
         !may
     }
 
-    fn no_answer(&self, group: &Group<E>, job: &Job<'_>, rounds: &Rounds) -> StatementError {
-        let come_back = match self.holds(group) {
-            true => job.come_back().elsewhere(rand::random()),
-            false => COME_BACK,
+    fn no_answer_error(
+        &self,
+        group: &Group<E>,
+        job: &Job<'_>,
+        attempts: &Attempts,
+    ) -> StatementError {
+        let retry_delay = match self.holds_statements(group) {
+            true => job.retry_delay().elsewhere(rand::random()),
+            false => RETRY_DELAY,
         };
         let refusal = Refusal {
-            code: rounds.last_error.unwrap_or(ErrorCode::Overloaded),
+            code: attempts.last_error.unwrap_or(ErrorCode::Overloaded),
             why: "no server gave an answer",
-            come_back,
+            retry_delay,
             outage: None,
             remaining: Duration::ZERO,
-            sent: rounds.sent,
+            sent: attempts.sent,
         };
         let refusal = match needs_primary(job) {
-            true => self.with_outlook(group, job, refusal),
+            true => self.with_forecast(group, job, refusal),
             false => refusal,
         };
-        self.refuse(group, job, refusal)
+        self.refuse_statement(group, job, refusal)
     }
 
     /// Returns what a statement is told that found no free connection.
-    pub(crate) fn no_room(
+    pub(crate) fn no_room_error(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
@@ -380,14 +403,14 @@
         sent: u32,
     ) -> StatementError {
         let expected = expected + Duration::from_millis(1);
-        let come_back = match self.holds(group) {
-            true => job.come_back().after(expected, rand::random()),
+        let retry_delay = match self.holds_statements(group) {
+            true => job.retry_delay().after(expected, rand::random()),
             false => expected,
         };
         let code = ErrorCode::Overloaded;
         let refusal =
-            Refusal { code, why, come_back, outage: None, remaining: Duration::ZERO, sent };
-        self.refuse(group, job, refusal)
+            Refusal { code, why, retry_delay, outage: None, remaining: Duration::ZERO, sent };
+        self.refuse_statement(group, job, refusal)
     }
 }
 
--- a/crates/proxy/src/serve/replay.rs
+++ b/crates/proxy/src/serve/replay.rs
@@ -11,7 +11,7 @@
 use crate::statement::{EndpointText, PreparedShape};
 
 /// Shapes that one connection keeps; beyond, it is reset, so that a server's memory stays bounded.
-pub const MOST_PREPARED: usize = 256;
+pub const MAX_PREPARED: usize = 256;
 
 /// The values of a session, by name.
 pub type SessionValues = BTreeMap<Name, Name>;
@@ -72,6 +72,6 @@
 
     fn is_full_for(&self, shape: Option<&PreparedShape>) -> bool {
         let is_new = shape.is_some_and(|shape| !self.prepared.contains_key(shape));
-        is_new && self.prepared.len() >= MOST_PREPARED
+        is_new && self.prepared.len() >= MAX_PREPARED
     }
 }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -30,14 +30,14 @@
 };
 
 /// How long a new connection may take to say what it wants.
-const STARTUP_WITHIN: Duration = Duration::from_secs(10);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a new session waits while the daemon has no configuration; callers give up after 2 s.
-const CONFIGURATION_WITHIN: Duration = Duration::from_millis(1_500);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// What a caller is told to wait whose session is refused; a daemon that starts has read the configuration
 /// by then if the store answers.
-const SESSION_COMES_BACK: Duration = Duration::from_millis(500);
+const SESSION_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Values and prepared names that one session may hold; they are replayed and kept in memory.
-const MOST_NAMES: usize = 1_024;
+const MAX_SESSION_NAMES: usize = 1_024;
 
 /// Why a session ends.
 enum End {
@@ -54,9 +54,9 @@
     Message(CallerMessage),
     End(End),
     /// The open transaction has rested for too long.
-    Rested,
+    IdleTimeout,
     /// An open transaction has no more time, since the daemon stops.
-    StopsNow,
+    StopDeadline,
 }
 
 struct Session<C, E: EndpointDialect> {
@@ -65,7 +65,7 @@
     database: Name,
     key: AccountKey,
     /// Whether the session ends with the answer that is under way.
-    is_over: bool,
+    is_ending: bool,
     values: SessionValues,
     prepared: HashMap<Name, PreparedShape>,
     own_points: HashMap<Name, LogPoint>,
@@ -84,7 +84,7 @@
         link,
         database: Name::from(""),
         key: AccountKey::default(),
-        is_over: false,
+        is_ending: false,
         values: SessionValues::new(),
         prepared: HashMap::new(),
         own_points: HashMap::new(),
@@ -109,8 +109,8 @@
                         return;
                     }
                 }
-                Event::Rested => self.fail_transaction("idle_transaction"),
-                Event::StopsNow => {
+                Event::IdleTimeout => self.fail_transaction("idle_transaction"),
+                Event::StopDeadline => {
                     self.fail_transaction("stopping");
                     return;
                 }
@@ -127,7 +127,7 @@
 
     /// Reads the first message; `false` if the connection ends with it.
     async fn start(&mut self) -> bool {
-        let first = tokio::time::timeout(STARTUP_WITHIN, self.link.read_message()).await;
+        let first = tokio::time::timeout(STARTUP_TIMEOUT, self.link.read_message()).await;
         let Ok(Ok(CallerMessage::Startup { database, key })) = first else {
             if let Ok(Ok(_)) = first {
                 let error = StatementError::new(ErrorCode::Malformed, "a startup must come first");
@@ -171,13 +171,13 @@
 
     /// Ends a session that has not begun, and tells its caller when to come back.
     async fn refuse_session(&mut self, database: &Name, why: &'static str) {
-        let come_back_ms = self.engine.with_jitter(SESSION_COMES_BACK).as_millis() as u64;
+        let retry_after_ms = self.engine.with_jitter(SESSION_RETRY_DELAY).as_millis() as u64;
         log::info!(
             event = "session_refused", database = &**database, why = why,
-            callers = self.engine.callers.get(), retry_after_ms = come_back_ms;
+            callers = self.engine.callers.get(), retry_after_ms = retry_after_ms;
             "a session was refused"
         );
-        let error = StatementError::come_back(ErrorCode::Overloaded, why, come_back_ms);
+        let error = StatementError::come_back(ErrorCode::Overloaded, why, retry_after_ms);
         self.link.put_error(error);
         // A caller that has gone need not be told.
         let _ = self.link.flush().await;
@@ -187,7 +187,7 @@
     async fn configuration_is_known(&self) -> bool {
         let mut view = self.engine.control_view.clone();
         let known = view.wait_for(|view| view.is_ready());
-        matches!(tokio::time::timeout(CONFIGURATION_WITHIN, known).await, Ok(Ok(_)))
+        matches!(tokio::time::timeout(CONFIGURATION_TIMEOUT, known).await, Ok(Ok(_)))
     }
 
     async fn next_event(&mut self) -> Event {
@@ -198,10 +198,10 @@
                 Ok(None) => {}
                 Err(error) => return Event::End(End::Unreadable(error)),
             }
-            let rest_until = self.rest_until();
-            let stop_until = stopping.borrow_and_update().map(|since| since + self.time_to_stop());
-            let at_rest = self.link.is_empty() && self.transaction.is_none();
-            if at_rest && stop_until.is_some_and(|until| until <= Instant::now()) {
+            let idle_until = self.idle_until();
+            let stop_until = stopping.borrow_and_update().map(|since| since + self.stop_grace());
+            let is_idle = self.link.is_empty() && self.transaction.is_none();
+            if is_idle && stop_until.is_some_and(|until| until <= Instant::now()) {
                 return Event::End(End::Stopping);
             }
             tokio::select! {
@@ -211,10 +211,10 @@
                         return Event::End(End::Left);
                     }
                 }
-                () = sleep_until(rest_until) => return Event::Rested,
+                () = sleep_until(idle_until) => return Event::IdleTimeout,
                 () = sleep_until(stop_until) => {
                     if self.transaction.is_some() {
-                        return Event::StopsNow;
+                        return Event::StopDeadline;
                     }
                 }
                 _ = stopping.changed() => {}
@@ -224,7 +224,7 @@
 
     /// How long after the signal to stop the session may go on: one at rest until the load balancer
     /// has heard of it and sends its caller elsewhere, a transaction for longer.
-    fn time_to_stop(&self) -> Duration {
+    fn stop_grace(&self) -> Duration {
         let settings = &self.engine.settings;
         match self.transaction {
             Some(_) => settings.stop_transactions_after,
@@ -233,7 +233,7 @@
     }
 
     /// Until when the open transaction may rest, if it has a connection of its own.
-    fn rest_until(&self) -> Option<Instant> {
+    fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.lent.as_ref()?;
         Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
@@ -254,8 +254,8 @@
             CallerMessage::Request(request) => self.on_request(request, arrived).await,
         };
         self.link.put_answer(answer);
-        self.link.rest();
-        self.link.flush().await.is_ok() && !self.is_over
+        self.link.release_buffer();
+        self.link.flush().await.is_ok() && !self.is_ending
     }
 
     async fn on_request(&mut self, request: Request, arrived: Instant) -> Answer {
@@ -266,14 +266,14 @@
         match statement {
             Statement::Begin { read_only } => self.on_begin(read_only),
             Statement::Set { name, value } => {
-                if self.values.len() >= MOST_NAMES && !self.values.contains_key(&name) {
+                if self.values.len() >= MAX_SESSION_NAMES && !self.values.contains_key(&name) {
                     return self.local_error(ErrorCode::TooLarge, "too many values");
                 }
                 self.values.insert(name, value);
                 self.local_success()
             }
             Statement::Prepare { name, shape } => {
-                if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(&name) {
+                if self.prepared.len() >= MAX_SESSION_NAMES && !self.prepared.contains_key(&name) {
                     return self.local_error(ErrorCode::TooLarge, "too many prepared names");
                 }
                 self.prepared.insert(name, shape);
@@ -429,7 +429,7 @@
         self.note_unknown_key(at);
         self.fail_if_open();
         self.transaction = None;
-        self.is_over = true;
+        self.is_ending = true;
         refusal(unknown_key(), TransactionState::Idle)
     }
 
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -17,17 +17,17 @@
         connection::refusal,
         endpoint_task::{EndpointTask, TaskKind},
         engine::{Engine, Group},
-        execute::{Denied, Granted, ROUND_PAUSE, Sample, refused_as},
+        execute::{AssignError, Assignment, RETRY_PAUSE, Sample, refusal_code},
         job::{Job, Work},
         lent::Lent,
-        primary_wait::Rounds,
+        primary_wait::Attempts,
         verdict::{NextStep, after_error, transaction_after_loss},
     },
     statement::{Answer, ErrorCode, Outcome, TransactionState},
 };
 
 /// How long a server may take to open or roll back a transaction, which takes none of its slots.
-const BEGIN_WITHIN: Duration = Duration::from_millis(300);
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A transaction as this daemon knows it.
 pub struct Transaction<E: EndpointDialect> {
@@ -40,7 +40,7 @@
     /// Its connection; none before the first statement that a server has to run.
     pub lent: Option<Lent<E>>,
     /// The right under which it began, where it runs at the primary.
-    pub(crate) lead: Option<GroupLeader>,
+    pub(crate) leader: Option<GroupLeader>,
     /// Whether it may have written.
     pub wrote: bool,
     /// Whether it failed and waits for its end.
@@ -59,7 +59,7 @@
             account,
             read_only,
             lent: None,
-            lead: None,
+            leader: None,
             wrote: false,
             failed: false,
         }
@@ -71,11 +71,11 @@
     }
 }
 
-pub(crate) enum InTransaction {
+pub(crate) enum TransactionStep {
     /// The caller gets this answer.
     Deliver,
     /// The server ran nothing and the transaction still stands: ask again.
-    SameConnection,
+    RetryOnConnection,
     /// Nothing of the transaction has run: open it anew.
     Restart,
 }
@@ -88,12 +88,12 @@
         transaction: &mut Transaction<E>,
     ) -> Answer {
         let group = self.group(&job.route.service, &self.control_view());
-        let mut rounds = Rounds { opens_transaction: true, ..Rounds::default() };
+        let mut attempts = Attempts { opens_transaction: true, ..Attempts::default() };
         loop {
             let is_first = transaction.lent.is_none();
             if is_first
                 && let Some(answer) =
-                    self.open_transaction(&group, job, transaction, &mut rounds).await
+                    self.open_transaction(&group, job, transaction, &mut attempts).await
             {
                 transaction.failed = true;
                 return answer;
@@ -105,16 +105,16 @@
                 Ok(answer) => {
                     let took = answer.error_code().is_none().then(|| sent_at.elapsed());
                     self.note_answer(&group, &job.route.service, &reached, answer.point, took);
-                    match self.judge_in_transaction(&answer, is_first, job) {
-                        InTransaction::Deliver => {
+                    match self.transaction_step(&answer, is_first, job) {
+                        TransactionStep::Deliver => {
                             return self.finish_in_transaction(job, transaction, answer).await;
                         }
-                        InTransaction::SameConnection => tokio::time::sleep(ROUND_PAUSE).await,
-                        InTransaction::Restart => {
+                        TransactionStep::RetryOnConnection => tokio::time::sleep(RETRY_PAUSE).await,
+                        TransactionStep::Restart => {
                             if let Some(lent) = transaction.lent.take() {
                                 self.roll_back(lent);
                             }
-                            tokio::time::sleep(ROUND_PAUSE).await;
+                            tokio::time::sleep(RETRY_PAUSE).await;
                         }
                     }
                 }
@@ -124,7 +124,7 @@
                     self.note_loss(&group, &job.route.service, &reached, &lost);
                     let is_commit = job.work == Work::Commit;
                     let code = transaction_after_loss(is_commit, transaction.wrote, progress);
-                    let mut answer = self.unknown_outcome(job, &reached.server, code, &lost);
+                    let mut answer = self.lost_connection_answer(job, &reached.server, code, &lost);
                     if !is_commit {
                         answer.state = TransactionState::Failed;
                     }
@@ -138,7 +138,7 @@
     pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
         tokio::task::spawn_local(async move {
             let rollback = EndpointTask::internal(TaskKind::Rollback);
-            let deadline = Instant::now() + BEGIN_WITHIN;
+            let deadline = Instant::now() + BEGIN_TIMEOUT;
             match lent.run(&rollback, deadline).await {
                 Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
                 // Closing the connection rolls back too.
@@ -153,53 +153,60 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         transaction: &mut Transaction<E>,
-        rounds: &mut Rounds,
+        attempts: &mut Attempts,
     ) -> Option<Answer> {
         let class =
             if transaction.read_only { StatementClass::Read } else { StatementClass::Write };
         loop {
-            let mut granted = match self.grant(group, job, class, rounds).await {
-                Ok(granted) => granted,
-                Err(Denied::Refuse(error)) => {
+            let mut assignment = match self.assign(group, job, class, attempts).await {
+                Ok(assignment) => assignment,
+                Err(AssignError::Refuse(error)) => {
                     return Some(refusal(error, TransactionState::Failed));
                 }
-                Err(Denied::Again) => continue,
+                Err(AssignError::Retry) => continue,
             };
             let kind = TaskKind::Begin { read_only: transaction.read_only };
             let begin =
-                EndpointTask { min_point: granted.min_point, ..EndpointTask::internal(kind) };
+                EndpointTask { min_point: assignment.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
-            rounds.sent += 1;
-            let reached = granted.lent.reached();
+            attempts.sent += 1;
+            let reached = assignment.lent.reached();
             // Where an owner is asked the wait for its connection comes first.
-            let is_queued = group.pool.has_queues();
-            let waits = if reached.is_own { Duration::ZERO } else { job.waits(is_queued) };
-            let deadline = job.deadline().min(sent_at + waits + BEGIN_WITHIN);
-            let begun = granted.lent.run(&begin, deadline).await;
+            let has_queues = group.pool.has_queues();
+            let max_wait = if reached.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
+            let deadline = job.deadline().min(sent_at + max_wait + BEGIN_TIMEOUT);
+            let begun = assignment.lent.run(&begin, deadline).await;
             let server = reached.server.clone();
             let next = match begun {
                 Ok(answer) => match answer.error_code() {
-                    None if !self.may_begin(job, &granted) => {
-                        self.roll_back(granted.lent);
+                    None if !self.is_begin_valid(job, &assignment) => {
+                        self.roll_back(assignment.lent);
                         NextStep::AwaitPrimary
                     }
                     None => {
-                        self.note_served(group, job, granted.lead.is_some());
-                        if let Some(lead) = &granted.lead {
-                            let known = granted.known;
+                        self.note_served(group, job, assignment.leader.is_some());
+                        if let Some(leader) = &assignment.leader {
+                            let known = assignment.known;
                             let sample = Sample { sent_at, known, point: answer.point };
-                            self.add_sample(group, &job.route.service, lead, sample);
+                            self.add_sample(group, &job.route.service, leader, sample);
                         }
-                        transaction.lent = Some(granted.lent);
-                        transaction.lead = granted.lead;
+                        transaction.lent = Some(assignment.lent);
+                        transaction.leader = assignment.leader;
                         return None;
                     }
                     Some(code) => {
-                        self.note_refused(group, job, &server, code, granted.min_point, &answer);
-                        rounds.last_error = Some(code);
+                        self.on_server_error(
+                            group,
+                            job,
+                            &server,
+                            code,
+                            assignment.min_point,
+                            &answer,
+                        );
+                        attempts.last_error = Some(code);
                         match answer.state {
-                            TransactionState::Idle => granted.lent.give_back(),
-                            _ => self.roll_back(granted.lent),
+                            TransactionState::Idle => assignment.lent.give_back(),
+                            _ => self.roll_back(assignment.lent),
                         }
                         match after_error(code, StatementClass::Read) {
                             NextStep::Report(_) => NextStep::TryElsewhere,
@@ -208,16 +215,17 @@
                     }
                 },
                 Err((_, lost)) => {
-                    drop(granted);
-                    rounds.last_error = refused_as(&lost);
+                    drop(assignment);
+                    attempts.last_error = refusal_code(&lost);
                     self.note_loss(group, &job.route.service, &reached, &lost);
-                    if let Some(error) = self.turned_away(group, job, rounds, &server, &lost) {
+                    if let Some(error) = self.overload_refusal(group, job, attempts, &server, &lost)
+                    {
                         return Some(refusal(error, TransactionState::Failed));
                     }
                     NextStep::TryElsewhere
                 }
             };
-            if let Some(error) = self.prepare_next_round(rounds, job, next, server).await {
+            if let Some(error) = self.prepare_next_attempt(attempts, job, next, server).await {
                 return Some(refusal(error, TransactionState::Failed));
             }
         }
@@ -225,29 +233,35 @@
 
     /// Whether a transaction that has been opened at the primary may go on there: where an owner opened it, it
     /// may have waited for longer than the right lasted that it was sent under.
-    fn may_begin(&self, job: &Job<'_>, granted: &Granted<E>) -> bool {
-        granted.lead.is_none()
-            || granted.lent.reached().is_own
-            || self.may_still_use(&job.route.service, granted.lead.as_ref(), Instant::now())
+    fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
+        assignment.leader.is_none()
+            || assignment.lent.reached().is_own
+            || self.is_current_leader(
+                &job.route.service,
+                assignment.leader.as_ref(),
+                Instant::now(),
+            )
     }
 
-    pub(crate) fn judge_in_transaction(
+    pub(crate) fn transaction_step(
         &self,
         answer: &Answer,
         is_first: bool,
         job: &Job<'_>,
-    ) -> InTransaction {
-        let Some(code) = answer.error_code() else { return InTransaction::Deliver };
-        let in_time = Instant::now() + ROUND_PAUSE < self.hold_until(job);
+    ) -> TransactionStep {
+        let Some(code) = answer.error_code() else { return TransactionStep::Deliver };
+        let in_time = Instant::now() + RETRY_PAUSE < self.hold_until(job);
         if !code.was_not_run() || !in_time {
-            return InTransaction::Deliver;
+            return TransactionStep::Deliver;
         }
         match answer.state {
             TransactionState::Open if code == ErrorCode::Overloaded => {
-                InTransaction::SameConnection
+                TransactionStep::RetryOnConnection
             }
-            TransactionState::Failed | TransactionState::Idle if is_first => InTransaction::Restart,
-            _ => InTransaction::Deliver,
+            TransactionState::Failed | TransactionState::Idle if is_first => {
+                TransactionStep::Restart
+            }
+            _ => TransactionStep::Deliver,
         }
     }
 
@@ -277,13 +291,13 @@
         if let Some(lent) = transaction.lent.take() {
             lent.give_back();
         }
-        let Some(lead) = transaction.lead.clone() else { return answer };
+        let Some(leader) = transaction.leader.clone() else { return answer };
         let committed = matches!(answer.outcome, Outcome::Complete(_)) && job.work == Work::Commit;
         if committed
             && transaction.wrote
-            && !self.confirm(&job.route.service, &lead, answer.point, job.deadline()).await
+            && !self.confirm_write(&job.route.service, &leader, answer.point, job.deadline()).await
         {
-            return self.unconfirmed(job, &lead);
+            return self.unconfirmed_write(job, &leader);
         }
         answer
     }
--- a/crates/proxy/tests/contradiction.rs
+++ b/crates/proxy/tests/contradiction.rs
@@ -5,7 +5,7 @@
 use model::{LogPoint, Name, Position, Term, TermStart};
 use proxy::{
     control::control_view::{Basis, GroupLeader},
-    serve::contradiction::{Contradiction, contradiction},
+    serve::contradiction::{Contradiction, find_contradiction},
 };
 use session::TermHistory;
 
@@ -40,6 +40,6 @@
         ("not even that", point(1, 25), point(1, 19), Some(Contradiction::BehindSample)),
     ];
     for (name, known, shown, expected) in cases {
-        assert_eq!(contradiction(&lead, known, shown), expected, "{name}");
+        assert_eq!(find_contradiction(&lead, known, shown), expected, "{name}");
     }
 }
--- a/crates/proxy/tests/replay.rs
+++ b/crates/proxy/tests/replay.rs
@@ -5,7 +5,7 @@
 use model::{Name, StatementClass};
 use proptest::prelude::*;
 use proxy::{
-    serve::replay::{Environment, MOST_PREPARED, SessionValues},
+    serve::replay::{Environment, MAX_PREPARED, SessionValues},
     statement::{EndpointText, PreparedShape},
 };
 
@@ -40,7 +40,7 @@
 #[test]
 fn a_connection_with_too_many_shapes_is_reset() {
     let mut environment = Environment::default();
-    for number in 0..MOST_PREPARED {
+    for number in 0..MAX_PREPARED {
         let sent = environment.prepare_for(&values(&[]), Some(&shape(&format!("q{number}"))));
         assert!(matches!(sent[..], [EndpointText::Prepare { .. }]));
     }
