--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -58,7 +58,7 @@
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
     pub(crate) fn zone_reader(&self) -> Option<SocketAddr> {
-        if self.held_duty().is_some() {
+        if self.held_promoter_lease().is_some() {
             return None;
         }
         let now = Instant::now();
@@ -83,7 +83,7 @@
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
     pub(crate) fn is_reading_shared(&self) -> bool {
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let state = self.state.borrow();
         state.shared_reading_at.is_some_and(|at| at.elapsed() < lasts)
     }
@@ -109,7 +109,7 @@
     /// Passes the zone's reader over if its readings are old although the store answers this daemon.
     pub(crate) fn doubt_reader(&self) {
         let heard_of = self.state.borrow().heard_of;
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let is_old = heard_of.reading_at.is_none_or(|at| at.elapsed() > lasts);
         // Readings wait behind changes that are on their way.
         let is_old = is_old && self.asker.receives_for(Instant::now()).is_none();
@@ -186,10 +186,10 @@
                 state.heard_of.reading_at = Some(reading.asked_at);
             }
             self.take_reading(reading);
-            self.tell_and_look();
+            self.report_and_probe_suspicions();
         }
         for evidence in told.evidence {
-            self.take_evidence(&evidence);
+            self.accept_evidence(&evidence);
         }
         self.take_samples(told.samples);
         self.news.notify_waiters();
@@ -201,7 +201,7 @@
     fn take_reading(&self, reading: StoreReading) {
         let now = Instant::now();
         self.state.borrow_mut().note_sighting(&reading);
-        let useful_for = self.right().mul_f64(USEFUL_PART);
+        let useful_for = self.primary_lease_duration().mul_f64(USEFUL_PART);
         let judged = judge_reading(&reading, now, useful_for, &self.own_keys());
         let SharedReading::Renews(services) = judged else { return };
         let is_back = {
@@ -211,9 +211,9 @@
             state.note_read(now, self.patience())
         };
         if is_back {
-            self.try_suspected_again();
+            self.reprobe_suspected_servers();
         }
-        self.grant_rights(reading.asked_at, Some(&services));
+        self.grant_primary_leases(reading.asked_at, Some(&services));
     }
 
     /// Returns what this daemon knows of the daemons' own keys.
@@ -316,7 +316,7 @@
             evidence: state
                 .evidence
                 .iter()
-                .filter(|it| now.duration_since(it.asked_at) < self.evidence())
+                .filter(|it| now.duration_since(it.asked_at) < self.evidence_duration())
                 .map(|it| it.told_at(now))
                 .collect(),
             evidence_number: state.evidence_number,
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -17,15 +17,15 @@
         control_view::{Detours, GroupLeader, Owners},
         following::HeardOf,
         knowledge::{Knowledge, Sighting},
-        looks::Looks,
         mirror::Mirror,
         peers::{Evidence, PrimarySample, StoreReading},
-        put_back::ConfigurationsHeard,
+        probe_schedule::ProbeSchedule,
         record::LeadershipRecord,
-        restored::Restore,
+        reported_suspicions::ReportedSuspicions,
+        republish::ConfigurationVersions,
         servers::{ServerList, ServersByService},
-        telling::Told,
-        witnesses::Witnessing,
+        store_restore::Restore,
+        witnesses::WitnessCache,
     },
     metadata::{LeaseId, Revision},
 };
@@ -74,7 +74,7 @@
     pub(crate) used_at: HashMap<Name, Instant>,
     pub(crate) lease: Option<HeldLease>,
     /// The lease of the duty to promote, while this daemon holds the duty or tries to.
-    pub(crate) duty_lease: Option<HeldLease>,
+    pub(crate) promoter_lease: Option<HeldLease>,
     /// When this daemon itself last asked for a reading of the store.
     pub(crate) own_read_at: Option<Instant>,
     /// The youngest reading of the store, by whomever.
@@ -116,10 +116,10 @@
     /// Servers that this daemon can't reach, and when it last tried.
     pub(crate) suspected: HashMap<(Name, Name), Instant>,
     /// What the store was told of that.
-    pub(crate) suspicions_told: Told,
+    pub(crate) reported_suspicions: ReportedSuspicions,
     /// When servers were looked at that others suspect, and of which this daemon is a witness.
-    pub(crate) looks: Looks,
-    pub(crate) witnessing: Witnessing,
+    pub(crate) probe_schedule: ProbeSchedule,
+    pub(crate) witness_cache: WitnessCache,
     /// When the store was last found again after a time without it.
     pub(crate) store_back_at: Option<Instant>,
     pub(crate) published_servers: Arc<ServersByService>,
@@ -137,7 +137,7 @@
     pub(crate) editions: HashMap<Name, u64>,
     /// Records that this daemon wrote last; the watch may not have told of them yet.
     pub(crate) written: HashMap<Name, VersionedRecord>,
-    pub(crate) configurations: ConfigurationsHeard,
+    pub(crate) configurations: ConfigurationVersions,
 }
 
 impl State {
@@ -170,7 +170,7 @@
 
     /// Forgets what was believed of a server's former life: rights to use it, what it showed of its log, and that it was out
     /// of reach.
-    pub(crate) fn forget_life(&mut self, service: &Name, server: &Name) {
+    pub(crate) fn forget_incarnation(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
         if let Some(lead) = Arc::make_mut(&mut self.leaders).get_mut(service)
             && lead.server == *server
@@ -182,8 +182,12 @@
     }
 
     /// Whether the server that a record names as primary has started again since it came to lead.
-    pub(crate) fn is_primary_reborn(&mut self, service: &Name, record: &LeadershipRecord) -> bool {
-        self.servers.is_reborn(service, &record.primary, record.primary_life)
+    pub(crate) fn is_primary_restarted(
+        &mut self,
+        service: &Name,
+        record: &LeadershipRecord,
+    ) -> bool {
+        self.servers.is_restarted(service, &record.primary, record.primary_incarnation)
     }
 
     /// Keeps a reading for others if it is the youngest.
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -15,11 +15,11 @@
 use crate::{
     control::{
         adapter::Adapter,
+        backoff::Backoff,
         control_view::{Detours, Observation},
-        pause::Pause,
+        reported_suspicions::PendingSuspicionWrites,
         runner::{Ask, Control},
         state::State,
-        telling::Untold,
         witnesses::is_witness,
     },
     metadata::{LeaseId, MetadataStore, Transaction, TransactionOutcome},
@@ -63,7 +63,7 @@
                 self.state.borrow_mut().used_at.insert(service, Instant::now());
             }
             Observation::SampleWanted => self.ask_for_samples(),
-            Observation::Contradicted { service, term } => self.drop_right(&service, term),
+            Observation::Contradicted { service, term } => self.drop_primary_lease(&service, term),
             Observation::ReplicasBehind { service } => self.tell_behind(service),
         }
         false
@@ -88,10 +88,10 @@
     /// A write for each suspicion, without a rest, is what a large fleet can't bear: daemons that start together and
     /// are slow to reach many servers fill the store's rate and every daemon's link with them.
     pub(crate) async fn suspicion_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             self.suspicions_due.notified().await;
-            let Some((untold, lease)) = self.untold_suspicions() else { continue };
+            let Some((untold, lease)) = self.pending_suspicion_writes() else { continue };
             let put = |key: &String| (key.clone(), Bytes::from_static(b"{}"), Some(lease));
             let transaction = Transaction {
                 puts: untold.puts.iter().map(put).collect(),
@@ -102,15 +102,15 @@
             self.count_call("commit", &written);
             match written {
                 Ok(TransactionOutcome::Done(_)) => {
-                    pause.reset();
-                    self.state.borrow_mut().suspicions_told.on_written(&untold, Instant::now());
+                    backoff.reset();
+                    self.state.borrow_mut().reported_suspicions.on_written(&untold, Instant::now());
                     // What did not fit is told next.
                     self.suspicions_due.notify_one();
                     tokio::time::sleep(TELL_EVERY).await;
                 }
                 Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseOver) => {
                     log::info!(event = "write_failed", what = "suspicions"; "the lease was over");
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
                 Err(error) => {
                     log::info!(
@@ -118,7 +118,7 @@
                         why = error.to_string().as_str();
                         "a write to the store may not have been done"
                     );
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
             }
         }
@@ -131,7 +131,7 @@
     /// daemons found behind a partition would have a healthy primary replaced.
     ///
     /// Of daemons that are no witnesses of a server a few are enough to have the witnesses look at it.
-    fn untold_suspicions(&self) -> Option<(Untold, LeaseId)> {
+    fn pending_suspicion_writes(&self) -> Option<(PendingSuspicionWrites, LeaseId)> {
         let mut state = self.state.borrow_mut();
         let lease = state.lease?.id;
         let is_confirmed =
@@ -139,17 +139,17 @@
         let suspected = state.suspected.iter().filter(|(_, asked_at)| is_confirmed(asked_at));
         let wanted: BTreeSet<String> =
             suspected.map(|((service, server), _)| self.suspicion_key(service, server)).collect();
-        let State { suspicions_told, witnessing, members, members_version, mirror, .. } =
+        let State { reported_suspicions, witness_cache, members, members_version, mirror, .. } =
             &mut *state;
         let may_put = |key: &str| {
             let Some((below, _)) = key.rsplit_once('/') else { return false };
             let Some((_, server)) = below.rsplit_once('/') else { return false };
             let hosts = || members.keys().map(|host| &**host);
             let look = || is_witness(server, &self.settings.host, hosts());
-            witnessing.is_witness(&Name::from(server), *members_version, look)
+            witness_cache.is_witness(&Name::from(server), *members_version, look)
                 || mirror.below(&format!("{below}/")).nth(MOST_OTHERS - 1).is_none()
         };
-        let untold = suspicions_told.untold(&wanted, Instant::now(), may_put);
+        let untold = reported_suspicions.untold(&wanted, Instant::now(), may_put);
         (!untold.is_empty()).then_some((untold, lease))
     }
 
@@ -159,14 +159,14 @@
         if is_own {
             let mut state = self.state.borrow_mut();
             let is_there = state.mirror.get(key).is_some();
-            state.suspicions_told.on_shown(key, is_there);
+            state.reported_suspicions.on_shown(key, is_there);
         }
     }
 
     /// Has a server looked at that another daemon suspects, if this one is a witness: one daemon alone may be wrong, and
     /// the witnesses may have no reason of their own to notice. A server that this one can't reach either is tried again
     /// and again anyhow.
-    pub(crate) fn look_at_suspicion(&self, key: &str, suspicion: &str) {
+    pub(crate) fn probe_suspected_server(&self, key: &str, suspicion: &str) {
         let mut parts = suspicion.split('/');
         let (Some(service), Some(server)) = (parts.next(), parts.next()) else { return };
         let pair = (Name::from(service), Name::from(server));
@@ -175,11 +175,11 @@
             if state.mirror.get(key).is_none() || state.suspected.contains_key(&pair) {
                 return;
             }
-            let State { witnessing, members, members_version, looks, .. } = &mut *state;
+            let State { witness_cache, members, members_version, probe_schedule, .. } = &mut *state;
             let hosts = || members.keys().map(|host| &**host);
             let look = || is_witness(server, &self.settings.host, hosts());
-            if !witnessing.is_witness(&pair.1, *members_version, look)
-                || !looks.on_suspected(&pair, Instant::now())
+            if !witness_cache.is_witness(&pair.1, *members_version, look)
+                || !probe_schedule.on_suspected(&pair, Instant::now())
             {
                 return;
             }
@@ -189,14 +189,14 @@
 
     /// Does what follows from a reading: suspicions that the store should show by now and does not are told, and servers
     /// that were suspected again are looked at.
-    pub(crate) fn tell_and_look(&self) {
+    pub(crate) fn report_and_probe_suspicions(&self) {
         self.suspicions_due.notify_one();
         self.look_again();
     }
 
     /// Looks again at servers that somebody still suspects a while after this daemon found them alive.
     fn look_again(&self) {
-        let due = self.state.borrow_mut().looks.take_due(Instant::now());
+        let due = self.state.borrow_mut().probe_schedule.take_due(Instant::now());
         for (service, server) in due {
             let prefix = self.key(&format!("suspicions/{service}/{server}/"));
             let is_suspected = self.state.borrow().mirror.below(&prefix).next().is_some();
@@ -212,7 +212,7 @@
     }
 
     /// Has the servers tried again that this daemon could not reach before the store was back.
-    pub(crate) fn try_suspected_again(&self) {
+    pub(crate) fn reprobe_suspected_servers(&self) {
         let unconfirmed: Vec<(Name, Name)> = {
             let state = self.state.borrow();
             let is_older =
@@ -271,7 +271,7 @@
     }
 
     /// Starts a write whose failure costs time and nothing else.
-    pub(crate) fn write_soon(&self, transaction: Transaction, what: &'static str) {
+    pub(crate) fn queue_write(&self, transaction: Transaction, what: &'static str) {
         // A full ring means that the store has been silent for long; a later reading makes up for it.
         if self.writes.0.try_send((transaction, what)).is_err() {
             log::warn!(event = "write_dropped", what = what; "too many writes wait for the store");
