--- a/crates/daemon/src/failover_duty.rs
+++ b/crates/daemon/src/failover_duty.rs
@@ -6,7 +6,8 @@
 };
 
 use failover::{
-    Driver, DriverEvent, DriverGroup, DriverStep, Ending, LeadershipRecord, RecordStage,
+    FailoverDriver, FailoverEvent, FailoverGroup, FailoverOutcome, FailoverStep, LeadershipRecord,
+    RecordStage,
 };
 use futures::{StreamExt, stream::FuturesUnordered};
 use model::{ServerId, ServerStatus, Term};
@@ -76,17 +77,17 @@
     }
 
     /// Drives a change until it is over, one way or another.
-    pub(crate) async fn drive(&mut self, reason: DriveReason) -> Ending {
+    pub(crate) async fn drive(&mut self, reason: DriveReason) -> FailoverOutcome {
         let claim_id = format!("{}-{:016x}", self.context.host(), rand::random::<u64>());
         let host = self.context.host().to_string();
         let mut driver =
-            Driver::new(self.driver_group(reason), host, claim_id, self.highest_term());
+            FailoverDriver::new(self.driver_group(reason), host, claim_id, self.highest_term());
         let began = Instant::now();
-        let mut ending = Ending::PromotionFailed;
+        let mut ending = FailoverOutcome::PromotionFailed;
         for _ in 0..MOST_STEPS {
             let stage = driver.stage();
             let step = driver.step().clone();
-            if let DriverStep::End(found) = step {
+            if let FailoverStep::Done(found) = step {
                 ending = found;
                 break;
             }
@@ -106,27 +107,27 @@
         ending
     }
 
-    fn report(&mut self, ending: Ending, began: Instant) {
+    fn report(&mut self, ending: FailoverOutcome, began: Instant) {
         let word = match ending {
-            Ending::Opened { .. } => "opened",
-            Ending::LeftToOther => "left_to_other",
-            Ending::StoreUnreachable => "store_unreachable",
-            Ending::NoMajority => "no_majority",
-            Ending::PromotionFailed => "promotion_failed",
+            FailoverOutcome::Promoted { .. } => "opened",
+            FailoverOutcome::DrivenElsewhere => "left_to_other",
+            FailoverOutcome::StoreUnreachable => "store_unreachable",
+            FailoverOutcome::NoMajority => "no_majority",
+            FailoverOutcome::PromotionFailed => "promotion_failed",
         };
         self.context.metrics.promotions.with_label_values(&[word]).inc();
         match ending {
-            Ending::Opened { primary, term } => log::warn!(
+            FailoverOutcome::Promoted { primary, term } => log::warn!(
                 group = self.group.id.to_string().as_str(), server = primary.0, term = term.0,
                 took_ms = began.elapsed().as_millis() as u64;
                 "a new primary leads"
             ),
-            Ending::LeftToOther => {}
+            FailoverOutcome::DrivenElsewhere => {}
             _ => self.complain(&format!("the primary could not be changed: {word}")),
         }
     }
 
-    fn driver_group(&self, reason: DriveReason) -> DriverGroup {
+    fn driver_group(&self, reason: DriveReason) -> FailoverGroup {
         let in_force = self.group.in_force.load();
         let servers = &in_force.group.servers;
         let mut unwanted: Vec<ServerId> = servers
@@ -145,9 +146,9 @@
                 (Some(target), None)
             }
         };
-        DriverGroup {
+        FailoverGroup {
             servers: servers.iter().map(|server| server.name.to_string()).collect(),
-            unwanted,
+            avoid: unwanted,
             preferred,
             failed,
         }
@@ -159,27 +160,29 @@
         board.term.max(promised.unwrap_or_default())
     }
 
-    async fn carry_out(&mut self, step: DriverStep) -> DriverEvent {
+    async fn carry_out(&mut self, step: FailoverStep) -> FailoverEvent {
         match step {
-            DriverStep::ReadRecord => self.read_record().await,
-            DriverStep::WriteRecord { expected_version, record } => {
+            FailoverStep::ReadRecord => self.read_record().await,
+            FailoverStep::WriteRecord { expected_version, record } => {
                 self.write_record(expected_version, &record).await
             }
-            DriverStep::Seal { term } => DriverEvent::Sealed { statuses: self.seal(term).await },
-            DriverStep::Promote { server, term } => {
+            FailoverStep::Seal { term } => {
+                FailoverEvent::Sealed { statuses: self.seal(term).await }
+            }
+            FailoverStep::Promote { server, term } => {
                 match self.group.tell(server, Dialect::promote(term)).await {
                     Ok(answer) if answer.status.leads() => {
                         self.tell_owners(term);
-                        DriverEvent::Promoted
+                        FailoverEvent::Promoted
                     }
-                    _ => DriverEvent::PromotionFailed,
+                    _ => FailoverEvent::PromotionFailed,
                 }
             }
-            DriverStep::Follow { primary, term } => {
+            FailoverStep::Follow { primary, term } => {
                 self.follow(primary, term).await;
-                DriverEvent::Followed
+                FailoverEvent::Followed
             }
-            DriverStep::End(_) => DriverEvent::Followed,
+            FailoverStep::Done(_) => FailoverEvent::Followed,
         }
     }
 
@@ -188,20 +191,20 @@
         LeadershipRecord::key(&self.context.settings.platform.prefix, &id.service, &id.group)
     }
 
-    async fn read_record(&mut self) -> DriverEvent {
+    async fn read_record(&mut self) -> FailoverEvent {
         let (store, key) = (self.store.clone(), self.key());
         let found = tokio::task::spawn_blocking(move || store.get(&key)).await;
         self.context.metrics.store_calls.with_label_values(&["leadership"]).inc();
-        let Ok(Ok(entry)) = found else { return DriverEvent::StoreUnreachable };
+        let Ok(Ok(entry)) = found else { return FailoverEvent::StoreUnreachable };
         let Some(entry) = entry else {
-            return DriverEvent::Record { record: None, version: 0, stalled: false };
+            return FailoverEvent::Record { record: None, version: 0, stalled: false };
         };
         let Ok(record) = serde_json::from_slice::<LeadershipRecord>(&entry.value) else {
             log::error!(key = self.key().as_str(); "a leadership record is malformed");
-            return DriverEvent::StoreUnreachable;
+            return FailoverEvent::StoreUnreachable;
         };
         let stalled = self.has_stalled(&record);
-        DriverEvent::Record { record: Some(record), version: entry.version, stalled }
+        FailoverEvent::Record { record: Some(record), version: entry.version, stalled }
     }
 
     /// Whether nobody is at work on a record: its change is over, or it has stood still for long.
@@ -223,8 +226,12 @@
         }
     }
 
-    async fn write_record(&self, expected_version: u64, record: &LeadershipRecord) -> DriverEvent {
-        let Ok(value) = serde_json::to_vec(record) else { return DriverEvent::StoreUnreachable };
+    async fn write_record(
+        &self,
+        expected_version: u64,
+        record: &LeadershipRecord,
+    ) -> FailoverEvent {
+        let Ok(value) = serde_json::to_vec(record) else { return FailoverEvent::StoreUnreachable };
         let (store, key) = (self.store.clone(), self.key());
         let claim_id = record.claim_id.clone();
         self.context.metrics.store_calls.with_label_values(&["leadership"]).inc();
@@ -240,12 +247,12 @@
         })
         .await;
         match written {
-            Ok(Ok(Some(version))) => DriverEvent::Written { version },
+            Ok(Ok(Some(version))) => FailoverEvent::Written { version },
             Ok(Ok(None) | Err(StoreError::AnswerLost(_) | StoreError::Malformed(_))) => {
                 log::info!(claim = claim_id.as_str(); "a leadership record has to be read back");
-                DriverEvent::WriteUnclear
+                FailoverEvent::WriteUncertain
             }
-            Ok(Err(StoreError::Unreachable(_))) | Err(_) => DriverEvent::StoreUnreachable,
+            Ok(Err(StoreError::Unreachable(_))) | Err(_) => FailoverEvent::StoreUnreachable,
         }
     }
 
--- a/crates/daemon/src/switch_duty.rs
+++ b/crates/daemon/src/switch_duty.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use failover::Ending;
+use failover::FailoverOutcome;
 use model::{Position, ServerId};
 use peer::{Body, HoldRequest};
 use store::KeyValueStore;
@@ -43,7 +43,7 @@
     let ending =
         if drained { Some(duty.drive(DriveReason::Switch { target }).await) } else { None };
     hold_everywhere(context, peers, group, 0).await;
-    let switched = matches!(ending, Some(Ending::Opened { .. }));
+    let switched = matches!(ending, Some(FailoverOutcome::Promoted { .. }));
     log::info!(
         group = group.id.to_string().as_str(), drained, switched,
         held_ms = began.elapsed().as_millis() as u64;
--- a/crates/failover/src/driver.rs
+++ b/crates/failover/src/driver.rs
@@ -1,106 +1,108 @@
 //! A change of primary as a state machine.
 //!
-//! The driver asks for one step at a time and is told how it went. Every step may be repeated, by it
-//! or by another daemon, without harm: the claim and the choice are compare-and-swaps of one record,
-//! a seal and a promotion name their term, and a server refuses a lower one. The table of faults in
-//! `tests/driver.rs` ends the driver at each step and lets another one finish.
+//! The driver returns one step at a time and receives its result. Every step is idempotent and may be
+//! repeated by any daemon: the claim and the choice are compare-and-swaps of one record, a seal and a
+//! promotion carry their term, and a server refuses a lower term. `tests/driver.rs` interrupts the
+//! driver at each step and lets another one finish.
 
 use model::{ServerId, ServerStatus, Term};
 
 use crate::{LeadershipRecord, RecordStage};
 
-/// What the shell has to do next.
+/// The next action for the daemon that runs the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DriverStep {
+pub enum FailoverStep {
     /// Read the group's record.
     ReadRecord,
-    /// Replace the record if it still has this version (0: if there is none).
+    /// Replace the record if it still has the expected version.
     WriteRecord {
-        /// The version that was read.
+        /// The version that was read; 0 when there was no record.
         expected_version: u64,
         /// The new record.
         record: LeadershipRecord,
     },
-    /// Seal every server that can be reached at this term, and report each answer.
+    /// Seal every reachable server at this term, and report each answer.
     Seal {
-        /// The term below which the servers must refuse.
+        /// The servers refuse writes and changes of lower terms.
         term: Term,
     },
-    /// Open the chosen server as primary.
+    /// Promote the chosen server to primary.
     Promote {
-        /// The server.
+        /// The server to promote.
         server: ServerId,
-        /// Its term.
+        /// The term in which it becomes primary.
         term: Term,
     },
-    /// Tell the others to follow; the change is over even if some can't be told.
+    /// Make the other servers follow the new primary; the change is complete even if some can't be
+    /// reached.
     Follow {
         /// The new primary.
         primary: ServerId,
-        /// Its term.
+        /// The term of the new primary.
         term: Term,
     },
-    /// Nothing more to do.
-    End(Ending),
+    /// Nothing; the driver has finished.
+    Done(FailoverOutcome),
 }
 
-/// How a driver ended.
+/// The result of a finished driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// The server leads in the term.
-    Opened {
+pub enum FailoverOutcome {
+    /// The chosen server is primary.
+    Promoted {
         /// The new primary.
         primary: ServerId,
-        /// Its term.
+        /// The term of the new primary.
         term: Term,
     },
-    /// Another daemon drives a change that is not old enough to be taken over.
-    LeftToOther,
-    /// The store can't be reached, so nobody promotes.
+    /// Another daemon is changing the primary and has not stalled for the takeover time.
+    DrivenElsewhere,
+    /// The store can't be reached, so no server was promoted.
     StoreUnreachable,
     /// Too few servers could be sealed.
     NoMajority,
-    /// The chosen server could not be opened; a new claim may choose another.
+    /// The chosen server could not be promoted; a new claim may choose another one.
     PromotionFailed,
 }
 
-/// How a step went.
+/// The result of a step.
 #[derive(Clone, Debug)]
-pub enum DriverEvent {
-    /// The record was read; `None` when there is none yet.
+pub enum FailoverEvent {
+    /// The record was read.
     Record {
-        /// The record.
+        /// The record; `None` when there is none yet.
         record: Option<LeadershipRecord>,
-        /// Its version in the store, 0 when there is none.
+        /// The version of the record in the store; 0 when there is none.
         version: u64,
-        /// Whether it has stood unchanged for the takeover time, as this daemon saw it.
+        /// Whether the change is complete, or this daemon has seen the record unchanged for the
+        /// takeover time.
         stalled: bool,
     },
-    /// The store took the new record.
+    /// The store accepted the new record.
     Written {
-        /// Its version.
+        /// The version of the new record.
         version: u64,
     },
-    /// The store refused, since the record had changed; or its answer was lost.
-    WriteUnclear,
+    /// The store rejected the write because the record had changed, or its answer was lost.
+    WriteUncertain,
     /// The store could not be reached, and nothing was written.
     StoreUnreachable,
-    /// Every reachable server has answered the seal, with its status after it.
+    /// The reachable servers have answered the seal.
     Sealed {
-        /// The answers of the servers that took it.
+        /// The status after the seal of each server that accepted it.
         statuses: Vec<(ServerId, ServerStatus)>,
     },
-    /// The chosen server is open.
+    /// The chosen server is primary.
     Promoted,
-    /// It could not be opened.
+    /// The chosen server could not be promoted.
     PromotionFailed,
-    /// The others were told.
+    /// The other servers were told to follow.
     Followed,
 }
 
-/// Where the driver stands.
+/// The phase of a driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum FailoverStage {
     /// Reading the record.
     Reading,
     /// Writing the claim.
@@ -109,103 +111,107 @@
     Sealing,
     /// Writing the choice.
     Recording,
-    /// Opening the new primary.
+    /// Promoting the new primary.
     Promoting,
-    /// Telling the others.
+    /// Telling the other servers to follow.
     Following,
-    /// Over.
+    /// Finished.
     Ended,
 }
 
-impl Stage {
-    /// Returns the word used in logs, metrics and spans.
+impl FailoverStage {
+    /// Returns the name used in logs, metrics and spans.
     pub fn as_str(self) -> &'static str {
         match self {
-            Stage::Reading => "read",
-            Stage::Claiming => "claim",
-            Stage::Sealing => "seal",
-            Stage::Recording => "record",
-            Stage::Promoting => "promote",
-            Stage::Following => "follow",
-            Stage::Ended => "end",
+            FailoverStage::Reading => "read",
+            FailoverStage::Claiming => "claim",
+            FailoverStage::Sealing => "seal",
+            FailoverStage::Recording => "record",
+            FailoverStage::Promoting => "promote",
+            FailoverStage::Following => "follow",
+            FailoverStage::Ended => "end",
         }
     }
 }
 
-/// What a driver needs to know of its group.
+/// What a driver needs to know about its group.
 #[derive(Clone, Debug)]
-pub struct DriverGroup {
+pub struct FailoverGroup {
     /// The names of the servers, in the group's order.
     pub servers: Vec<String>,
-    /// Servers that must not be chosen, such as leaving ones, unless no other holds as much.
-    pub unwanted: Vec<ServerId>,
-    /// A server that should be chosen if it holds as much as any.
+    /// Servers to choose only if no other one holds as much, such as leaving servers.
+    pub avoid: Vec<ServerId>,
+    /// The server to choose if no other one holds more.
     pub preferred: Option<ServerId>,
-    /// The primary that is taken to have failed. It may answer the seal and hold the longest log,
-    /// as when only its replicas can't reach it; it is chosen only if no majority is left without it.
+    /// The primary that is considered failed. It can still answer the seal and hold the longest log,
+    /// for example when only its replicas can't reach it. It is chosen only if the other servers that
+    /// were sealed are not a majority.
     pub failed: Option<ServerId>,
 }
 
 /// One daemon's attempt to change a group's primary.
 #[derive(Clone, Debug)]
-pub struct Driver {
-    group: DriverGroup,
+pub struct FailoverDriver {
+    group: FailoverGroup,
     host: String,
     claim_id: String,
-    /// The highest term seen anywhere, so that a claim is above all of them.
+    /// The highest term seen on any server or in the record; a claim uses a higher one.
     highest_term: Term,
     version: u64,
-    stage: Stage,
-    step: DriverStep,
+    stage: FailoverStage,
+    step: FailoverStep,
     term: Term,
     chosen: Option<ServerId>,
 }
 
-impl Driver {
-    /// Begins. `claim_id` must be new for each attempt of any daemon.
+impl FailoverDriver {
+    /// Creates a driver that starts by reading the record. `claim_id` must be unique to this attempt
+    /// among all daemons.
     pub fn new(
-        group: DriverGroup,
+        group: FailoverGroup,
         host: impl Into<String>,
         claim_id: impl Into<String>,
         highest_term: Term,
-    ) -> Driver {
-        Driver {
+    ) -> FailoverDriver {
+        FailoverDriver {
             group,
             host: host.into(),
             claim_id: claim_id.into(),
             highest_term,
             version: 0,
-            stage: Stage::Reading,
-            step: DriverStep::ReadRecord,
+            stage: FailoverStage::Reading,
+            step: FailoverStep::ReadRecord,
             term: Term::default(),
             chosen: None,
         }
     }
 
-    /// Returns the step to carry out now.
-    pub fn step(&self) -> &DriverStep {
+    /// Returns the step to carry out next.
+    pub fn step(&self) -> &FailoverStep {
         &self.step
     }
 
-    /// Returns where the driver stands.
-    pub fn stage(&self) -> Stage {
+    /// Returns the phase of the driver.
+    pub fn stage(&self) -> FailoverStage {
         self.stage
     }
 
-    /// Takes the outcome of the step.
-    pub fn on_event(&mut self, event: DriverEvent) {
+    /// Processes the result of the current step and moves to the next one.
+    pub fn on_event(&mut self, event: FailoverEvent) {
         let (stage, step) = match (self.stage, event) {
-            (Stage::Ended, _) => return,
-            (_, DriverEvent::StoreUnreachable) => end(Ending::StoreUnreachable),
-            (_, DriverEvent::WriteUnclear) => (Stage::Reading, DriverStep::ReadRecord),
-            (_, DriverEvent::Record { record, version, stalled }) => {
+            (FailoverStage::Ended, _) => return,
+            (_, FailoverEvent::StoreUnreachable) => end(FailoverOutcome::StoreUnreachable),
+            (_, FailoverEvent::WriteUncertain) => {
+                (FailoverStage::Reading, FailoverStep::ReadRecord)
+            }
+            (_, FailoverEvent::Record { record, version, stalled }) => {
                 self.on_record(record, version, stalled)
             }
-            (_, DriverEvent::Written { version }) => self.on_written(version),
-            (_, DriverEvent::Sealed { statuses }) => self.on_sealed(&statuses),
-            (_, DriverEvent::Promoted) => self.on_promoted(),
-            (_, DriverEvent::PromotionFailed) => end(Ending::PromotionFailed),
-            (_, DriverEvent::Followed) => self.on_followed(),
+            (_, FailoverEvent::Written { version }) => self.on_written(version),
+            (_, FailoverEvent::Sealed { statuses }) => self.on_sealed(&statuses),
+            (_, FailoverEvent::Promoted) => self.on_promoted(),
+            (_, FailoverEvent::PromotionFailed) => end(FailoverOutcome::PromotionFailed),
+            (_, FailoverEvent::Followed) => self.on_followed(),
         };
         self.stage = stage;
         self.step = step;
@@ -216,38 +222,38 @@
         record: Option<LeadershipRecord>,
         version: u64,
         stalled: bool,
-    ) -> (Stage, DriverStep) {
+    ) -> (FailoverStage, FailoverStep) {
         self.version = version;
         let Some(record) = record else { return self.claim() };
         self.highest_term = self.highest_term.max(record.term);
         let own = record.claim_id == self.claim_id;
         match record.stage {
-            // The claim's answer was lost, but it took effect.
+            // The answer to this driver's claim was lost, but the claim was stored.
             RecordStage::Claimed if own => self.seal(record.term),
             RecordStage::Claimed if stalled => self.claim(),
-            RecordStage::Claimed => end(Ending::LeftToOther),
+            RecordStage::Claimed => end(FailoverOutcome::DrivenElsewhere),
             RecordStage::Chosen { ref server, .. } => {
-                self.finish_chosen(&record, server, own, stalled)
+                self.resume_chosen(&record, server, own, stalled)
             }
         }
     }
 
     /// Continues from a record that names the new primary.
     ///
-    /// Our own choice is opened. Another's is left alone while it is fresh; if it stands for longer
-    /// and its server does not lead, the server has failed since, and a new term is claimed.
-    fn finish_chosen(
+    /// A choice of this driver is promoted. A recent choice of another driver is left to that driver;
+    /// a stalled one means that its server has failed since, so a new term is claimed.
+    fn resume_chosen(
         &mut self,
         record: &LeadershipRecord,
         server: &str,
         own: bool,
         stalled: bool,
-    ) -> (Stage, DriverStep) {
+    ) -> (FailoverStage, FailoverStep) {
         if !own && stalled {
             return self.claim();
         }
         if !own {
-            return end(Ending::LeftToOther);
+            return end(FailoverOutcome::DrivenElsewhere);
         }
         match self.group.servers.iter().position(|name| name == server) {
             Some(index) => self.promote(ServerId::from_index(index), record.term),
@@ -255,13 +261,16 @@
         }
     }
 
-    fn claim(&mut self) -> (Stage, DriverStep) {
+    fn claim(&mut self) -> (FailoverStage, FailoverStep) {
         self.term = self.highest_term.next();
-        let record = self.record(RecordStage::Claimed);
-        (Stage::Claiming, DriverStep::WriteRecord { expected_version: self.version, record })
+        let record = self.new_record(RecordStage::Claimed);
+        (
+            FailoverStage::Claiming,
+            FailoverStep::WriteRecord { expected_version: self.version, record },
+        )
     }
 
-    fn on_written(&mut self, version: u64) -> (Stage, DriverStep) {
+    fn on_written(&mut self, version: u64) -> (FailoverStage, FailoverStep) {
         self.version = version;
         match self.chosen {
             Some(server) => self.promote(server, self.term),
@@ -269,57 +278,66 @@
         }
     }
 
-    fn seal(&mut self, term: Term) -> (Stage, DriverStep) {
+    fn seal(&mut self, term: Term) -> (FailoverStage, FailoverStep) {
         self.term = term;
-        (Stage::Sealing, DriverStep::Seal { term })
+        (FailoverStage::Sealing, FailoverStep::Seal { term })
     }
 
-    fn on_sealed(&mut self, statuses: &[(ServerId, ServerStatus)]) -> (Stage, DriverStep) {
+    fn on_sealed(
+        &mut self,
+        statuses: &[(ServerId, ServerStatus)],
+    ) -> (FailoverStage, FailoverStep) {
         let sealed: Vec<&(ServerId, ServerStatus)> =
             statuses.iter().filter(|(_, status)| status.promised_term == self.term).collect();
         let majority = self.group.servers.len() / 2 + 1;
         if sealed.len() < majority {
-            return end(Ending::NoMajority);
+            return end(FailoverOutcome::NoMajority);
         }
-        // Every acknowledged write is held by a majority, so by a server of any other majority.
-        let sound: Vec<_> =
+        // Any two majorities share a server, so a majority includes a holder of every acknowledged write.
+        let without_failed: Vec<_> =
             sealed.iter().filter(|(server, _)| self.group.failed != Some(*server)).collect();
-        let best = if sound.len() >= majority { sound } else { sealed.iter().collect() };
-        let best = best.into_iter().max_by_key(|(server, status)| {
-            let wanted = !self.group.unwanted.contains(server);
+        let candidates =
+            if without_failed.len() >= majority { without_failed } else { sealed.iter().collect() };
+        let best = candidates.into_iter().max_by_key(|(server, status)| {
+            let not_avoided = !self.group.avoid.contains(server);
             let preferred = self.group.preferred == Some(*server);
-            (status.held(), preferred, wanted, std::cmp::Reverse(*server))
+            (status.held(), preferred, not_avoided, std::cmp::Reverse(*server))
         });
-        let Some((server, status)) = best else { return end(Ending::NoMajority) };
+        let Some((server, status)) = best else { return end(FailoverOutcome::NoMajority) };
         self.chosen = Some(*server);
-        let record = self.record(RecordStage::Chosen {
+        let record = self.new_record(RecordStage::Chosen {
             server: self.group.servers[server.index()].clone(),
             start: status.held_position,
         });
-        (Stage::Recording, DriverStep::WriteRecord { expected_version: self.version, record })
+        (
+            FailoverStage::Recording,
+            FailoverStep::WriteRecord { expected_version: self.version, record },
+        )
     }
 
-    fn promote(&mut self, server: ServerId, term: Term) -> (Stage, DriverStep) {
+    fn promote(&mut self, server: ServerId, term: Term) -> (FailoverStage, FailoverStep) {
         self.term = term;
         self.chosen = Some(server);
-        (Stage::Promoting, DriverStep::Promote { server, term })
+        (FailoverStage::Promoting, FailoverStep::Promote { server, term })
     }
 
-    fn on_promoted(&mut self) -> (Stage, DriverStep) {
+    fn on_promoted(&mut self) -> (FailoverStage, FailoverStep) {
         match self.chosen {
-            Some(primary) => (Stage::Following, DriverStep::Follow { primary, term: self.term }),
-            None => end(Ending::PromotionFailed),
+            Some(primary) => {
+                (FailoverStage::Following, FailoverStep::Follow { primary, term: self.term })
+            }
+            None => end(FailoverOutcome::PromotionFailed),
         }
     }
 
-    fn on_followed(&mut self) -> (Stage, DriverStep) {
+    fn on_followed(&mut self) -> (FailoverStage, FailoverStep) {
         match self.chosen {
-            Some(primary) => end(Ending::Opened { primary, term: self.term }),
-            None => end(Ending::PromotionFailed),
+            Some(primary) => end(FailoverOutcome::Promoted { primary, term: self.term }),
+            None => end(FailoverOutcome::PromotionFailed),
         }
     }
 
-    fn record(&self, stage: RecordStage) -> LeadershipRecord {
+    fn new_record(&self, stage: RecordStage) -> LeadershipRecord {
         LeadershipRecord {
             term: self.term,
             claim_id: self.claim_id.clone(),
@@ -329,6 +347,6 @@
     }
 }
 
-fn end(ending: Ending) -> (Stage, DriverStep) {
-    (Stage::Ended, DriverStep::End(ending))
+fn end(outcome: FailoverOutcome) -> (FailoverStage, FailoverStep) {
+    (FailoverStage::Ended, FailoverStep::Done(outcome))
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -8,7 +8,9 @@
 mod record;
 mod suspicion;
 
-pub use driver::{Driver, DriverEvent, DriverGroup, DriverStep, Ending, Stage};
+pub use driver::{
+    FailoverDriver, FailoverEvent, FailoverGroup, FailoverOutcome, FailoverStage, FailoverStep,
+};
 pub use evidence::{Evidence, SecondStatus, judge_evidence};
 pub use record::{LeadershipRecord, RecordStage};
 pub use suspicion::{Health, OtherView, PrimaryHealth, SuspicionRules, judge_health};
--- a/crates/failover/tests/driver.rs
+++ b/crates/failover/tests/driver.rs
@@ -1,15 +1,16 @@
-//! The change of primary as a state machine, with a fault at every step.
+//! The change of primary as a state machine, with a fault injected at every step.
 
 use std::collections::BTreeMap;
 
 use failover::{
-    Driver, DriverEvent, DriverGroup, DriverStep, Ending, LeadershipRecord, RecordStage, Stage,
+    FailoverDriver, FailoverEvent, FailoverGroup, FailoverOutcome, FailoverStage, FailoverStep,
+    LeadershipRecord, RecordStage,
 };
 use model::{Position, ServerId, ServerRole, ServerStatus, Term};
 
-/// A group and a store, as far as the driver touches them.
+/// A simulated group of servers and its record in the store.
 #[derive(Clone)]
-struct World {
+struct SimulatedCluster {
     servers: Vec<FakeServer>,
     record: Option<LeadershipRecord>,
     version: u64,
@@ -24,8 +25,8 @@
     leads: bool,
 }
 
-impl World {
-    fn new(held: [u64; 3], up: [bool; 3]) -> World {
+impl SimulatedCluster {
+    fn new(held: [u64; 3], up: [bool; 3]) -> SimulatedCluster {
         let server = |index: usize| FakeServer {
             up: up[index],
             promised: 1,
@@ -33,7 +34,7 @@
             held: held[index],
             leads: index == 0,
         };
-        World { servers: (0..3).map(server).collect(), record: None, version: 0 }
+        SimulatedCluster { servers: (0..3).map(server).collect(), record: None, version: 0 }
     }
 
     fn status(&self, index: usize) -> ServerStatus {
@@ -49,20 +50,22 @@
         }
     }
 
-    fn carry_out(&mut self, step: &DriverStep, stalled: bool) -> DriverEvent {
+    fn carry_out(&mut self, step: &FailoverStep, stalled: bool) -> FailoverEvent {
         match step {
-            DriverStep::ReadRecord => {
-                DriverEvent::Record { record: self.record.clone(), version: self.version, stalled }
-            }
-            DriverStep::WriteRecord { expected_version, record } => {
+            FailoverStep::ReadRecord => FailoverEvent::Record {
+                record: self.record.clone(),
+                version: self.version,
+                stalled,
+            },
+            FailoverStep::WriteRecord { expected_version, record } => {
                 if *expected_version != self.version {
-                    return DriverEvent::WriteUnclear;
+                    return FailoverEvent::WriteUncertain;
                 }
                 self.record = Some(record.clone());
                 self.version += 1;
-                DriverEvent::Written { version: self.version }
+                FailoverEvent::Written { version: self.version }
             }
-            DriverStep::Seal { term } => {
+            FailoverStep::Seal { term } => {
                 let mut statuses = Vec::new();
                 for index in 0..self.servers.len() {
                     let server = &mut self.servers[index];
@@ -71,195 +74,221 @@
                         statuses.push((ServerId::from_index(index), self.status(index)));
                     }
                 }
-                DriverEvent::Sealed { statuses }
+                FailoverEvent::Sealed { statuses }
             }
-            DriverStep::Promote { server, term } => {
+            FailoverStep::Promote { server, term } => {
                 let server = &mut self.servers[server.index()];
                 if !server.up || server.promised != term.0 {
-                    return DriverEvent::PromotionFailed;
+                    return FailoverEvent::PromotionFailed;
                 }
                 server.leads = true;
                 server.log_term = term.0;
-                DriverEvent::Promoted
+                FailoverEvent::Promoted
+            }
+            FailoverStep::Follow { .. } => FailoverEvent::Followed,
+            FailoverStep::Done(_) => {
+                unreachable!("`finish` returns before it carries out this step")
             }
-            DriverStep::Follow { .. } => DriverEvent::Followed,
-            DriverStep::End(_) => unreachable!("the loop ends before"),
         }
     }
 
-    /// Servers that are up and take writes, by their term.
+    /// Returns the servers that are up and accept writes, by their term.
     fn leaders(&self) -> BTreeMap<u64, usize> {
-        let leading = self.servers.iter().enumerate();
-        leading
+        self.servers
+            .iter()
+            .enumerate()
             .filter(|(_, server)| server.up && server.leads && server.log_term == server.promised)
             .map(|(index, server)| (server.log_term, index))
             .collect()
     }
 }
 
-fn group(failed: Option<u16>) -> DriverGroup {
-    DriverGroup {
+fn cluster(failed: Option<u16>) -> FailoverGroup {
+    FailoverGroup {
         servers: vec!["a".to_owned(), "b".to_owned(), "c".to_owned()],
-        unwanted: Vec::new(),
+        avoid: Vec::new(),
         preferred: None,
         failed: failed.map(ServerId),
     }
 }
 
-fn driver(name: &str) -> Driver {
-    Driver::new(group(Some(0)), name, format!("claim-{name}"), Term(1))
+fn driver(name: &str) -> FailoverDriver {
+    FailoverDriver::new(cluster(Some(0)), name, format!("claim-{name}"), Term(1))
 }
 
-fn finish(world: &mut World, driver: &mut Driver, stalled: bool) -> Ending {
+fn finish(
+    cluster: &mut SimulatedCluster,
+    driver: &mut FailoverDriver,
+    stalled: bool,
+) -> FailoverOutcome {
     for _ in 0..50 {
-        if let DriverStep::End(ending) = driver.step() {
-            return *ending;
+        if let FailoverStep::Done(outcome) = driver.step() {
+            return *outcome;
         }
-        let event = world.carry_out(&driver.step().clone(), stalled);
+        let event = cluster.carry_out(&driver.step().clone(), stalled);
         driver.on_event(event);
     }
-    panic!("the driver goes in circles at {:?}", driver.stage());
+    panic!("the driver does not finish; it is at {:?}", driver.stage());
 }
 
 #[test]
 fn the_longest_log_is_chosen() {
     let cases = [
-        // held positions, who is up, who must lead
+        // held positions, which servers are up, the expected primary
         ([9, 9, 8], [false, true, true], 1),
         ([9, 7, 8], [false, true, true], 2),
         ([9, 9, 9], [true, true, true], 1),
-        // A failed primary that answers is passed over while a majority is left without it …
+        // A failed primary that answers is not chosen if the others are a majority.
         ([12, 9, 8], [true, true, true], 1),
-        // … and chosen when there is none, since a write may be on it and the lost server only.
+        // Otherwise it is chosen, since only it and the unreachable server may hold a write.
         ([12, 9, 9], [true, true, false], 0),
     ];
     for (held, up, expected) in cases {
-        let mut world = World::new(held, up);
-        let ending = finish(&mut world, &mut driver("one"), false);
+        let mut cluster = SimulatedCluster::new(held, up);
+        let outcome = finish(&mut cluster, &mut driver("one"), false);
         let primary = ServerId(expected);
-        assert_eq!(ending, Ending::Opened { primary, term: Term(2) }, "{held:?} {up:?}");
+        assert_eq!(
+            outcome,
+            FailoverOutcome::Promoted { primary, term: Term(2) },
+            "{held:?} {up:?}"
+        );
     }
 }
 
 #[test]
-fn nothing_is_promoted_without_a_majority_or_the_store() {
-    let mut world = World::new([9, 9, 9], [false, true, false]);
-    assert_eq!(finish(&mut world, &mut driver("one"), false), Ending::NoMajority);
-    assert!(world.servers.iter().skip(1).all(|server| !server.leads));
+fn no_server_is_promoted_without_a_majority_or_the_store() {
+    let mut cluster = SimulatedCluster::new([9, 9, 9], [false, true, false]);
+    assert_eq!(finish(&mut cluster, &mut driver("one"), false), FailoverOutcome::NoMajority);
+    assert!(cluster.servers.iter().skip(1).all(|server| !server.leads));
 
     let mut without_store = driver("two");
-    without_store.on_event(DriverEvent::StoreUnreachable);
-    assert_eq!(*without_store.step(), DriverStep::End(Ending::StoreUnreachable));
+    without_store.on_event(FailoverEvent::StoreUnreachable);
+    assert_eq!(*without_store.step(), FailoverStep::Done(FailoverOutcome::StoreUnreachable));
 }
 
-/// What becomes of the first driver at a step.
+/// A fault of the first driver at a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum FaultAt {
-    /// It dies before the step takes effect.
-    DiesBefore,
-    /// It dies after the step took effect.
-    DiesAfter,
-    /// The step takes effect, and the driver does not learn of it.
+enum Fault {
+    /// The driver crashes before the step takes effect.
+    CrashBefore,
+    /// The driver crashes after the step took effect.
+    CrashAfter,
+    /// The step takes effect, but its answer is lost.
     AnswerLost,
 }
 
 #[test]
 fn a_fault_at_any_step_leaves_one_primary() {
     let steps = [
-        Stage::Reading,
-        Stage::Claiming,
-        Stage::Sealing,
-        Stage::Recording,
-        Stage::Promoting,
-        Stage::Following,
+        FailoverStage::Reading,
+        FailoverStage::Claiming,
+        FailoverStage::Sealing,
+        FailoverStage::Recording,
+        FailoverStage::Promoting,
+        FailoverStage::Following,
     ];
     for at in steps {
-        for fault in [FaultAt::DiesBefore, FaultAt::DiesAfter, FaultAt::AnswerLost] {
-            let mut world = World::new([9, 9, 8], [false, true, true]);
+        for fault in [Fault::CrashBefore, Fault::CrashAfter, Fault::AnswerLost] {
+            let mut cluster = SimulatedCluster::new([9, 9, 8], [false, true, true]);
             let mut first = driver("one");
-            let survived = run_until_fault(&mut world, &mut first, at, fault);
+            let survived = run_until_fault(&mut cluster, &mut first, at, fault);
             let mut second = driver("two");
-            let left = finish(&mut world, &mut second, false);
+            let outcome = finish(&mut cluster, &mut second, false);
             if survived {
-                finish(&mut world, &mut first, false);
-            } else if left == Ending::LeftToOther {
-                // Once the record has stood still for long, another daemon takes over.
+                finish(&mut cluster, &mut first, false);
+            } else if outcome == FailoverOutcome::DrivenElsewhere {
+                // Another daemon takes over after the record has not changed for the takeover time.
                 let mut third = driver("three");
-                let ending = finish(&mut world, &mut third, true);
-                assert!(matches!(ending, Ending::Opened { .. }), "{at:?} {fault:?}: {ending:?}");
+                let outcome = finish(&mut cluster, &mut third, true);
+                assert!(
+                    matches!(outcome, FailoverOutcome::Promoted { .. }),
+                    "{at:?} {fault:?}: {outcome:?}"
+                );
             }
-            let leaders = world.leaders();
+            let leaders = cluster.leaders();
             let newest = leaders.last_key_value();
-            let (term, index) = newest.unwrap_or_else(|| panic!("{at:?} {fault:?}: nobody leads"));
+            let (term, index) =
+                newest.unwrap_or_else(|| panic!("{at:?} {fault:?}: no server is primary"));
             assert!(*term > 1, "{at:?} {fault:?}");
-            assert_eq!(world.servers[*index].held, 9, "{at:?} {fault:?}: a shorter log leads");
-            let record = world.record.as_ref().expect("a record was written");
+            assert_eq!(
+                cluster.servers[*index].held, 9,
+                "{at:?} {fault:?}: the primary has a shorter log"
+            );
+            let record = cluster.record.as_ref().expect("a record was written");
             assert_eq!(record.term.0, *term, "{at:?} {fault:?}: the record names another term");
         }
     }
 }
 
-/// Returns whether the first driver is still there after the fault.
-fn run_until_fault(world: &mut World, driver: &mut Driver, at: Stage, fault: FaultAt) -> bool {
+/// Runs the driver until the fault; returns whether the driver is still running afterwards.
+fn run_until_fault(
+    cluster: &mut SimulatedCluster,
+    driver: &mut FailoverDriver,
+    at: FailoverStage,
+    fault: Fault,
+) -> bool {
     loop {
         let step = driver.step().clone();
-        if matches!(step, DriverStep::End(_)) {
+        if matches!(step, FailoverStep::Done(_)) {
             return true;
         }
         if driver.stage() != at {
-            let event = world.carry_out(&step, false);
+            let event = cluster.carry_out(&step, false);
             driver.on_event(event);
             continue;
         }
-        if fault == FaultAt::DiesBefore {
+        if fault == Fault::CrashBefore {
             return false;
         }
-        let event = world.carry_out(&step, false);
-        if fault == FaultAt::DiesAfter {
+        let event = cluster.carry_out(&step, false);
+        if fault == Fault::CrashAfter {
             return false;
         }
         let lost = match step {
-            DriverStep::WriteRecord { .. } => DriverEvent::WriteUnclear,
-            DriverStep::Promote { .. } => DriverEvent::PromotionFailed,
+            FailoverStep::WriteRecord { .. } => FailoverEvent::WriteUncertain,
+            FailoverStep::Promote { .. } => FailoverEvent::PromotionFailed,
             _ => event,
         };
         driver.on_event(lost);
-        return !matches!(driver.step(), DriverStep::End(Ending::PromotionFailed));
+        return !matches!(driver.step(), FailoverStep::Done(FailoverOutcome::PromotionFailed));
     }
 }
 
 #[test]
-fn racing_drivers_are_decided_by_the_record() {
-    let mut world = World::new([9, 9, 9], [false, true, true]);
+fn one_of_two_concurrent_drivers_wins_the_record() {
+    let mut cluster = SimulatedCluster::new([9, 9, 9], [false, true, true]);
     let (mut first, mut second) = (driver("one"), driver("two"));
-    // Both read the empty record before either claims.
+    // Both drivers read the empty record before either claims.
     for driver in [&mut first, &mut second] {
-        let event = world.carry_out(&driver.step().clone(), false);
+        let event = cluster.carry_out(&driver.step().clone(), false);
         driver.on_event(event);
     }
-    let won = finish(&mut world, &mut first, false);
-    assert!(matches!(won, Ending::Opened { .. }));
-    assert_eq!(finish(&mut world, &mut second, false), Ending::LeftToOther);
-    assert_eq!(world.leaders().len(), 1);
+    let outcome = finish(&mut cluster, &mut first, false);
+    assert!(matches!(outcome, FailoverOutcome::Promoted { .. }));
+    assert_eq!(finish(&mut cluster, &mut second, false), FailoverOutcome::DrivenElsewhere);
+    assert_eq!(cluster.leaders().len(), 1);
 }
 
 #[test]
-fn a_paused_driver_that_wakes_after_a_takeover_opens_nothing() {
-    for paused_at in [Stage::Sealing, Stage::Recording, Stage::Promoting] {
-        let mut world = World::new([9, 9, 9], [false, true, true]);
+fn a_driver_resumed_after_a_takeover_promotes_no_server() {
+    for paused_at in [FailoverStage::Sealing, FailoverStage::Recording, FailoverStage::Promoting] {
+        let mut cluster = SimulatedCluster::new([9, 9, 9], [false, true, true]);
         let mut paused = driver("one");
         while paused.stage() != paused_at {
-            let event = world.carry_out(&paused.step().clone(), false);
+            let event = cluster.carry_out(&paused.step().clone(), false);
             paused.on_event(event);
         }
         let mut other = driver("two");
-        let opened = finish(&mut world, &mut other, true);
-        assert!(matches!(opened, Ending::Opened { term: Term(3), .. }), "{paused_at:?}");
-        finish(&mut world, &mut paused, false);
-        let leaders = world.leaders();
+        let outcome = finish(&mut cluster, &mut other, true);
+        assert!(
+            matches!(outcome, FailoverOutcome::Promoted { term: Term(3), .. }),
+            "{paused_at:?}"
+        );
+        finish(&mut cluster, &mut paused, false);
+        let leaders = cluster.leaders();
         assert_eq!(leaders.keys().copied().collect::<Vec<_>>(), [3], "{paused_at:?}");
         assert!(matches!(
-            world.record.as_ref().map(|record| &record.stage),
+            cluster.record.as_ref().map(|record| &record.stage),
             Some(RecordStage::Chosen { .. })
         ));
     }
