--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use config::{Acknowledge, Configuration, Group, Service};
-use failover::{Evidence, SecondStatus, judge_evidence};
+use failover::{Evidence, OtherServerStatus, assess_evidence};
 use futures::{StreamExt, stream::FuturesUnordered};
 use model::{GroupId, LogPoint, Refusal, RefusalReason, ServerId, ServerStatus};
 use parking_lot::{Mutex, RwLock};
@@ -68,9 +68,9 @@
 
 impl EvidenceQuestion<'_> {
     fn judge(&self, answers: &[Arc<ServerStatus>], servers: usize) -> Evidence {
-        let others: Vec<SecondStatus<'_>> =
-            answers.iter().map(|status| SecondStatus { status }).collect();
-        judge_evidence(self.rule, self.point, self.primary_status, &others, servers)
+        let others: Vec<OtherServerStatus<'_>> =
+            answers.iter().map(|status| OtherServerStatus { status }).collect();
+        assess_evidence(self.rule, self.point, self.primary_status, &others, servers)
     }
 }
 
@@ -231,7 +231,9 @@
     pub(crate) async fn evidence(&self, question: EvidenceQuestion<'_>) -> Evidence {
         loop {
             match self.evidence_round(&question).await {
-                Evidence::Wait if self.links.len() > 1 && Instant::now() < question.deadline => {
+                Evidence::Insufficient
+                    if self.links.len() > 1 && Instant::now() < question.deadline =>
+                {
                     tokio::time::sleep(EVIDENCE_INTERVAL).await;
                 }
                 evidence => return evidence,
@@ -250,7 +252,7 @@
             .collect();
         let until = tokio::time::Instant::from_std(question.deadline);
         let mut evidence = question.judge(&answers, servers);
-        while evidence == Evidence::Wait {
+        while evidence == Evidence::Insufficient {
             match tokio::time::timeout_at(until, asking.next()).await {
                 Ok(Some(Ok(answer))) => answers.push(answer.status),
                 Ok(Some(Err(_))) => continue,
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -74,7 +74,7 @@
         deadline: Instant::now() + ROUND_TIMEOUT,
     };
     let evidence = group.evidence(question).await;
-    if evidence != Evidence::Enough {
+    if evidence != Evidence::Sufficient {
         return Err(NoIndex::NotConfirmed);
     }
     group.board.write().samples.add(answer.asked_at, point);
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -211,7 +211,7 @@
                 primary_status: status,
                 deadline: self.deadline,
             };
-            if self.group.evidence(question).await != Evidence::Enough {
+            if self.group.evidence(question).await != Evidence::Sufficient {
                 let refusal = Refusal::not_run(
                     RefusalReason::NoFreshServer,
                     "no second server confirms that the primary still leads",
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -213,8 +213,8 @@
         let seconds = started.elapsed().as_secs_f64();
         self.context.metrics.evidence_seconds.with_label_values(&[service]).observe(seconds);
         match evidence {
-            Evidence::Enough => Ok(self.end(server, false, Some(write), &answer)),
-            Evidence::Wait => Err(Refusal::may_have_run(
+            Evidence::Sufficient => Ok(self.end(server, false, Some(write), &answer)),
+            Evidence::Insufficient => Err(Refusal::may_have_run(
                 RefusalReason::NoEvidence,
                 "the primary ran the request, but too few servers confirmed it in time",
             )),
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -11,6 +11,6 @@
 pub use driver::{
     FailoverDriver, FailoverEvent, FailoverGroup, FailoverOutcome, FailoverStage, FailoverStep,
 };
-pub use evidence::{Evidence, SecondStatus, judge_evidence};
+pub use evidence::{Evidence, OtherServerStatus, assess_evidence};
 pub use record::{LeadershipRecord, RecordStage};
 pub use suspicion::{Health, OtherView, PrimaryHealth, SuspicionRules, judge_health};
--- a/crates/failover/tests/evidence.rs
+++ b/crates/failover/tests/evidence.rs
@@ -1,7 +1,7 @@
-//! When a write may be acknowledged, row by row, and what that guarantees.
+//! When a write may be acknowledged, and that an acknowledged write is not lost.
 
 use config::Acknowledge;
-use failover::{Evidence, SecondStatus, judge_evidence};
+use failover::{Evidence, OtherServerStatus, assess_evidence};
 use model::{LogPoint, Position, ServerRole, ServerStatus, Term};
 use proptest::prelude::*;
 
@@ -17,106 +17,125 @@
     }
 }
 
-fn judge(rule: Acknowledge, primary: (u64, u64), others: &[(u64, u64, u64)]) -> Evidence {
+fn assess(rule: Acknowledge, primary: (u64, u64), others: &[(u64, u64, u64)]) -> Evidence {
     let write = LogPoint::new(3, 10);
     let primary = status(ServerRole::Primary, primary.0, 3, primary.1);
     let others: Vec<ServerStatus> = others
         .iter()
         .map(|(promised, log_term, held)| status(ServerRole::Replica, *promised, *log_term, *held))
         .collect();
-    let seconds: Vec<SecondStatus<'_>> =
-        others.iter().map(|status| SecondStatus { status }).collect();
-    judge_evidence(rule, write, &primary, &seconds, 3)
+    let statuses: Vec<OtherServerStatus<'_>> =
+        others.iter().map(|status| OtherServerStatus { status }).collect();
+    assess_evidence(rule, write, &primary, &statuses, 3)
 }
 
 #[test]
-fn each_rule_in_each_state_of_the_group() {
+fn evidence_follows_the_rule_and_the_statuses() {
     use Acknowledge::{Majority, Term};
-    use Evidence::{Deposed, Enough, Wait};
+    use Evidence::{Deposed, Insufficient, Sufficient};
     let rows = [
-        ("nobody has answered", Majority, (3, 10), vec![], Wait),
-        ("a replica holds it", Majority, (3, 10), vec![(3, 3, 10)], Enough),
-        ("a replica is one behind", Majority, (3, 10), vec![(3, 3, 9)], Wait),
-        ("a replica is one behind", Term, (3, 10), vec![(3, 3, 9)], Enough),
-        ("a replica has an old term's log", Majority, (3, 10), vec![(3, 2, 12)], Wait),
+        ("no server has answered", Majority, (3, 10), vec![], Insufficient),
+        ("a replica holds the write", Majority, (3, 10), vec![(3, 3, 10)], Sufficient),
+        ("a replica is one position behind", Majority, (3, 10), vec![(3, 3, 9)], Insufficient),
+        ("a replica is one position behind", Term, (3, 10), vec![(3, 3, 9)], Sufficient),
         (
-            "one is sealed, the other holds it",
+            "a replica has the log of an older term",
+            Majority,
+            (3, 10),
+            vec![(3, 2, 12)],
+            Insufficient,
+        ),
+        (
+            "one replica is sealed, the other holds the write",
             Majority,
             (3, 10),
             vec![(4, 3, 10), (3, 3, 10)],
-            Enough,
+            Sufficient,
+        ),
+        ("one replica is sealed", Term, (3, 10), vec![(4, 3, 10)], Insufficient),
+        ("both replicas are sealed", Majority, (3, 10), vec![(4, 3, 10), (4, 3, 10)], Deposed),
+        ("both replicas are sealed", Term, (3, 10), vec![(4, 3, 10), (4, 3, 10)], Deposed),
+        ("the primary and one replica are sealed", Term, (4, 10), vec![(4, 3, 10)], Deposed),
+        (
+            "the primary is sealed, one replica holds the write",
+            Majority,
+            (4, 10),
+            vec![(3, 3, 10)],
+            Insufficient,
         ),
-        ("one is sealed", Term, (3, 10), vec![(4, 3, 10)], Wait),
-        ("both are sealed", Majority, (3, 10), vec![(4, 3, 10), (4, 3, 10)], Deposed),
-        ("both are sealed", Term, (3, 10), vec![(4, 3, 10), (4, 3, 10)], Deposed),
-        ("the primary and one are sealed", Term, (4, 10), vec![(4, 3, 10)], Deposed),
-        ("the primary is sealed, one holds it", Majority, (4, 10), vec![(3, 3, 10)], Wait),
         (
-            "the primary is sealed, both hold it",
+            "the primary is sealed, both replicas hold the write",
             Majority,
             (4, 10),
             vec![(3, 3, 10), (3, 3, 10)],
-            Enough,
+            Sufficient,
         ),
     ];
     for (name, rule, primary, others, expected) in rows {
-        assert_eq!(judge(rule, primary, &others), expected, "{name} under {rule:?}");
+        assert_eq!(assess(rule, primary, &others), expected, "{name} under {rule:?}");
     }
 }
 
-/// A primary that was paused between the write and its status may wake as a follower of a newer term:
-/// its status then tells of another history, which the others rightly confirm, and not of the write.
+/// Guards against acknowledging a lost write: a primary that is paused after the write can resume in a
+/// newer term, whose history the other servers confirm although it may not contain the write.
 #[test]
-fn a_former_primary_can_not_vouch_for_its_write() {
+fn a_former_primary_does_not_confirm_its_write() {
     let other = status(ServerRole::Replica, 4, 4, 10);
-    let others = [SecondStatus { status: &other }, SecondStatus { status: &other }];
+    let others = [OtherServerStatus { status: &other }, OtherServerStatus { status: &other }];
     let rows = [
-        ("it follows the newer term", status(ServerRole::Replica, 4, 4, 10), 4),
-        ("the same, judged in the write's term", status(ServerRole::Replica, 4, 4, 10), 3),
-        ("it leads again, in a later term", status(ServerRole::Primary, 4, 4, 10), 3),
+        ("it is a replica in the newer term", status(ServerRole::Replica, 4, 4, 10), 4),
+        (
+            "it is a replica in the newer term, the write is of the older one",
+            status(ServerRole::Replica, 4, 4, 10),
+            3,
+        ),
+        ("it is primary again in the newer term", status(ServerRole::Primary, 4, 4, 10), 3),
     ];
     for (name, primary, term) in rows {
         for rule in [Acknowledge::Majority, Acknowledge::Term] {
             let write = LogPoint::new(term, 10);
-            let judged = judge_evidence(rule, write, &primary, &others, 3);
-            assert_eq!(judged, Evidence::Deposed, "{name} under {rule:?}");
+            let assessed = assess_evidence(rule, write, &primary, &others, 3);
+            assert_eq!(assessed, Evidence::Deposed, "{name} under {rule:?}");
         }
     }
 }
 
 #[test]
-fn a_group_of_one_needs_nobody_else() {
+fn a_group_of_one_needs_no_other_server() {
     let write = LogPoint::new(1, 5);
     let primary = status(ServerRole::Primary, 1, 1, 5);
-    assert_eq!(judge_evidence(Acknowledge::Majority, write, &primary, &[], 1), Evidence::Enough);
+    assert_eq!(
+        assess_evidence(Acknowledge::Majority, write, &primary, &[], 1),
+        Evidence::Sufficient
+    );
 }
 
 proptest! {
-    /// Whatever majority is sealed after an acknowledgement, the longest log in it has the write.
+    /// The longest log of any majority that is sealed after an acknowledgement contains the write.
     #[test]
     fn an_acknowledged_write_survives_any_later_promotion(
         held in prop::collection::vec(0_u64..12, 3),
-        left_out in 0_usize..3,
+        excluded in 0_usize..3,
     ) {
         let position = 10;
         let held = [position, held[1], held[2]];
         let others = [(3, 3, held[1]), (3, 3, held[2])];
-        if judge(Acknowledge::Majority, (3, position), &others) == Evidence::Enough {
-            let longest = (0..3).filter(|server| *server != left_out).map(|server| held[server]);
+        if assess(Acknowledge::Majority, (3, position), &others) == Evidence::Sufficient {
+            let longest = (0..3).filter(|server| *server != excluded).map(|server| held[server]);
             prop_assert!(longest.max() >= Some(position));
         }
     }
 
-    /// Once a majority is sealed above the write's term, no rule acknowledges it any more.
+    /// No rule acknowledges a write after a majority was sealed above its term.
     #[test]
     fn nothing_is_acknowledged_after_a_majority_is_sealed(
         held in prop::collection::vec(0_u64..12, 2),
-        spared in 0_usize..3,
+        unsealed in 0_usize..3,
         term_rule in any::<bool>(),
     ) {
         let rule = if term_rule { Acknowledge::Term } else { Acknowledge::Majority };
-        let promised = |server: usize| if server == spared { 3 } else { 4 };
+        let promised = |server: usize| if server == unsealed { 3 } else { 4 };
         let others = [(promised(1), 3, held[0]), (promised(2), 3, held[1])];
-        prop_assert_ne!(judge(rule, (promised(0), 10), &others), Evidence::Enough);
+        prop_assert_ne!(assess(rule, (promised(0), 10), &others), Evidence::Sufficient);
     }
 }
