--- a/crates/daemon/src/watch_duty.rs
+++ b/crates/daemon/src/watch_duty.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use failover::{Health, OtherView, PrimaryHealth, SuspicionRules, judge_health};
+use failover::{OwnerView, PrimaryAssessment, PrimaryObservation, SuspicionRules, assess_primary};
 use model::{GroupId, ServerId, ServerRole, ServerStatus};
 use peer::{Body, ViewRequest};
 use store::KeyValueStore;
@@ -161,13 +161,13 @@
     rules: SuspicionRules,
 ) {
     let health = primary_health(group, rules);
-    let mut judged = judge_health(rules, &health, None);
-    if judged == Health::AskOthers {
+    let mut judged = assess_primary(rules, &health, None);
+    if judged == PrimaryAssessment::AskOwners {
         let others = other_views(context, peers, group).await;
-        judged = judge_health(rules, &health, Some(&others));
+        judged = assess_primary(rules, &health, Some(&others));
     }
     match judged {
-        Health::Failed => {
+        PrimaryAssessment::Failed => {
             let silent_ms = health.silent_for.map_or(0, |silent| silent.as_millis() as u64);
             log::warn!(
                 group = group.id.to_string().as_str(), silent_ms,
@@ -176,8 +176,8 @@
             );
             duty.drive(DriveReason::Failure).await;
         }
-        Health::NoMajority => duty.note_no_majority(),
-        Health::Fine | Health::AskOthers => {
+        PrimaryAssessment::NoMajority => duty.note_no_majority(),
+        PrimaryAssessment::Healthy | PrimaryAssessment::AskOwners => {
             restore_followers(group, rules).await;
             if primary_is_leaving(context, group) {
                 switch_primary(context, peers, group, duty).await;
@@ -186,7 +186,7 @@
     }
 }
 
-fn primary_health(group: &GroupState, rules: SuspicionRules) -> PrimaryHealth {
+fn primary_health(group: &GroupState, rules: SuspicionRules) -> PrimaryObservation {
     let board = group.board.read();
     let now = Instant::now();
     let primary = board.primary;
@@ -200,7 +200,7 @@
                 .is_some_and(|silence| Duration::from_millis(silence) >= rules.suspect_after)
     };
     let silent_for = primary.map(|primary| board.silent_for(primary, now).unwrap_or_default());
-    PrimaryHealth {
+    PrimaryObservation {
         silent_for,
         watched_for: now.saturating_duration_since(board.watched_since),
         replicas_answering: others().count().min(group.links.len() - 1),
@@ -214,7 +214,7 @@
     context: &Arc<Context>,
     peers: &Arc<Peers>,
     group: &GroupState,
-) -> Vec<OtherView> {
+) -> Vec<OwnerView> {
     let owners = context.owners_of(&group.in_force.load().group);
     let request =
         ViewRequest { service: group.id.service.to_string(), group: group.id.group.to_string() };
@@ -222,9 +222,9 @@
         let request = request.clone();
         async move {
             match ask(context, peers, owner.peer_address, Body::ViewRequest(request)).await {
-                Some(Body::ViewAnswer(view)) if view.reachable => OtherView::Reachable,
-                Some(Body::ViewAnswer(_)) => OtherView::Unreachable,
-                _ => OtherView::Silent,
+                Some(Body::ViewAnswer(view)) if view.reachable => OwnerView::Reachable,
+                Some(Body::ViewAnswer(_)) => OwnerView::Unreachable,
+                _ => OwnerView::NoAnswer,
             }
         }
     });
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -13,4 +13,6 @@
 };
 pub use evidence::{Evidence, OtherServerStatus, assess_evidence};
 pub use record::{LeadershipRecord, RecordStage};
-pub use suspicion::{Health, OtherView, PrimaryHealth, SuspicionRules, judge_health};
+pub use suspicion::{
+    OwnerView, PrimaryAssessment, PrimaryObservation, SuspicionRules, assess_primary,
+};
--- a/crates/failover/src/suspicion.rs
+++ b/crates/failover/src/suspicion.rs
@@ -1,85 +1,89 @@
-//! When a primary is taken to have failed.
+//! Decides when a primary is considered failed.
 
 use std::time::Duration;
 
-/// The times that decide.
+/// The thresholds for suspecting a primary.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspicionRules {
-    /// How long the primary must be out of reach.
+    /// How long the primary must be unreachable before it is suspected.
     pub suspect_after: Duration,
 }
 
-/// What this daemon sees of the primary.
+/// What this daemon observes of the primary and its group.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PrimaryHealth {
-    /// How long ago it last answered; `None` when it never has.
+pub struct PrimaryObservation {
+    /// How long ago the primary last answered; `None` when it never has.
     pub silent_for: Option<Duration>,
-    /// How long this daemon has been watching, which bounds what a silence can mean.
+    /// How long this daemon has been watching the group; a shorter silence proves nothing.
     pub watched_for: Duration,
-    /// Servers of the group that answer this daemon, the primary not counted.
+    /// Servers of the group that answer this daemon, without the primary.
     pub replicas_answering: usize,
-    /// Those of them that have not heard from the primary for the suspicion time.
+    /// Those of the answering servers that have not heard from the primary for `suspect_after`.
     pub replicas_without_leader: usize,
-    /// Replicas in the group.
+    /// The number of replicas in the group.
     pub replicas: usize,
-    /// Whether some server of the group says that it leads in the newest term.
+    /// Whether a server of the group reports that it is primary in the newest term.
     pub has_leader: bool,
 }
 
-/// What another owner of the group answered when asked.
+/// What another owner of the group reports about the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OtherView {
-    /// The primary answers it.
+pub enum OwnerView {
+    /// The primary answers the other owner.
     Reachable,
-    /// The primary does not answer it either.
+    /// The primary does not answer the other owner either.
     Unreachable,
-    /// The other owner did not answer, so it has no say.
-    Silent,
+    /// The other owner did not answer, so it is not counted.
+    NoAnswer,
 }
 
-/// The judgement.
+/// The assessment of a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum PrimaryAssessment {
     /// The primary answers, or has not been silent for long.
-    Fine,
-    /// This daemon suspects the primary; the other owners are to be asked.
-    AskOthers,
-    /// The primary is to be replaced.
+    Healthy,
+    /// This daemon suspects the primary; the other owners must be asked.
+    AskOwners,
+    /// The primary has failed and must be replaced.
     Failed,
-    /// The primary looks failed, but too few servers answer to promote one.
+    /// The primary seems to have failed, but too few servers answer to promote another one.
     NoMajority,
 }
 
-/// Judges the primary's health; `others` is `None` until the other owners were asked.
+/// Assesses the primary; `others` is `None` until the other owners were asked.
 ///
-/// A suspicion that is wrong costs a needless promotion and never safety, which rests on the seal.
-/// So the judgement only has to be quick and rarely wrong: a majority of the owners that answer must
-/// share it, this daemon included. Two signs count: silence towards the daemon, and a majority of
-/// the group's servers cut off from a primary that can then acknowledge nothing.
-pub fn judge_health(
+/// A false suspicion causes an unnecessary promotion but no loss of safety, which the seal provides.
+/// A primary that is silent towards this daemon has failed if most of the owners that answer, this
+/// daemon included, can't reach it. A primary has also failed if a majority of the group's servers
+/// has lost contact with it, since it can't acknowledge writes, or if no server is primary.
+pub fn assess_primary(
     rules: SuspicionRules,
-    health: &PrimaryHealth,
-    others: Option<&[OtherView]>,
-) -> Health {
-    let servers = health.replicas + 1;
+    observation: &PrimaryObservation,
+    others: Option<&[OwnerView]>,
+) -> PrimaryAssessment {
+    let servers = observation.replicas + 1;
     let majority = servers / 2 + 1;
-    let silent = health.silent_for.unwrap_or(health.watched_for) >= rules.suspect_after;
-    let long_watched = health.watched_for >= rules.suspect_after;
-    let isolated = health.replicas > 0
-        && health.replicas_without_leader >= majority.min(health.replicas)
+    let silent = observation.silent_for.unwrap_or(observation.watched_for) >= rules.suspect_after;
+    let long_watched = observation.watched_for >= rules.suspect_after;
+    let isolated = observation.replicas > 0
+        && observation.replicas_without_leader >= majority.min(observation.replicas)
         && long_watched;
-    let leaderless = !health.has_leader && long_watched;
+    let leaderless = !observation.has_leader && long_watched;
     if !silent && !isolated && !leaderless {
-        return Health::Fine;
+        return PrimaryAssessment::Healthy;
     }
-    if health.replicas_answering + usize::from(!silent) < majority {
-        return Health::NoMajority;
+    if observation.replicas_answering + usize::from(!silent) < majority {
+        return PrimaryAssessment::NoMajority;
     }
     if isolated || leaderless {
-        return Health::Failed;
+        return PrimaryAssessment::Failed;
     }
-    let Some(others) = others else { return Health::AskOthers };
+    let Some(others) = others else { return PrimaryAssessment::AskOwners };
     let count = |view| others.iter().filter(|other| **other == view).count();
-    let sharing = 1 + count(OtherView::Unreachable);
-    if sharing > count(OtherView::Reachable) { Health::Failed } else { Health::Fine }
+    let sharing = 1 + count(OwnerView::Unreachable);
+    if sharing > count(OwnerView::Reachable) {
+        PrimaryAssessment::Failed
+    } else {
+        PrimaryAssessment::Healthy
+    }
 }
