--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,7 +1,7 @@
-//! Who leads a group, and how that changes when nobody orders it.
+//! Failure detection and change of primary for a replicated group.
 //!
-//! Everything here is a decision without input, output or clock. The daemon's failover duty carries
-//! it out. `docs/FAILOVER.md` explains the design and what was weighed.
+//! Everything here is pure decision logic without I/O or a clock; the daemon carries out the decisions.
+//! `docs/FAILOVER.md` explains the design.
 
 mod driver;
 mod evidence;
