--- a/crates/failover/src/record.rs
+++ b/crates/failover/src/record.rs
@@ -1,33 +1,34 @@
-//! What the platform's store remembers of a group's leadership.
+//! The record of a group's leadership in the platform's store.
 
 use model::{Position, Term};
 use serde::{Deserialize, Serialize};
 
-/// How far the change of primary that a record describes has come.
+/// The progress of the change of primary that a record describes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "stage", rename_all = "snake_case")]
 pub enum RecordStage {
     /// A driver has claimed the term and is sealing servers.
     Claimed,
-    /// The new primary is chosen. From here on any daemon may open it, as often as it likes.
+    /// The new primary is chosen. Any daemon may promote it, any number of times.
     Chosen {
-        /// The name of the server.
+        /// The name of the chosen server.
         server: String,
-        /// The last position of the history that the new term keeps.
+        /// The last position of the earlier history that the new term keeps.
         start: Position,
     },
 }
 
-/// The value stored for a group; moved by compare-and-swap only.
+/// The value stored for a group; it is changed by compare-and-swap only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipRecord {
-    /// The term that is being opened, or was opened last.
+    /// The term that is being started, or was started last.
     pub term: Term,
-    /// Made up by the driver, so that a lost answer can be resolved by reading the record back.
+    /// A unique identifier chosen by the driver. After a lost answer, the driver reads the record back
+    /// and compares it to find out whether its write took effect.
     pub claim_id: String,
-    /// The host whose daemon drives.
+    /// The host whose daemon drives the change.
     pub driver: String,
-    /// How far it has come.
+    /// The progress of the change.
     #[serde(flatten)]
     pub stage: RecordStage,
 }
