--- a/crates/failover/src/driver.rs
+++ b/crates/failover/src/driver.rs
@@ -23,7 +23,7 @@
     },
     /// Seal every reachable server at this term, and report each answer.
     Seal {
-        /// The servers refuse writes and changes of lower terms.
+        /// The term of the seal; a sealed server refuses writes and changes of lower terms.
         term: Term,
     },
     /// Promote the chosen server to primary.
