--- a/crates/membership/src/watchers.rs
+++ b/crates/membership/src/watchers.rs
@@ -1,14 +1,14 @@
-//! The daemons that watch the store for all others.
+//! Selection of the daemons that watch the store on behalf of the others.
 
 use crate::Member;
 
-/// Whether a daemon watches the store: it is among the first `count` of its availability zone.
+/// Returns whether a daemon watches the store: it is among the first `count` of its availability zone.
 ///
-/// Each waiting watch counts against the store's rate, so their number follows the zones and not
-/// the fleet. The order is that of the members' keys, which no restart changes.
+/// Open watches count against the store's request rate, so their number depends on the number of zones
+/// and not of daemons. Members are ordered by their keys, which don't change with a restart.
 pub fn is_watcher(own_key: u64, members: &[Member], count: usize) -> bool {
     let Some(own) = members.iter().find(|member| member.key == own_key) else {
-        // A daemon that the list does not name yet has nobody to hear from.
+        // A daemon that is not listed yet gets no updates from the watchers.
         return true;
     };
     let before = members
