--- a/crates/daemon/src/configuration_duty.rs
+++ b/crates/daemon/src/configuration_duty.rs
@@ -348,7 +348,7 @@
         configured.chain(context.listed_leaving.read().iter().copied()).collect();
     let mut leaving = context.leaving.write();
     for address in &all {
-        leaving.note(*address, now);
+        leaving.mark_leaving(*address, now);
     }
     leaving.retain(|address| all.contains(address));
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -12,7 +12,7 @@
 
 use arc_swap::ArcSwap;
 use config::{Configuration, Group, HostSettings};
-use membership::{LeavingEndpoints, Member, MemberList, WorkAllowed, owner_count, owners};
+use membership::{LeavingEndpoints, Member, MemberList, WorkAllowed, owner_count, select_owners};
 use model::{GroupId, Name};
 use parking_lot::{Mutex, RwLock};
 use telemetry::{Metrics, Tracer};
@@ -188,7 +188,8 @@
         }
         let members = self.members_for(group, &cache.members);
         let count = owner_count(group.options.owners, group.options.connections, members.len());
-        let set: Vec<Member> = owners(&group.id, &members, count).into_iter().cloned().collect();
+        let set: Vec<Member> =
+            select_owners(&group.id, &members, count).into_iter().cloned().collect();
         let set = Arc::new(set);
         cache.sets.insert(group.id.clone(), set.clone());
         set
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -51,13 +51,13 @@
         members.all().iter().find(|member| *member.host == *note.host).cloned()
     };
     let Some(sender) = sender else { return };
-    if context.members.load().is_news(sender.key, note.stopping) {
+    if context.members.load().would_change(sender.key, note.stopping) {
         context.change_members(|members| {
-            members.clear(sender.key);
+            members.clear_suspicion(sender.key);
             if note.stopping {
-                members.note_stopping(sender.key, Instant::now());
+                members.mark_stopping(sender.key, Instant::now());
             } else {
-                members.note_running(sender.key);
+                members.mark_running(sender.key);
             }
         });
     }
--- a/crates/daemon/src/watch_duty.rs
+++ b/crates/daemon/src/watch_duty.rs
@@ -146,7 +146,7 @@
         if due && group.ask(server).await.is_err_and(|error| error.is_shutting_down()) {
             // A server that shuts down says so before the platform's list does.
             let address = group.in_force.load().group.servers[server.index()].address;
-            context.leaving.write().note(address, Instant::now());
+            context.leaving.write().mark_leaving(address, Instant::now());
         }
         tokio::time::sleep(heartbeat).await;
     }
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are leaving.
+//! Endpoints that are being taken out of service.
 
 use std::{
     collections::HashMap,
@@ -9,40 +9,43 @@
 /// What a leaving endpoint may still be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkAllowed {
-    /// Anything.
+    /// Any work.
     All,
-    /// Only what runs on it already.
+    /// Only work that is already running on it.
     Running,
-    /// Nothing; what still runs is cut.
+    /// No work; what is still running is aborted.
     Nothing,
 }
 
-/// When each leaving endpoint was first seen to leave, by whichever sign came first.
+/// The endpoints that are leaving, each with the time of the first signal.
 ///
-/// Three signs count: the platform's host list, the operators' configuration, and the endpoint's own
-/// refusal of new connections while it shuts down. The bound on new work runs from the first.
+/// There are three signals: the platform's host list, the operators' configuration, and an endpoint
+/// that refuses new connections because it shuts down. The time limits start with the first signal.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingEndpoints {
     since: HashMap<SocketAddr, Instant>,
 }
 
 impl LeavingEndpoints {
-    /// Notes a sign that an endpoint is leaving; only the first one counts.
-    pub fn note(&mut self, address: SocketAddr, now: Instant) {
+    /// Records a signal that an endpoint is leaving; later signals don't change the time.
+    pub fn mark_leaving(&mut self, address: SocketAddr, now: Instant) {
         self.since.entry(address).or_insert(now);
     }
 
-    /// Forgets endpoints for which no sign holds any more, as when one was put back.
+    /// Keeps only the endpoints that are still leaving, for example after one was returned to service.
     pub fn retain(&mut self, mut still_leaving: impl FnMut(&SocketAddr) -> bool) {
         self.since.retain(|address, _| still_leaving(address));
     }
 
-    /// Whether the endpoint is leaving.
+    /// Returns whether the endpoint is leaving.
     pub fn is_leaving(&self, address: &SocketAddr) -> bool {
         self.since.contains_key(address)
     }
 
-    /// Says what an endpoint may be used for. `finish` of zero lets running work take any time.
+    /// Returns what an endpoint may be used for.
+    ///
+    /// It accepts new work for `new_work` after the first signal, and running work may then take
+    /// `finish` to end. A `finish` of zero sets no limit.
     pub fn work_allowed(
         &self,
         address: &SocketAddr,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,7 @@
-//! Which daemons hold which group's connections, which watch the store, and who is leaving.
+//! Which daemons own a group's connections, which ones watch the store, and which endpoints are leaving.
 //!
-//! All of it is worked out by each daemon from its own copy of the host list, without agreement.
-//! Copies that differ cost efficiency, a hop or a connection, and never safety; `docs/MEMBERSHIP.md`
-//! measures how much.
+//! Each daemon decides this from its own copy of the host list, without consensus. Copies that differ
+//! cost an extra hop or connection but don't affect safety; see `docs/MEMBERSHIP.md`.
 
 mod endpoints;
 mod members;
@@ -11,5 +10,5 @@
 
 pub use endpoints::{LeavingEndpoints, WorkAllowed};
 pub use members::{Member, MemberList, MemberState};
-pub use owners::{owner_count, owners};
+pub use owners::{owner_count, select_owners};
 pub use watchers::is_watcher;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The daemons as one daemon sees them.
+//! The list of daemons with the state that this daemon observes.
 
 use std::{
     collections::BTreeMap,
@@ -10,25 +10,25 @@
 use model::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A daemon as the platform's host list names it.
+/// A daemon in the platform's host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The host's name.
     pub host: Name,
-    /// A hash of the name, made once, for rendezvous hashing and for ordering.
+    /// A hash of the name, for rendezvous hashing and ordering.
     pub key: u64,
     /// The region; empty where the host list names none.
     pub region: Name,
     /// The availability zone.
     pub availability_zone: Name,
-    /// Where other daemons connect.
+    /// The address for connections of other daemons.
     pub peer_address: SocketAddr,
-    /// What the list says of it.
+    /// The state in the host list.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Makes a member, deriving its key from the host's name.
+    /// Creates a member without a region; its key is derived from the host's name.
     pub fn new(
         host: Name,
         availability_zone: Name,
@@ -40,38 +40,39 @@
         Member { host, key, region, availability_zone, peer_address, state }
     }
 
-    /// Sets the region.
+    /// Returns the member with its region set.
     pub fn in_region(mut self, region: Name) -> Member {
         self.region = region;
         self
     }
 }
 
-/// What is known of a daemon's standing.
+/// The state of a daemon in the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is being taken out, or has said itself that it stops; it gets no new work.
+    /// It is being taken out of service or is stopping; it gets no new work.
     Leaving,
 }
 
-/// A suspicion that nothing renews is forgotten after this long, so that the daemon is tried again.
-const SUSPICION_LASTS: Duration = Duration::from_secs(5);
+/// A suspicion expires after this time without another failure, so that the daemon is tried again.
+const SUSPICION_TTL: Duration = Duration::from_secs(5);
 
-/// The host list joined with what this daemon has seen itself, since the list lags.
+/// The host list combined with what this daemon observes itself, since the list is updated late.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList {
     members: Arc<Vec<Member>>,
-    /// Daemons that did not answer, by key, with the time of the last failure.
+    /// Daemons that did not answer: the time of the last failure by key.
     suspected: BTreeMap<u64, Instant>,
-    /// Daemons that said themselves that they stop, by key.
+    /// Daemons that reported that they are stopping: the time of the report by key.
     stopping: BTreeMap<u64, Instant>,
     version: u64,
 }
 
 impl MemberList {
-    /// Takes over a newer host list; an older or equal one changes nothing.
+    /// Replaces the host list with a newer version and returns whether it did; an older or equal
+    /// version is ignored.
     pub fn replace(&mut self, version: u64, mut members: Vec<Member>) -> bool {
         if version <= self.version && !self.members.is_empty() {
             return false;
@@ -87,32 +88,32 @@
         self.version
     }
 
-    /// Notes that a daemon did not answer.
+    /// Records that a daemon did not answer.
     pub fn suspect(&mut self, key: u64, now: Instant) {
         self.suspected.insert(key, now);
     }
 
-    /// Whether a daemon's own word would change anything that is noted of it.
-    pub fn is_news(&self, key: u64, stopping: bool) -> bool {
+    /// Returns whether a daemon's report about itself would change its recorded state.
+    pub fn would_change(&self, key: u64, stopping: bool) -> bool {
         self.suspected.contains_key(&key) || self.stopping.contains_key(&key) != stopping
     }
 
-    /// Notes that a daemon answered.
-    pub fn clear(&mut self, key: u64) {
+    /// Records that a daemon answered.
+    pub fn clear_suspicion(&mut self, key: u64) {
         self.suspected.remove(&key);
     }
 
-    /// Notes that a daemon said that it stops.
-    pub fn note_stopping(&mut self, key: u64, now: Instant) {
+    /// Records a daemon's report that it is stopping.
+    pub fn mark_stopping(&mut self, key: u64, now: Instant) {
         self.stopping.insert(key, now);
     }
 
-    /// Notes that a daemon said that it takes work, as after a restart under the same name.
-    pub fn note_running(&mut self, key: u64) {
+    /// Records a daemon's report that it accepts work, for example after a restart under the same name.
+    pub fn mark_running(&mut self, key: u64) {
         self.stopping.remove(&key);
     }
 
-    /// Returns every daemon of the list.
+    /// Returns all daemons of the host list.
     pub fn all(&self) -> &[Member] {
         &self.members
     }
@@ -126,7 +127,7 @@
         let suspected = self
             .suspected
             .get(&member.key)
-            .is_some_and(|since| now.saturating_duration_since(*since) < SUSPICION_LASTS);
+            .is_some_and(|since| now.saturating_duration_since(*since) < SUSPICION_TTL);
         member.state == MemberState::Live && !suspected && !self.stopping.contains_key(&member.key)
     }
 }
--- a/crates/membership/src/owners.rs
+++ b/crates/membership/src/owners.rs
@@ -1,4 +1,4 @@
-//! The daemons that hold a group's connections.
+//! Selection of the daemons that own a group's connections.
 
 use config::OwnerCount;
 use model::GroupId;
@@ -6,33 +6,33 @@
 
 use crate::Member;
 
-/// Fewer owners than this would leave a group without any while one is being replaced.
-const FEWEST_OWNERS: usize = 2;
+/// The minimum number of owners, so that a group keeps one while another is replaced.
+const MIN_OWNERS: usize = 2;
 
-/// An owner needs one connection for control and this many for work on each server.
-const WORK_CONNECTIONS: u32 = 2;
+/// Connections to each server that an owner needs for work, in addition to one for control.
+const WORK_CONNECTIONS_PER_OWNER: u32 = 2;
 
-/// Returns how many owners a group has.
+/// Returns the number of owners of a group with `connections` to each server.
 ///
-/// A server's connections are divided among the owners, and an owner with a single one would let a
-/// single transaction block its reads; so their number follows from the connections.
+/// The owners divide a server's connections. Each owner needs more than one, so that an open
+/// transaction doesn't block its reads; this limits the number of owners.
 pub fn owner_count(setting: OwnerCount, connections: u32, members: usize) -> usize {
     let wanted = match setting {
         OwnerCount::Fixed(count) => usize::from(count),
         OwnerCount::Auto => {
-            let most = (connections / (1 + WORK_CONNECTIONS)) as usize;
-            most.max(FEWEST_OWNERS)
+            let supported = (connections / (1 + WORK_CONNECTIONS_PER_OWNER)) as usize;
+            supported.max(MIN_OWNERS)
         }
     };
     wanted.min(members)
 }
 
-/// Chooses `count` owners of a group by rendezvous hashing, spread over availability zones.
+/// Selects `count` owners of a group by rendezvous hashing, spread over availability zones.
 ///
-/// Each daemon scores each group by a hash of both; the highest scores own. A daemon that comes or
-/// goes then moves only the groups that it scores highest in. Owners are taken from as many zones as
-/// there are before a zone gives a second one, so that a lost zone leaves owners elsewhere.
-pub fn owners<'a>(group: &GroupId, members: &'a [Member], count: usize) -> Vec<&'a Member> {
+/// The daemons with the highest scores for the group own it. A daemon that joins or leaves therefore
+/// moves only groups that it owns. Each zone provides one owner before any zone provides a second
+/// one, so that the loss of a zone leaves owners in the others.
+pub fn select_owners<'a>(group: &GroupId, members: &'a [Member], count: usize) -> Vec<&'a Member> {
     let seed = group_seed(group);
     let mut scored: Vec<(u64, &Member)> =
         members.iter().map(|member| (score(seed, member), member)).collect();
@@ -40,14 +40,14 @@
     let mut chosen: Vec<&Member> = Vec::with_capacity(count);
     let mut round = 0;
     while chosen.len() < count.min(members.len()) {
-        take_round(&scored, round, count, &mut chosen);
+        select_round(&scored, round, count, &mut chosen);
         round += 1;
     }
     chosen
 }
 
-/// Takes from each zone its next best member, in the order of their scores.
-fn take_round<'a>(
+/// Selects the member with the next highest score from each zone, in the order of the scores.
+fn select_round<'a>(
     scored: &[(u64, &'a Member)],
     round: usize,
     count: usize,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -8,7 +8,8 @@
 
 use config::OwnerCount;
 use membership::{
-    LeavingEndpoints, Member, MemberList, MemberState, WorkAllowed, is_watcher, owner_count, owners,
+    LeavingEndpoints, Member, MemberList, MemberState, WorkAllowed, is_watcher, owner_count,
+    select_owners,
 };
 use model::{GroupId, Name};
 
@@ -34,38 +35,38 @@
 }
 
 #[test]
-fn owners_stand_in_different_zones_and_do_not_depend_on_the_order() {
+fn owners_are_in_different_zones_regardless_of_the_list_order() {
     let listed = members(9, 3);
     let mut reversed = listed.clone();
     reversed.reverse();
     for index in 0..200 {
-        let chosen = owners(&group(index), &listed, 3);
+        let chosen = select_owners(&group(index), &listed, 3);
         let zones: BTreeSet<_> = chosen.iter().map(|member| &member.availability_zone).collect();
         assert_eq!(zones.len(), 3);
-        assert_eq!(keys(&chosen), keys(&owners(&group(index), &reversed, 3)));
+        assert_eq!(keys(&chosen), keys(&select_owners(&group(index), &reversed, 3)));
     }
 }
 
 #[test]
-fn a_member_that_goes_moves_only_its_own_groups() {
+fn a_member_that_leaves_moves_only_its_own_groups() {
     let before = members(100, 4);
     let mut after = before.clone();
-    let gone = after.remove(42).key;
+    let removed = after.remove(42).key;
     let (mut moved, mut owned) = (0, 0);
     for index in 0..2_000 {
-        let old = keys(&owners(&group(index), &before, 3));
-        let new = keys(&owners(&group(index), &after, 3));
-        owned += usize::from(old.contains(&gone));
+        let old = keys(&select_owners(&group(index), &before, 3));
+        let new = keys(&select_owners(&group(index), &after, 3));
+        owned += usize::from(old.contains(&removed));
         moved += usize::from(old != new);
-        assert!(old.contains(&gone) || old == new, "group {index} moved for nothing");
+        assert!(old.contains(&removed) || old == new, "group {index} moved without need");
     }
     assert_eq!(moved, owned);
-    // Three of a hundred owners each: about 60 of 2,000 groups.
+    // Each of 100 members owns about 60 of 2,000 groups with three owners.
     assert!((20..140).contains(&moved), "{moved}");
 }
 
 #[test]
-fn the_number_of_owners_follows_from_the_connections() {
+fn the_number_of_owners_depends_on_the_connections() {
     let rows = [
         (OwnerCount::Auto, 25, 8, 8),
         (OwnerCount::Auto, 40, 8, 8),
@@ -86,23 +87,23 @@
 }
 
 #[test]
-fn a_few_of_each_zone_watch_the_store() {
+fn a_fixed_number_of_members_in_each_zone_watches_the_store() {
     let mut listed = members(320, 32);
     listed.sort_by_key(|member| member.key);
     let watching = listed.iter().filter(|member| is_watcher(member.key, &listed, 2)).count();
     assert_eq!(watching, 64);
-    assert!(is_watcher(7, &listed, 2), "a daemon that is not listed has nobody to hear from");
+    assert!(is_watcher(7, &listed, 2), "a daemon that is not listed gets no updates from others");
 }
 
 #[test]
-fn the_lagging_list_is_joined_with_what_is_seen() {
+fn the_host_list_is_combined_with_observed_states() {
     let now = Instant::now();
     let mut list = MemberList::default();
     let mut listed = members(3, 1);
     listed[2].state = MemberState::Leaving;
     let (first, second) = (listed[0].key, listed[1].key);
     assert!(list.replace(5, listed.clone()));
-    assert!(!list.replace(4, Vec::new()), "an older list changes nothing");
+    assert!(!list.replace(4, Vec::new()), "an older list is ignored");
     let usable = |list: &MemberList, at| -> BTreeSet<u64> {
         list.usable(at).iter().map(|member| member.key).collect()
     };
@@ -110,23 +111,23 @@
     list.suspect(first, now);
     assert_eq!(usable(&list, now), BTreeSet::from([second]));
     let later = now + Duration::from_secs(60);
-    assert_eq!(usable(&list, later), BTreeSet::from([first, second]), "a suspicion passes");
-    list.note_stopping(second, now);
+    assert_eq!(usable(&list, later), BTreeSet::from([first, second]), "a suspicion expires");
+    list.mark_stopping(second, now);
     assert_eq!(usable(&list, later), BTreeSet::from([first]));
-    list.note_running(second);
+    list.mark_running(second);
     assert_eq!(usable(&list, later), BTreeSet::from([first, second]));
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_new_work_after_the_bound() {
+fn a_leaving_endpoint_gets_no_new_work_after_the_time_limit() {
     let now = Instant::now();
     let at = |ms| now + Duration::from_millis(ms);
     let (new_work, finish) = (Duration::from_secs(2), Duration::from_secs(5));
     let mut leaving = LeavingEndpoints::default();
     let server = address(1);
-    leaving.note(server, at(0));
-    // A second sign, such as the platform's late list, does not begin the time anew.
-    leaving.note(server, at(1_500));
+    leaving.mark_leaving(server, at(0));
+    // A second signal, such as the platform's late host list, does not restart the time.
+    leaving.mark_leaving(server, at(1_500));
     let rows = [
         (1_999, finish, WorkAllowed::All),
         (2_000, finish, WorkAllowed::Running),
--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -12,7 +12,7 @@
 };
 
 use config::{Configuration, ConfigurationPart, ReadPolicy, check_configuration, read_part, split};
-use membership::{Member, MemberState, owners};
+use membership::{Member, MemberState, select_owners};
 use model::{GroupId, LogPoint, Name, ServerId};
 use peer::{Body, Envelope, GossipNote, GroupDemand};
 use prost::Message;
@@ -138,7 +138,7 @@
     for count in [40, 400, 4_000] {
         let listed = members(count);
         let ns = time_ns(|| {
-            black_box(owners(&group, black_box(&listed), 3));
+            black_box(select_owners(&group, black_box(&listed), 3));
         });
         per_member = ns / count as f64;
         println!("owners of a group among {count} daemons: {:.1} us", ns / 1e3);
