--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/asking.rs
@@ -13,10 +13,12 @@
 
 use crate::{
     control::{
-        beliefs::{Basis, Lead},
+        adapter::Adapter,
         change::VersionedRecord,
-        evidence::{self, HeldRight, KnownLead, LeadByEvidence, may_give_right},
-        outside::Outside,
+        control_view::{Basis, GroupLeader},
+        evidence::{
+            self, HeldPrimaryLease, KnownLeader, LeaderByEvidence, may_grant_primary_lease,
+        },
         peers::Evidence,
         runner::{Ask, CommandAsk, Control},
     },
@@ -41,11 +43,11 @@
 /// between availability zones and the server's own work.
 const LAST_WORD_WITHIN: Duration = Duration::from_millis(40);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// While the store is silent, asks the servers themselves who leads. Groups are asked each by itself: one
     /// whose servers don't answer takes all of its time, and must not make the others' evidence old.
     pub(crate) async fn evidence_loop(self: Rc<Self>) {
-        let every = self.evidence() / EVIDENCE_PER_TERM;
+        let every = self.evidence_duration() / EVIDENCE_PER_TERM;
         let mut running = FuturesUnordered::new();
         let mut asked = HashMap::new();
         loop {
@@ -112,7 +114,7 @@
         state.used_at.retain(|_, used_at| now.duration_since(*used_at) < USED_FOR);
         let state = &*state;
         let is_known = |service: &Name| {
-            let lead = state.leads.get(service);
+            let lead = state.leaders.get(service);
             lead.is_some_and(|lead| !lead.changing && lead.valid_until > now + ASK_BEFORE_END)
         };
         let services = state.published_servers.keys();
@@ -128,13 +130,13 @@
     /// Asks one group's servers which primary a majority shows.
     async fn ask_for_evidence(self: Rc<Self>, service: Name) -> Option<Evidence> {
         let asked_at = Instant::now();
-        let deadline = asked_at + self.evidence().mul_f64(0.75);
+        let deadline = asked_at + self.evidence_duration().mul_f64(0.75);
         let servers: Vec<Name> = {
             let state = self.state.borrow();
             let entries = state.published_servers.get(&service);
             entries.into_iter().flatten().map(|entry| entry.server.clone()).collect()
         };
-        let held = self.held_right(&service, asked_at);
+        let held = self.held_primary_lease(&service, asked_at);
         let judge = |statuses: &[_]| evidence::judge(statuses, servers.len(), &held);
         let statuses = self.ask_statuses(&service, &servers, deadline, &judge).await;
         let Some(found) = judge(&statuses) else {
@@ -148,21 +150,21 @@
         Some(Evidence { service, server: found.server, term: found.term, asked_at })
     }
 
-    pub(crate) fn held_right(&self, service: &Name, now: Instant) -> HeldRight {
+    pub(crate) fn held_primary_lease(&self, service: &Name, now: Instant) -> HeldPrimaryLease {
         let state = self.state.borrow();
-        let lead = state.leads.get(service);
+        let lead = state.leaders.get(service);
         let in_force = lead.filter(|lead| lead.is_valid(now));
-        HeldRight {
+        HeldPrimaryLease {
             known_term: lead.map_or(Term(0), |lead| lead.term),
             in_force: in_force
-                .map(|lead| LeadByEvidence { server: lead.server.clone(), term: lead.term }),
+                .map(|lead| LeaderByEvidence { server: lead.server.clone(), term: lead.term }),
         }
     }
 
-    fn known_lead(&self, service: &Name) -> KnownLead {
+    fn known_leader(&self, service: &Name) -> KnownLeader {
         let state = self.state.borrow();
-        let lead = state.leads.get(service);
-        KnownLead {
+        let lead = state.leaders.get(service);
+        KnownLeader {
             term: lead.map_or(Term(0), |lead| lead.term),
             changing: lead.is_some_and(|lead| lead.changing),
             is_store_silent: state.is_store_silent(self.patience()),
@@ -172,16 +174,16 @@
     /// Takes the right to a primary that a majority showed, to this daemon or to another one.
     pub(crate) fn take_evidence(&self, found: &Evidence) {
         let service = &found.service;
-        if !may_give_right(found.term, self.known_lead(service)) {
+        if !may_grant_primary_lease(found.term, self.known_leader(service)) {
             return;
         }
-        let valid_until = found.asked_at + self.evidence();
+        let valid_until = found.asked_at + self.evidence_duration();
         if valid_until <= Instant::now() {
             return;
         }
         let mut state = self.state.borrow_mut();
         state.keep_evidence(found);
-        let known = state.leads.get(service);
+        let known = state.leaders.get(service);
         if known.is_none_or(|lead| !lead.is_valid(found.asked_at)) {
             log::info!(
                 event = "right_gained", service = &**service, server = &*found.server,
@@ -193,7 +195,7 @@
         let same = known.filter(|lead| lead.server == found.server && lead.term == found.term);
         let still = same.filter(|lead| !lead.changing).map(|lead| lead.valid_until);
         let history = known.map(|lead| lead.history.clone()).unwrap_or_default();
-        let lead = Lead {
+        let lead = GroupLeader {
             server: found.server.clone(),
             term: found.term,
             valid_until: still.map_or(valid_until, |until| until.max(valid_until)),
@@ -202,7 +204,7 @@
             planned: false,
             history,
         };
-        Arc::make_mut(&mut state.leads).insert(service.clone(), lead);
+        Arc::make_mut(&mut state.leaders).insert(service.clone(), lead);
     }
 
     /// Asks servers over the connections that sessions share; returns the answers in time. Once they are
@@ -213,7 +215,7 @@
         service: &Name,
         servers: &[Name],
         deadline: Instant,
-        judge: &impl Fn(&[(Name, EndpointStatus)]) -> Option<LeadByEvidence>,
+        judge: &impl Fn(&[(Name, EndpointStatus)]) -> Option<LeaderByEvidence>,
     ) -> Vec<(Name, EndpointStatus)> {
         let mut waiting = FuturesUnordered::new();
         for server in servers {
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -11,12 +11,12 @@
 use model::{Name, Term};
 
 use crate::{
-    catalog::{ServerEntry, ServerLife},
+    catalog::{ServerEntry, ServerIncarnation},
     control::{
+        adapter::Adapter,
         change::{ChangeEnd, ChangeRun, Reason, VersionedRecord, has_taken_over},
         commands::Commands,
-        evidence::{self, HeldRight, LeadByEvidence},
-        outside::Outside,
+        evidence::{self, HeldPrimaryLease, LeaderByEvidence},
         record::{ChosenServer, LeadershipRecord},
         runner::Control,
         state::State,
@@ -29,7 +29,7 @@
 /// agree gets a new primary: a driver that died may have left them paused, and nobody know of it.
 const ASKS_FOR_SETTLES: u32 = 2;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Confirms a record of an era that has ended, by what the group's servers say; changes the primary where it has to be.
     pub(crate) async fn confirm_record(&self, service: &Name) -> Result<(), ChangeEnd> {
         let known = self.known_record(service).ok_or(ChangeEnd::Superseded)?;
@@ -39,7 +39,7 @@
         let Some(found) = self.ask_who_leads(service, &known.record).await else {
             return self.settle_without_word(service, &known).await;
         };
-        let record = confirmed(&known.record, &found, self.life_of(service, &found.server));
+        let record = confirmed(&known.record, &found, self.incarnation_of(service, &found.server));
         self.write_record(service, &record, known.revision).await?;
         self.metrics.restores.with_label_values(&["confirmed"]).inc();
         log::info!(
@@ -55,10 +55,10 @@
         &self,
         service: &Name,
         record: &LeadershipRecord,
-    ) -> Option<LeadByEvidence> {
+    ) -> Option<LeaderByEvidence> {
         let entries = self.entries(service);
-        let held = self.held_right(service, Instant::now());
-        let held = HeldRight { known_term: held.known_term.max(Term(record.term)), ..held };
+        let held = self.held_primary_lease(service, Instant::now());
+        let held = HeldPrimaryLease { known_term: held.known_term.max(Term(record.term)), ..held };
         let mut commands = Commands::new(self);
         let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
         let answered = commands.ask_all(asks).await;
@@ -105,8 +105,8 @@
         term: u64,
         commands: &mut Commands<'_, P>,
     ) -> Result<(), ChangeEnd> {
-        let life = self.life_of(service, &chosen.server);
-        let record = run.record.settled(chosen, life, term);
+        let incarnation = self.incarnation_of(service, &chosen.server);
+        let record = run.record.settled(chosen, incarnation, term);
         self.write_record(service, &record, run.revision).await?;
         self.step("settled", service, run);
         let old = run.record.primary.as_str();
@@ -115,18 +115,18 @@
     }
 
     /// Returns where the duty's key stands if it is of an era that has ended: nobody holds the duty by it.
-    pub(crate) fn ended_duty(&self, state: &State) -> Option<Revision> {
-        let item = state.mirror.get(&self.duty_key())?;
+    pub(crate) fn expired_promoter_key(&self, state: &State) -> Option<Revision> {
+        let item = state.mirror.get(&self.promoter_key())?;
         let text = std::str::from_utf8(&item.value).ok()?;
         let era = text.rsplit_once('@').and_then(|(_, era)| era.parse().ok()).unwrap_or(0);
         (era < state.mirror.era().0).then_some(item.revision)
     }
 
     /// Takes the key of a duty away whose era has ended; the duty is free once that is heard of.
-    pub(crate) async fn remove_ended_duty(&self, revision: Revision) {
+    pub(crate) async fn remove_expired_promoter_key(&self, revision: Revision) {
         let transaction = Transaction {
-            expected: vec![(self.duty_key(), revision)],
-            removes: vec![self.duty_key()],
+            expected: vec![(self.promoter_key(), revision)],
+            removes: vec![self.promoter_key()],
             ..Transaction::default()
         };
         let removed = self.store.commit(&transaction, self.write_timeout()).await;
@@ -147,13 +147,13 @@
 /// Returns a record that says what the servers showed. Where they are in a later term than it knows, where that began is lost.
 fn confirmed(
     record: &LeadershipRecord,
-    found: &LeadByEvidence,
-    life: Option<ServerLife>,
+    found: &LeaderByEvidence,
+    incarnation: Option<ServerIncarnation>,
 ) -> LeadershipRecord {
     if found.term.0 == record.term && *found.server == *record.primary {
         return record.clone();
     }
     let (term, primary) = (found.term.0, found.server.to_string());
     let starts = Vec::new();
-    LeadershipRecord { term, primary, primary_life: life, starts, ..record.clone() }
+    LeadershipRecord { term, primary, primary_incarnation: incarnation, starts, ..record.clone() }
 }
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -10,10 +10,10 @@
 use crate::{
     catalog::ServerEntry,
     control::{
+        adapter::Adapter,
         change::{ChangeEnd, ChangeRun},
         commands::{ASK_EVERY, Commands},
-        outside::Outside,
-        record::{LeadershipRecord, RightBounds, StopProgress, StoppedServer, majority},
+        record::{LeadershipRecord, PrimaryLeaseDurations, StopProgress, StoppedServer, majority},
         runner::Control,
         state::SeenMember,
     },
@@ -38,7 +38,7 @@
     pub(crate) fenced: usize,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Stops the servers, and waits until no daemon can hold a right to the old primary.
     pub(crate) async fn await_stop(
         &self,
@@ -135,7 +135,10 @@
         run: &ChangeRun,
         fenced_at: Instant,
     ) -> Result<(), ChangeEnd> {
-        let bounds = RightBounds { store: self.right(), evidence: self.evidence() };
+        let bounds = PrimaryLeaseDurations {
+            store: self.primary_lease_duration(),
+            evidence: self.evidence_duration(),
+        };
         loop {
             let progress = StopProgress {
                 recorded_at: run.recorded_at,
@@ -147,7 +150,7 @@
             if now >= complete_at {
                 return Ok(());
             }
-            if self.duty_left(now) < DUTY_LEFT_TO_RESUME {
+            if self.promoter_lease_left(now) < DUTY_LEFT_TO_RESUME {
                 let why = "the duty could not be renewed".to_owned();
                 return Err(ChangeEnd::Store(MetadataError::NotDone(why)));
             }
@@ -163,7 +166,7 @@
     pub(crate) fn all_answered(&self, service: &Name, run: &ChangeRun) -> bool {
         let state = self.state.borrow();
         // A daemon that vanished before this one began to watch may still hold a right.
-        let lasting = self.right().mul_f64(1.1);
+        let lasting = self.primary_lease_duration().mul_f64(1.1);
         let watched = state
             .watching_since
             .is_some_and(|since| run.recorded_at.saturating_duration_since(since) > lasting);
--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,39 +1,39 @@
 //! What a daemon believes and how it comes to believe it: the configuration, the servers, the other
 //! daemons, who leads each group.
 
+pub mod adapter;
 mod asking;
-pub mod beliefs;
+mod backoff;
 mod change;
 mod commands;
 mod confirming;
+pub mod control_view;
 pub(crate) mod detour;
-mod duty;
 pub mod evidence;
 mod fencing;
 mod following;
 pub mod knowledge;
-pub mod looks;
 mod membership;
 pub mod mirror;
 pub mod move_times;
-pub mod outside;
 mod owning;
 pub mod packing;
-mod pause;
 pub(crate) mod peer_link;
 pub mod peers;
-mod put_back;
+mod primary_lease;
+pub mod probe_schedule;
+mod promoter;
 pub mod record;
 mod records;
+pub mod reported_suspicions;
 mod reports;
+mod republish;
 mod restored;
-mod rights;
 pub mod runner;
 pub mod servers;
 pub mod starting;
 mod state;
 mod suspicion;
-pub mod telling;
 pub mod tree;
 mod watching;
 pub mod witnesses;
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     control::{
-        beliefs::Basis,
-        outside::Outside,
-        pause::Pause,
+        adapter::Adapter,
+        backoff::Backoff,
+        control_view::Basis,
         peers::{SharedReading, StoreReading, judge_reading},
         runner::Control,
         state::State,
@@ -28,11 +28,11 @@
 /// each they are a tenth of a megabyte.
 const MOST_MISSING_ASKED: u64 = 500;
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Renews the rights again and again, by a reading of the store or of another daemon.
     pub(crate) async fn refresh_loop(self: Rc<Self>) {
         let every = Duration::from_millis(self.settings.leadership.refresh_ms);
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         // The first reading is that of everything, which brings what the rights are about.
         while !self.state.borrow().servers_known {
             self.has_read.notified().await;
@@ -55,9 +55,9 @@
                 continue;
             }
             let asked_at = Instant::now();
-            match self.renew_rights(asked_at).await {
+            match self.renew_primary_leases(asked_at).await {
                 Ok(()) => {
-                    pause.reset();
+                    backoff.reset();
                     self.doubt_reader();
                     let rest = every.saturating_sub(asked_at.elapsed());
                     tokio::select! {
@@ -72,8 +72,8 @@
                         "the store did not answer"
                     );
                     match self.zone_reader() {
-                        Some(_) => self.await_shared_reading(&mut pause).await,
-                        None => pause.wait().await,
+                        Some(_) => self.await_shared_reading(&mut backoff).await,
+                        None => backoff.wait().await,
                     }
                 }
             }
@@ -81,15 +81,15 @@
     }
 
     /// Waits until the store is to be tried again, unless another daemon's reading comes first.
-    async fn await_shared_reading(&self, pause: &mut Pause) {
+    async fn await_shared_reading(&self, backoff: &mut Backoff) {
         let shared = async {
             while !self.is_reading_shared() {
                 self.news.notified().await;
             }
         };
         tokio::select! {
-            () = pause.wait_as_follower(self.does_reader_answer()) => {}
-            () = shared => pause.reset(),
+            () = backoff.wait_as_follower(self.does_reader_answer()) => {}
+            () = shared => backoff.reset(),
         }
     }
 
@@ -108,7 +108,10 @@
     /// bytes instead of some hundred for each daemon of the fleet; the whole is read only by who is behind, in a large
     /// fleet only where the changes that are missing can't be had by themselves. There hundreds are behind together as
     /// soon as a link is full, and all that they would read would keep it so.
-    pub(crate) async fn renew_rights(&self, asked_at: Instant) -> Result<(), MetadataError> {
+    pub(crate) async fn renew_primary_leases(
+        &self,
+        asked_at: Instant,
+    ) -> Result<(), MetadataError> {
         let own = self.read_below(&self.member_key()).await?;
         if own.revision.era() > self.state.borrow().mirror.era() {
             return self.meet_era(StoreReading { asked_at, revision: own.revision }).await;
@@ -162,7 +165,7 @@
     }
 
     async fn read_below(&self, prefix: &str) -> Result<Snapshot, MetadataError> {
-        let timeout = self.read_timeout().min(self.right());
+        let timeout = self.read_timeout().min(self.primary_lease_duration());
         let read = self.store.range(prefix, Consistency::Linearizable, timeout.into()).await;
         self.count_call("range", &read);
         read
@@ -173,8 +176,8 @@
         let reading = StoreReading { asked_at, revision };
         let now = Instant::now();
         self.note_own_reading(reading, now);
-        match judge_reading(&reading, now, self.right(), &self.own_keys()) {
-            SharedReading::Renews(services) => self.grant_rights(asked_at, Some(&services)),
+        match judge_reading(&reading, now, self.primary_lease_duration(), &self.own_keys()) {
+            SharedReading::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
             SharedReading::Useless if self.is_key_gone() => self.rejoin.notify_one(),
             SharedReading::Useless => {}
         }
@@ -186,7 +189,7 @@
         let mut state = self.state.borrow_mut();
         state.note_sighting(&reading);
         let before = state.own_read_at.replace(reading.asked_at);
-        if before.is_none_or(|before| now.duration_since(before) > self.right()) {
+        if before.is_none_or(|before| now.duration_since(before) > self.primary_lease_duration()) {
             // Members that came and went meanwhile were not seen; another's reading does not tell of
             // them.
             state.watching_since = Some(now);
@@ -217,7 +220,7 @@
         self.take_over(changes);
         self.note_own_reading(StoreReading { asked_at, revision }, now);
         if is_member {
-            self.grant_rights(asked_at, None);
+            self.grant_primary_leases(asked_at, None);
         } else if self.is_key_gone() {
             self.rejoin.notify_one();
         }
@@ -225,11 +228,11 @@
     }
 
     /// Gives up a right that an answer contradicts, with the samples that came by it; the store is read anew.
-    pub(crate) fn drop_right(&self, service: &Name, term: Term) {
+    pub(crate) fn drop_primary_lease(&self, service: &Name, term: Term) {
         {
             let mut state = self.state.borrow_mut();
-            let leads = Arc::make_mut(&mut state.leads);
-            if let Some(lead) = leads.get_mut(service).filter(|lead| lead.term == term) {
+            let leaders = Arc::make_mut(&mut state.leaders);
+            if let Some(lead) = leaders.get_mut(service).filter(|lead| lead.term == term) {
                 lead.valid_until = Instant::now();
             }
             state.evidence.retain(|evidence| evidence.service != *service);
@@ -241,12 +244,12 @@
 
     /// Whoever promotes waits for every member, so only a member's reading gives a right. `services`
     /// are those that the reading speaks of; `None` for all.
-    pub(crate) fn grant_rights(&self, asked_at: Instant, services: Option<&[Name]>) {
-        let valid_until = asked_at + self.right();
+    pub(crate) fn grant_primary_leases(&self, asked_at: Instant, services: Option<&[Name]>) {
+        let valid_until = asked_at + self.primary_lease_duration();
         let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
-        let State { leads, records, servers, mirror, .. } = &mut *state;
-        let leads = Arc::make_mut(leads);
+        let State { leaders, records, servers, mirror, .. } = &mut *state;
+        let leaders = Arc::make_mut(leaders);
         for (service, known) in records {
             let record = &known.record;
             if shown.as_ref().is_some_and(|shown| !shown.contains(service)) {
@@ -256,11 +259,11 @@
             // may be older than the change that followed it.
             if record.change.is_some()
                 || record.era != mirror.era().0
-                || servers.is_reborn(service, &record.primary, record.primary_life)
+                || servers.is_restarted(service, &record.primary, record.primary_incarnation)
             {
                 continue;
             }
-            let Some(lead) = leads.get_mut(service) else { continue };
+            let Some(lead) = leaders.get_mut(service) else { continue };
             if *lead.server == *record.primary && lead.term.0 == record.term && !lead.changing {
                 if lead.valid_until < asked_at {
                     log::info!(
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     control::{
-        outside::Outside,
+        adapter::Adapter,
         peers::{FollowRequest, PrimarySample, SampleMessage},
         runner::Control,
     },
@@ -26,16 +26,16 @@
 /// How often another zone is asked for samples at the most; a fraction of the bounds that routes name.
 const SAMPLES_ASKED_EVERY: Duration = Duration::from_millis(200);
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Tells whoever promotes that the replicas of a service are too far behind for the reads there are. Its
     /// own callers may ask that service little, and then it would not notice for seconds.
     pub(crate) fn tell_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
-        if self.held_duty().is_some() {
+        if self.held_promoter_lease().is_some() {
             self.note_behind(service);
             return;
         }
-        let Some(holder) = self.duty_holder() else { return };
+        let Some(holder) = self.promoter_address() else { return };
         let told_at = self.state.borrow_mut().behind_told.insert(service.clone(), now);
         if told_at.is_some_and(|at| now.duration_since(at) < BEHIND_TOLD_EVERY) {
             // The time of the report that was sent counts, not of those that were not.
@@ -57,10 +57,10 @@
     }
 
     /// Returns where the daemon that holds the duty to promote is asked, if that is another one.
-    fn duty_holder(&self) -> Option<SocketAddr> {
+    fn promoter_address(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        let duty = state.mirror.get(&self.duty_key())?;
-        let value = std::str::from_utf8(&duty.value).ok()?;
+        let item = state.mirror.get(&self.promoter_key())?;
+        let value = std::str::from_utf8(&item.value).ok()?;
         let (holder, _) = value.split_once(' ')?;
         let member = state.members.get(holder)?;
         let is_silent = |address: &SocketAddr| self.asker.is_silent(*address, Instant::now());
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -16,8 +16,8 @@
 use crate::{
     catalog::{CatalogFormat, ServerEntry},
     control::{
+        adapter::Adapter,
         change::VersionedRecord,
-        outside::Outside,
         peers::StoreReading,
         record::{EraSeen, LeadershipRecord},
         runner::Control,
@@ -134,7 +134,9 @@
         }
         let is_against = match self.servers.at(&item.key) {
             None => true,
-            Some(known) if known.life != entry.life => known.life > entry.life,
+            Some(known) if known.incarnation != entry.incarnation => {
+                known.incarnation > entry.incarnation
+            }
             Some(known) => known.leaving && !entry.leaving,
         };
         if is_against {
@@ -144,7 +146,7 @@
     }
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Begins the era of a whole reading that stands at this revision, if it is a later one.
     pub(crate) fn enter_era(&self, revision: Revision) {
         let era = revision.era();
@@ -165,7 +167,7 @@
             doubted: BTreeSet::new(),
         };
         // The duty ended with its lease, and what was missing while nothing was heard can't be known.
-        state.duty_lease = None;
+        state.promoter_lease = None;
         state.watching_since = Some(now);
         state.reading = None;
         state.acknowledged.clear();
@@ -182,7 +184,7 @@
             "the store came back from an older copy; what it lost is put back"
         );
         self.rejoin.notify_one();
-        self.put_back.notify_one();
+        self.republish.notify_one();
     }
 
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     control::{
-        outside::Outside,
+        adapter::Adapter,
         runner::Control,
         state::MemberValue,
         tree::{TreeMember, daemon_to_follow},
@@ -50,7 +50,7 @@
     value: MemberValue,
 }
 
-impl<P: Outside> Control<P> {
+impl<P: Adapter> Control<P> {
     /// Learns everything that the store holds, the first time from another daemon where the fleet is large.
     pub(crate) async fn learn_everything(&self) -> Result<(), MetadataError> {
         let is_first = !self.state.borrow().servers_known;
@@ -94,7 +94,7 @@
     /// Reads this daemon's own key, which shows whether everything up to now was heard: readings of whoever is followed
     /// are late where links are full, and are of no use then.
     async fn look_at_own_key(&self) {
-        if let Err(error) = self.renew_rights(Instant::now()).await {
+        if let Err(error) = self.renew_primary_leases(Instant::now()).await {
             log::info!(
                 event = "store_unreachable", call = "refresh", why = error.to_string().as_str();
                 "the store did not answer"
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -99,7 +99,7 @@
 ) -> SampledMessage {
     let none = SampledMessage { point: None, age_ms: 0 };
     loop {
-        let sampled = group.sampled.notified();
+        let sampled = group.sample_added.notified();
         tokio::pin!(sampled);
         // From here on nothing is missed between the look and the wait.
         sampled.as_mut().enable();
@@ -150,7 +150,7 @@
         sample: Sample,
     ) {
         let beliefs = self.beliefs();
-        let lead = beliefs.lead_in_force(service, sample.sent_at);
+        let lead = beliefs.usable_leader(service, sample.sent_at);
         if let Some(lead) = lead.filter(|lead| lead.server == *server) {
             self.add_sample(group, service, lead, sample);
         }
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -10,16 +10,16 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::answering::answer_relay,
     serve::{
+        connection_request::ConnectionRequest,
+        endpoint_task::{EndpointTask, TaskKind},
         engine::Engine,
-        errand::{Errand, Task},
         replay::SessionValues,
-        wish::Wish,
     },
     statement::EndpointStatus,
 };
 
 /// Answers questions until the control thread ends.
-pub async fn answer_asks<C: CallerDialect, E: EndpointDialect>(
+pub async fn answer_control_requests<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     asks: flume::Receiver<Ask>,
 ) {
@@ -38,7 +38,7 @@
             }
         };
         tokio::task::spawn_local(async move {
-            if let Some(status) = give_command(&engine, &ask).await {
+            if let Some(status) = run_command(&engine, &ask).await {
                 // The control thread may have given the question up.
                 let _ = ask.answer.send(status);
             }
@@ -46,31 +46,31 @@
     }
 }
 
-async fn give_command<C: CallerDialect, E: EndpointDialect>(
+async fn run_command<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     ask: &CommandAsk,
 ) -> Option<EndpointStatus> {
     let beliefs = engine.beliefs();
     let group = engine.group(&ask.service, &beliefs);
-    let wish = Wish {
+    let request = ConnectionRequest {
         only: Some(ask.server.clone()),
-        floor: None,
+        min_point: None,
         avoid: Vec::new(),
         primary: None,
         priority: 0,
         yields: false,
         opens_transaction: false,
-        is_handed_over: false,
-        tried: 0,
-        is_unwanted: None,
+        is_forwarded: false,
+        previous_attempts: 0,
+        cancellation: None,
         principal: None,
     };
     // Whatever values the connection holds do no harm to a status.
-    let lent = engine.acquire(&group, wish, &SessionValues::new(), ask.deadline).await;
+    let lent = engine.acquire(&group, request, &SessionValues::new(), ask.deadline).await;
     let mut lent = lent.ok()?;
     let reached = lent.reached();
-    let errand = Errand::own(Task::Command(ask.text.clone()));
-    match lent.run(&errand, ask.deadline).await {
+    let task = EndpointTask::internal(TaskKind::Command(ask.text.clone()));
+    match lent.run(&task, ask.deadline).await {
         Ok(answer) => {
             lent.give_back();
             let row = answer.rows.first()?;
--- a/crates/proxy/src/serve/telling.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -9,7 +9,7 @@
 use overload::hold::Outage;
 
 use crate::{
-    control::beliefs::Lead,
+    control::control_view::GroupLeader,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::{ConnectionLost, refusal},
@@ -40,14 +40,14 @@
         job: &Job<'_>,
         server: &Name,
         code: ErrorCode,
-        floor: Option<LogPoint>,
+        min_point: Option<LogPoint>,
         answer: &Answer,
     ) {
         if code == ErrorCode::NotFresh {
             log::debug!(
                 event = "not_fresh", id = id_text(&job.id).as_str(),
                 service = &*job.route.service, server = &**server,
-                floor = format!("{floor:?}").as_str(), own = format!("{:?}", job.own).as_str(),
+                floor = format!("{min_point:?}").as_str(), own = format!("{:?}", job.own_point).as_str(),
                 shown = format!("{:?}", answer.point).as_str();
                 "a server's log lacks the point that a read must have seen"
             );
@@ -78,7 +78,7 @@
         refusal: Refusal,
     ) -> StatementError {
         let beliefs = self.beliefs();
-        let lead = beliefs.leads.get(&job.route.service);
+        let lead = beliefs.leaders.get(&job.route.service);
         let retry_after_ms = refusal.come_back.as_millis() as u64;
         log::info!(
             event = "refused", id = id_text(&job.id).as_str(), service = &*job.route.service,
@@ -113,7 +113,7 @@
         refusal(error, TransactionState::Idle)
     }
 
-    pub(crate) fn unconfirmed(&self, job: &Job<'_>, lead: &Lead) -> Answer {
+    pub(crate) fn unconfirmed(&self, job: &Job<'_>, lead: &GroupLeader) -> Answer {
         log::info!(
             event = "outcome", id = id_text(&job.id).as_str(), service = &*job.route.service,
             server = &*lead.server, term = lead.term.0, code = ErrorCode::InDoubt.as_str(),
--- a/crates/proxy/src/serve/lent.rs
+++ b/crates/proxy/src/serve/lent.rs
@@ -16,11 +16,11 @@
     relay::lease::Lease,
     serve::{
         connection::{ConnectionLost, EndpointConnection, Reached},
-        errand::{Errand, Task},
+        connection_request::ConnectionRequest,
+        endpoint_task::{EndpointTask, TaskKind},
         pool::{GroupPool, Offer, Waiter},
         server_queue::{NotBegun, Turn},
         verdict::Progress,
-        wish::Wish,
     },
     statement::Answer,
 };
@@ -111,16 +111,16 @@
     /// Runs something on it.
     pub async fn run(
         &mut self,
-        errand: &Errand,
+        task: &EndpointTask,
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         match &mut self.held {
             Held::Own(connection) => {
-                let answered = errand.run(connection, deadline).await;
-                self.leave_slot(errand, &answered);
+                let answered = task.run(connection, deadline).await;
+                self.leave_slot(task, &answered);
                 answered
             }
-            Held::Owners(lease) => lease.run(errand, deadline).await,
+            Held::Owners(lease) => lease.run(task, deadline).await,
             Held::Nothing => {
                 let lost = ConnectionLost::Broken("it was given back".to_owned());
                 Err((Progress::NotSent, lost))
@@ -139,10 +139,10 @@
     /// Lets others have the slot. Only what the server ran to its end tells how long it takes for a statement.
     fn leave_slot(
         &mut self,
-        errand: &Errand,
+        task: &EndpointTask,
         answered: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
-        let has_run = matches!(errand.task, Task::Work(_))
+        let has_run = matches!(task.kind, TaskKind::Work(_))
             && answered.as_ref().is_ok_and(|answer| answer.error_code().is_none());
         for turn in self.turn.iter_mut().chain(self.step.iter_mut()) {
             turn.leave_slot(has_run);
@@ -179,10 +179,10 @@
             self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
         }
         while let Some(waiter) = self.pool.next_waiter(self.server()) {
-            if !self.works_for(&waiter.wish) {
+            if !self.works_for(&waiter.request) {
                 return self.make_room_for(waiter);
             }
-            if waiter.wish.yields {
+            if waiter.request.yields {
                 self.yields = true;
                 self.pool.with_slot(self.server(), |slot| slot.yielding += 1);
             }
@@ -207,14 +207,14 @@
     /// Whether the server at the other end has started again since this connection was opened.
     fn is_of_former_life(&self) -> bool {
         let Held::Own(connection) = &self.held else { return false };
-        let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.life);
-        connection.life != now
+        let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.incarnation);
+        connection.incarnation != now
     }
 
-    /// Whether whoever has this wish may use this very connection.
-    fn works_for(&self, wish: &Wish) -> bool {
+    /// Whether whoever has this request may use this very connection.
+    fn works_for(&self, request: &ConnectionRequest) -> bool {
         match &self.held {
-            Held::Own(connection) => wish.may_use(&connection.principal),
+            Held::Own(connection) => request.accepts_principal(&connection.principal),
             Held::Owners(_) | Held::Nothing => false,
         }
     }
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -11,7 +11,7 @@
     hold::{OngoingOutage, Outage, OutageHistory, Ticket, WaitingLine},
 };
 
-use crate::control::beliefs::Beliefs;
+use crate::control::control_view::ControlView;
 
 /// The outage of one group, and who waits for its end.
 #[derive(Default)]
@@ -75,8 +75,8 @@
 }
 
 /// Says why no primary may be used, and since when as far as that is known.
-pub(crate) fn outage_of(beliefs: &Beliefs, service: &str, now: Instant) -> (Outage, Instant) {
-    match beliefs.leads.get(service) {
+pub(crate) fn outage_of(beliefs: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
+    match beliefs.leaders.get(service) {
         Some(lead) if lead.is_valid(now) => (Outage::Unreachable, now),
         Some(lead) if lead.planned => (Outage::PlannedChange, now),
         Some(lead) if lead.changing => (Outage::Failover, now),
@@ -99,14 +99,14 @@
         &self,
         route: ComeBack,
         history: &OutageHistory,
-        right: Duration,
+        primary_lease: Duration,
     ) -> Duration {
         let draw = rand::random();
         if self.outage != Outage::LapsedRight {
             return route.after(self.remaining, draw);
         }
         // The daemons that can still reach the store and the servers replace the primary once every right has ended.
-        let replaced_after = right + history.remaining(Outage::Failover, Duration::ZERO);
+        let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
             expected if expected > route.target => route.after(expected, draw),
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -18,16 +18,16 @@
 
 use crate::{
     catalog::ReadRule,
-    control::beliefs::Lead,
+    control::control_view::GroupLeader,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         engine::{Engine, Group},
+        error_reporting::Refusal,
         execute::{Denied, ROUND_PAUSE},
-        floor::place_for,
         job::Job,
         outage::{Outlook, Place, outage_of},
-        telling::Refusal,
-        verdict::Next,
+        placement::placement_for,
+        verdict::NextStep,
     },
     statement::{ErrorCode, StatementError},
 };
@@ -66,7 +66,7 @@
     }
 
     /// Returns a time to come back that differs for each caller, where statements are held.
-    pub(crate) fn spread(&self, come_back: Duration) -> Duration {
+    pub(crate) fn with_jitter(&self, come_back: Duration) -> Duration {
         match self.settings.overload.holding {
             true => spread(come_back, rand::random()),
             false => come_back,
@@ -80,7 +80,7 @@
         job: &Job<'_>,
         class: StatementClass,
         rounds: &mut Rounds,
-    ) -> Result<Lead, Denied> {
+    ) -> Result<GroupLeader, Denied> {
         if !self.holds(group) {
             return self.await_primary_briefly(group, job, rounds).await;
         }
@@ -90,7 +90,7 @@
         loop {
             let current = beliefs.borrow_and_update().clone();
             let now = Instant::now();
-            if let Some(lead) = current.lead_in_force(&job.route.service, now) {
+            if let Some(lead) = current.usable_leader(&job.route.service, now) {
                 if rounds.avoid.contains(&lead.server) {
                     rounds.avoid.clear();
                     tokio::time::sleep(ROUND_PAUSE).await;
@@ -104,7 +104,7 @@
                 place = None;
                 continue;
             }
-            if self.floor_now(group, job, class).is_some() {
+            if self.current_min_point(group, job, class).is_some() {
                 return Err(Denied::Again);
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
@@ -139,11 +139,11 @@
         group: &Rc<Group<E>>,
         job: &Job<'_>,
         rounds: &mut Rounds,
-    ) -> Result<Lead, Denied> {
+    ) -> Result<GroupLeader, Denied> {
         let mut beliefs = self.beliefs.clone();
         loop {
             let current = beliefs.borrow_and_update().clone();
-            let lead = current.lead_in_force(&job.route.service, Instant::now());
+            let lead = current.usable_leader(&job.route.service, Instant::now());
             if let Some(lead) = lead
                 && !rounds.avoid.contains(&lead.server)
             {
@@ -166,7 +166,7 @@
     }
 
     /// Returns the point that a read's server must hold, if it may run at others than the primary by what is known now.
-    pub(crate) fn floor_now(
+    pub(crate) fn current_min_point(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
@@ -177,10 +177,11 @@
         if let Some(sample) = beliefs.samples.get(service) {
             group.samples.borrow_mut().add(sample.asked_at, sample.point);
         }
-        let history = beliefs.leads.get(service).map(|lead| lead.history.clone());
+        let history = beliefs.leaders.get(service).map(|lead| lead.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
-        place_for(job.route.reads, class, job.own, &samples, &history, Instant::now()).floor()
+        placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
+            .min_point()
     }
 
     /// Returns when a statement goes on, now that there is a primary.
@@ -250,7 +251,10 @@
     /// How long the primary takes for a statement of this daemon's, as one of all that send it theirs.
     fn pace(&self, group: &Group<E>, service: &Name) -> Duration {
         let beliefs = self.beliefs();
-        beliefs.leads.get(service).map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
+        beliefs
+            .leaders
+            .get(service)
+            .map_or(Duration::ZERO, |lead| self.pace_at(group, &lead.server))
     }
 
     fn pace_at(&self, group: &Group<E>, server: &Name) -> Duration {
@@ -286,7 +290,7 @@
         let history = self.holding.history.borrow();
         let remaining = history.remaining(ongoing.outage, elapsed);
         let outlook = Outlook { outage: ongoing.outage, elapsed, remaining };
-        let come_back = outlook.come_back(job.come_back(), &history, self.settings.right);
+        let come_back = outlook.come_back(job.come_back(), &history, self.settings.primary_lease);
         self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
         Refusal { come_back, outage: Some(ongoing.outage), remaining, ..refusal }
     }
@@ -296,7 +300,7 @@
         &self,
         rounds: &mut Rounds,
         job: &Job<'_>,
-        next: Next,
+        next: NextStep,
         server: Name,
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.beliefs());
@@ -308,7 +312,7 @@
             return Some(self.no_answer(&group, job, rounds));
         }
         match next {
-            Next::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
+            NextStep::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
                 rounds.avoid.push(server);
             }
             _ => {
@@ -326,7 +330,7 @@
         }
         let now = Instant::now();
         let beliefs = self.beliefs();
-        let lead = beliefs.lead_in_force(&job.route.service, now);
+        let lead = beliefs.usable_leader(&job.route.service, now);
         // An empty name: no server was found, so it was the primary that wasn't.
         if needs_primary(job)
             && lead.is_some_and(|lead| lead.server == *server || server.is_empty())
