--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -183,7 +183,7 @@
         "ran" => Verdict::Ran,
         _ => Verdict::MayHaveRun,
     };
-    let reason = RefusalReason::from_word(&end.reason).unwrap_or(RefusalReason::Unreachable);
+    let reason = RefusalReason::from_name(&end.reason).unwrap_or(RefusalReason::Unreachable);
     let refusal =
         Refusal { verdict, reason, detail: end.detail, retry_after_ms: end.retry_after_ms };
     let try_next = verdict == Verdict::NotRun && reason == RefusalReason::Stopping;
--- a/crates/model/src/refusal.rs
+++ b/crates/model/src/refusal.rs
@@ -1,25 +1,25 @@
-//! What a caller is told when a request does not succeed.
+//! Errors that are returned to callers, with their reason and verdict.
 //!
-//! The mapping to SQLSTATE is documented for callers in `docs/REFUSALS.md`; a test compares the two.
+//! `docs/REFUSALS.md` documents the mapping to SQLSTATE for callers; a test compares the two.
 
 use std::fmt;
 
-/// Whether the request that an error answers may have taken effect.
+/// Whether a failed request may have taken effect.
 ///
-/// It travels with every error over every hop, because only the place where the bytes left for the
-/// endpoint can know it.
+/// Only the daemon that sends a request to the endpoint knows this, so the verdict is forwarded with
+/// every error on every hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// No endpoint ran any part of the request. Sending it again is safe.
+    /// No endpoint ran any part of the request. It can be retried safely.
     NotRun,
-    /// An endpoint ran the request and its answer, good or bad, is known.
+    /// An endpoint ran the request, and the result (success or error) is known.
     Ran,
-    /// The request reached an endpoint and its effect is unknown. Sending it again may double it.
+    /// The request was sent to an endpoint and its effect is unknown. A retry may apply it twice.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// Returns the word used in logs, metrics and messages.
+    /// Returns the name used in logs, metrics and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -28,44 +28,44 @@
         }
     }
 
-    /// Returns the verdict for a request of which a part has the one and another part the other.
-    pub fn worse(self, other: Verdict) -> Verdict {
+    /// Returns the verdict for a request whose parts have these two verdicts.
+    pub fn combine(self, other: Verdict) -> Verdict {
         self.max(other)
     }
 }
 
-/// Why a request was refused or given up.
+/// Why a request was refused or abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
     /// The queue for the group's connections is full.
     Overloaded,
-    /// The request's deadline passed before a connection was free.
+    /// The request's deadline passed before a connection was available.
     DeadlinePassed,
-    /// No server can take writes at present; a promotion may be under way.
+    /// No server currently accepts writes; a promotion may be in progress.
     NoPrimary,
-    /// No server within reach can show what the session has to see.
+    /// No reachable server has the data that the session must see.
     NoFreshServer,
     /// The group or its owners can't be reached.
     Unreachable,
-    /// A write that the session saw acknowledged did not survive a promotion.
+    /// An acknowledged write of the session was lost in a promotion.
     WriteLost,
-    /// The session token can't be read.
+    /// The session token is malformed.
     BadToken,
-    /// The caller asks for something that pooled connections can't carry.
+    /// The request needs a feature that pooled connections don't support.
     Unsupported,
-    /// The caller named a service, group, kind or setting that is not configured.
+    /// The request names a service, group, kind or setting that is not configured.
     UnknownName,
-    /// The caller may not do this.
+    /// The caller has no permission for the request.
     Forbidden,
-    /// The daemon is stopping and takes no new work.
+    /// The daemon is stopping and accepts no new work.
     Stopping,
-    /// The endpoint's connection was lost while an answer was due.
+    /// The connection to the endpoint was lost before its answer arrived.
     AnswerLost,
     /// The write ran, but no second server confirmed it in time.
     NoEvidence,
     /// The primary was replaced while the write ran.
     Deposed,
-    /// The endpoint's answer was larger than may be held back.
+    /// The endpoint's answer exceeded the limit for held answers.
     AnswerTooLarge,
 }
 
@@ -89,7 +89,7 @@
         RefusalReason::AnswerTooLarge,
     ];
 
-    /// Returns the word used in logs, metrics and messages.
+    /// Returns the name used in logs, metrics and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::Overloaded => "overloaded",
@@ -110,15 +110,15 @@
         }
     }
 
-    /// Finds a reason by its word.
-    pub fn from_word(word: &str) -> Option<RefusalReason> {
-        RefusalReason::ALL.into_iter().find(|reason| reason.as_str() == word)
+    /// Returns the reason with this name, as given by [`RefusalReason::as_str`].
+    pub fn from_name(name: &str) -> Option<RefusalReason> {
+        RefusalReason::ALL.into_iter().find(|reason| reason.as_str() == name)
     }
 
     /// Returns the SQLSTATE under which a refusal with this reason and verdict is sent.
     ///
     /// A verdict of [`Verdict::MayHaveRun`] always maps to `08007` (transaction resolution
-    /// unknown), so that a caller can tell by the code alone that it must not repeat blindly.
+    /// unknown), so that the code alone tells a caller that a retry is not safe.
     pub fn sqlstate(self, verdict: Verdict) -> &'static str {
         if verdict == Verdict::MayHaveRun {
             return "08007";
@@ -139,26 +139,26 @@
     }
 }
 
-/// An error for a caller, with the verdict on its request.
+/// An error returned to a caller, with the verdict on its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it was refused or given up.
+    /// Why the request was refused or abandoned.
     pub reason: RefusalReason,
-    /// One sentence for the person who reads the caller's log.
+    /// One sentence for a person who reads the caller's log.
     pub detail: String,
-    /// When asking again may help, in milliseconds from now; `None` where it will not.
+    /// When a retry may succeed, in milliseconds from now; `None` if a retry won't help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request of which no part ran.
+    /// Creates a refusal of a request of which no part ran.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Refusal {
         Refusal { verdict: Verdict::NotRun, reason, detail: detail.into(), retry_after_ms: None }
     }
 
-    /// The end of a request whose effect is unknown.
+    /// Creates a refusal of a request whose effect is unknown.
     pub fn may_have_run(reason: RefusalReason, detail: impl Into<String>) -> Refusal {
         Refusal {
             verdict: Verdict::MayHaveRun,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Tells the caller when to ask again.
+    /// Returns the refusal with a time after which the caller may retry, in milliseconds from now.
     pub fn retry_after(mut self, retry_after_ms: u64) -> Refusal {
         self.retry_after_ms = Some(retry_after_ms);
         self
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -144,7 +144,7 @@
         let code = reason.sqlstate(Verdict::NotRun);
         let row = format!("| `{}` | `{code}` |", reason.as_str());
         assert!(page.contains(&row), "docs/REFUSALS.md lacks {row}");
-        assert_eq!(RefusalReason::from_word(reason.as_str()), Some(reason));
+        assert_eq!(RefusalReason::from_name(reason.as_str()), Some(reason));
         assert_eq!(reason.sqlstate(Verdict::MayHaveRun), "08007");
     }
     let refusal = Refusal::not_run(RefusalReason::Overloaded, "full").retry_after(50);
