--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,7 @@
-//! The shared words of wardtiller.
+//! Types that all crates of wardtiller share.
 //!
-//! Every other crate speaks in these types, so that a term is never mistaken for a position and an
-//! error never travels without saying whether its request may have run. The words are defined in
-//! `docs/GLOSSARY.md`.
+//! Distinct types keep terms and positions apart, and every refusal carries a verdict on whether its
+//! request may have run. `docs/GLOSSARY.md` defines the terms.
 
 mod log_point;
 mod names;
