--- a/crates/model/src/log_point.rs
+++ b/crates/model/src/log_point.rs
@@ -1,17 +1,17 @@
-//! Terms and log positions: where in a group's history a change stands.
+//! Terms and log positions, which identify a point in a group's history.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a group's period under one primary; each promotion raises it by at least one.
+/// The number of a group's period under one primary; each promotion increases it by at least one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
 impl Term {
-    /// Returns the term that a promotion out of this one would open.
+    /// Returns the next higher term, for a promotion.
     pub fn next(self) -> Term {
         Term(self.0 + 1)
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// A position in a group's log, in whatever unit the endpoint counts; it only ever grows.
+/// A position in a group's log, in the endpoint's own unit; it never decreases within a term.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,20 +37,20 @@
 
 /// A position together with the term in which it was written.
 ///
-/// Points order by term first, which is the order that decides between two servers at a promotion:
-/// a longer log of an older term loses against a shorter log of a newer one.
+/// Points are ordered by term first. A promotion uses this order to choose between servers: a shorter
+/// log of a newer term is preferred to a longer log of an older one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPoint {
     /// The term in which the position was written.
     pub term: Term,
-    /// The position itself.
+    /// The position in the log.
     pub position: Position,
 }
 
 impl LogPoint {
-    /// Joins a term and a position given as plain numbers.
+    /// Creates a point from plain numbers.
     pub fn new(term: u64, position: u64) -> LogPoint {
         LogPoint { term: Term(term), position: Position(position) }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The text was not of the form `term:position`.
+/// The error for a text that does not have the form `term:position`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidLogPoint;
 
@@ -84,7 +84,7 @@
 }
 
 fn parse_number(text: &str) -> Result<u64, InvalidLogPoint> {
-    // `u64::from_str` takes a leading plus sign, which would give one point two spellings.
+    // `u64::from_str` accepts a leading plus sign, which would allow two spellings of one point.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(InvalidLogPoint);
     }
