--- a/crates/model/src/server_status.rs
+++ b/crates/model/src/server_status.rs
@@ -1,16 +1,16 @@
-//! What a server says of itself.
+//! The status that a server reports about itself.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{LogPoint, Position, Term};
 
-/// What a server believes it is. It is a claim and proves nothing by itself.
+/// The role that a server reports. It does not prove by itself that the role is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerRole {
-    /// It takes writes.
+    /// It accepts writes.
     Primary,
-    /// It follows a primary.
+    /// It replicates from a primary.
     Replica,
 }
 
@@ -19,7 +19,7 @@
 pub struct TermStart {
     /// The term that begins.
     pub term: Term,
-    /// The last position of the history before it, which the new term keeps.
+    /// The last position of the earlier history that the term keeps.
     pub start: Position,
 }
 
@@ -28,15 +28,15 @@
 /// Received from the endpoint over the caller protocol; see `docs/ENDPOINTS.md`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// The highest term that this server was sealed at; it refuses writes and changes of lower ones.
+    /// The highest term that the server was sealed at; it refuses writes and changes of lower terms.
     pub promised_term: Term,
-    /// The term of the history that it holds, once it matches that term's primary.
+    /// The term of the history that the server holds, once it matches the history of that term's primary.
     pub log_term: Term,
-    /// The last position that it holds and would keep if promoted.
+    /// The last position that the server holds and would keep if it was promoted.
     pub held_position: Position,
-    /// The last position that its reads can see.
+    /// The last position that is visible to reads on the server.
     pub applied_position: Position,
-    /// What it believes it is.
+    /// The role that the server reports.
     pub role: ServerRole,
     /// How long ago a replica last heard from its primary, in milliseconds; `None` at a primary.
     pub leader_silence_ms: Option<u64>,
@@ -45,7 +45,7 @@
 }
 
 impl ServerStatus {
-    /// Returns the point up to which this server's reads see the history.
+    /// Returns the point up to which the history is visible to reads on this server.
     pub fn applied(&self) -> LogPoint {
         LogPoint { term: self.log_term, position: self.applied_position }
     }
@@ -55,7 +55,8 @@
         LogPoint { term: self.log_term, position: self.held_position }
     }
 
-    /// Whether the server takes writes of its own term: it believes it leads and is not sealed above.
+    /// Returns whether the server accepts writes of its own term: it reports the role of primary and is
+    /// not sealed at a higher term.
     pub fn leads(&self) -> bool {
         self.role == ServerRole::Primary && self.promised_term == self.log_term
     }
