--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -1,30 +1,30 @@
-//! What a statement may do, as far as its text shows.
+//! Statement classes and request priorities.
 
-/// The effect of one request, of the strongest of its statements.
+/// The effect of a request, judged by its text; a request with a write among its statements is a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum StatementClass {
-    /// Shown to change nothing; it may run on a replica and may be repeated.
+    /// It provably changes nothing, so it may run on a replica and may be repeated.
     Read,
-    /// May change data; runs on the primary, at most once.
+    /// It may change data, so it runs on the primary at most once.
     Write,
 }
 
 /// The order in which waiting requests get connections; the lowest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Writes and transactions, which may not be late.
+    /// Writes and transactions.
     Urgent,
-    /// Reads that have to see the session's own writes.
+    /// Reads that must see the session's own writes.
     Normal,
-    /// Reads of a kind that accepts stated staleness.
+    /// Reads of a kind with a configured staleness bound.
     Relaxed,
 }
 
 impl Priority {
-    /// Every priority, first served first.
+    /// Every priority, highest first.
     pub const ALL: [Priority; 3] = [Priority::Urgent, Priority::Normal, Priority::Relaxed];
 
-    /// Returns the place in [`Priority::ALL`].
+    /// Returns the index in [`Priority::ALL`].
     pub fn index(self) -> usize {
         match self {
             Priority::Urgent => 0,
