--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -20,8 +20,8 @@
         mirror::News,
         peer_link::{SplitAnswer, answer_askers},
         peers::{
-            ClockMessage, DetourRequest, FollowAnswer, FollowRequest, OwnKeys, SharedReading,
-            StoreReading, judge_reading,
+            ClockMessage, DetourRequest, FollowAnswer, FollowRequest, OwnKeys, SharedRead,
+            StoreRead, evaluate_read,
         },
         runner::{Ask, Control},
         tree::{TreeMember, daemon_to_follow},
@@ -42,8 +42,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeardOf {
     pub(crate) reader: Option<SocketAddr>,
-    pub(crate) heard_to: Revision,
-    pub(crate) reading_number: u64,
+    pub(crate) received_revision: Revision,
+    pub(crate) read_number: u64,
     pub(crate) evidence_number: u64,
     /// When the last reading that it told of was asked for.
     pub(crate) reading_at: Option<Instant>,
@@ -82,10 +82,10 @@
     }
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
-    pub(crate) fn is_reading_shared(&self) -> bool {
+    pub(crate) fn has_fresh_shared_read(&self) -> bool {
         let lasts = self.right().mul_f64(SHARED_LASTS_PART);
         let state = self.state.borrow();
-        state.shared_reading_at.is_some_and(|at| at.elapsed() < lasts)
+        state.shared_read_at.is_some_and(|at| at.elapsed() < lasts)
     }
 
     /// Returns how old what is known of the store may be, in milliseconds; 0 before the first reading, when nothing
@@ -101,7 +101,7 @@
             |reader: Option<SocketAddr>| reader.map_or("store".to_owned(), |it| it.to_string());
         log::info!(
             event = "following", peer = name(now).as_str(), before = name(before).as_str(),
-            knowledge_age_ms = self.knowledge_age_ms(), revision = self.state.borrow().mirror.followed_to().number();
+            knowledge_age_ms = self.knowledge_age_ms(), revision = self.state.borrow().mirror.applied_revision().number();
             "changes are heard from somebody else now"
         );
     }
@@ -132,14 +132,14 @@
             }
             state.heard_of
         };
-        let followed_to = self.state.borrow().mirror.followed_to();
+        let applied_revision = self.state.borrow().mirror.applied_revision();
         let request = FollowRequest {
             host: self.settings.host.to_string(),
-            followed_to: followed_to.number(),
-            era: followed_to.era().0,
-            heard_to: heard_of.heard_to.number(),
-            heard_era: heard_of.heard_to.era().0,
-            reading_number: heard_of.reading_number,
+            applied_revision: applied_revision.number(),
+            era: applied_revision.era().0,
+            received_revision: heard_of.received_revision.number(),
+            received_era: heard_of.received_revision.era().0,
+            read_number: heard_of.read_number,
             evidence_number: heard_of.evidence_number,
             wait_ms: NEWS_WAIT.as_millis() as u64,
             heard: heard_of.clock.map(|(clock, _)| clock),
@@ -167,22 +167,22 @@
         let reading = answer.reading.take();
         {
             let mut state = self.state.borrow_mut();
-            state.heard_of.heard_to = answer.revision(answer.heard_to);
+            state.heard_of.received_revision = answer.revision(answer.received_revision);
             state.heard_of.evidence_number = answer.evidence_number;
             state.heard_of.clock = answer.clock.map(|clock| (clock, Instant::now()));
         }
         self.take_over_news(told.news);
         {
             let mut state = self.state.borrow_mut();
-            let own_followed_to = answer.revision(answer.own_followed_to);
-            state.own_followed_to = state.own_followed_to.max(own_followed_to);
+            let own_applied_revision = answer.revision(answer.own_applied_revision);
+            state.own_applied_revision = state.own_applied_revision.max(own_applied_revision);
         }
         if let Some(told) = reading
             && let Some(reading) = told.reading(answer.made_at(sent_at), answer.era())
         {
             {
                 let mut state = self.state.borrow_mut();
-                state.heard_of.reading_number = told.number;
+                state.heard_of.read_number = told.number;
                 state.heard_of.reading_at = Some(reading.asked_at);
             }
             self.take_reading(reading);
@@ -198,16 +198,16 @@
     }
 
     /// Takes over a reading by another daemon, for what it is worth here.
-    fn take_reading(&self, reading: StoreReading) {
+    fn take_reading(&self, reading: StoreRead) {
         let now = Instant::now();
         self.state.borrow_mut().note_sighting(&reading);
         let useful_for = self.right().mul_f64(USEFUL_PART);
-        let judged = judge_reading(&reading, now, useful_for, &self.own_keys());
-        let SharedReading::Renews(services) = judged else { return };
+        let judged = evaluate_read(&reading, now, useful_for, &self.own_keys());
+        let SharedRead::Renews(services) = judged else { return };
         let is_back = {
             let mut state = self.state.borrow_mut();
-            state.shared_reading_at = Some(reading.asked_at);
-            state.keep_reading(reading);
+            state.shared_read_at = Some(reading.asked_at);
+            state.keep_latest_read(reading);
             state.note_read(now, self.patience())
         };
         if is_back {
@@ -220,7 +220,7 @@
     pub(crate) fn own_keys(&self) -> OwnKeys {
         let state = self.state.borrow();
         OwnKeys {
-            followed_to: state.own_followed_to,
+            applied_revision: state.own_applied_revision,
             member: state.mirror.get(&self.member_key()).map(|item| item.revision),
             records: state
                 .records
@@ -231,27 +231,27 @@
     }
 
     fn take_over_news(&self, news: News) {
-        let News { changes, is_whole, followed_to } = news;
+        let News { changes, is_whole, applied_revision } = news;
         let changes = if is_whole {
             let items = changes.into_iter().filter_map(|change| match change {
                 Change::Put(item) => Some(item),
                 Change::Removed { .. } => None,
             });
-            let snapshot = Snapshot { items: items.collect(), revision: followed_to };
-            self.enter_era(followed_to);
+            let snapshot = Snapshot { items: items.collect(), revision: applied_revision };
+            self.enter_era(applied_revision);
             self.state.borrow().mirror.changes_to("", snapshot)
         } else {
             changes
         };
         self.take_over(changes);
-        self.state.borrow_mut().note_followed(followed_to);
+        self.state.borrow_mut().note_applied(applied_revision);
     }
 
     /// Answers a daemon that follows the store through this one, as soon as there is news for it.
     pub(crate) async fn answer_follower(&self, request: FollowRequest) -> SplitAnswer {
         let received_at = Instant::now();
         // An asker that was in another zone's reach may have heard of a restore first.
-        self.store.note_era(request.followed_revision().era());
+        self.store.note_era(request.applied().era());
         self.take_samples(request.samples_here(self.life, self.epoch, received_at));
         for service in &request.behind {
             self.note_behind(Name::from(service.as_str()));
@@ -274,28 +274,28 @@
 
     fn has_news_for(&self, request: &FollowRequest) -> bool {
         let state = self.state.borrow();
-        state.urgent_to > request.followed_revision().max(request.heard_revision())
-            || state.reading_number != request.reading_number
+        state.urgent_revision > request.applied().max(request.received())
+            || state.read_number != request.read_number
             || state.evidence_number != request.evidence_number
     }
 
     fn tell_follower(&self, request: &FollowRequest, received_at: Instant) -> SplitAnswer {
         let now = Instant::now();
         let state = self.state.borrow();
-        let reading = state.reading.filter(|_| state.reading_number != request.reading_number);
+        let reading = state.reading.filter(|_| state.read_number != request.read_number);
         // Only whoever changes a primary asks who has stopped, and that one reads the store itself.
         let stopped = self.key("stopped/");
         let is_wanted = |change: &Change| !change.key().starts_with(&stopped);
-        let is_starting = request.takes_packed && request.followed_to == 0;
-        let whole = (is_starting && state.mirror.followed_to() > Revision::ABSENT)
+        let is_starting = request.takes_packed && request.applied_revision == 0;
+        let whole = (is_starting && state.mirror.applied_revision() > Revision::ABSENT)
             .then(|| self.packer.whole(&state.mirror, now, is_wanted))
             // Where removals since then are forgotten, what is known now is told in the usual way.
-            .filter(|whole| !state.mirror.news_since(whole.followed_to).is_whole);
+            .filter(|whole| !state.mirror.news_since(whole.applied_revision).is_whole);
         let known_to =
-            whole.as_ref().map_or(request.followed_revision(), |whole| whole.followed_to);
+            whole.as_ref().map_or(request.applied(), |whole| whole.applied_revision);
         let news = state.mirror.news_since(known_to);
         let changes: Vec<_> = news.changes.into_iter().filter(is_wanted).collect();
-        let span = (known_to, news.followed_to);
+        let span = (known_to, news.applied_revision);
         let changes: Vec<_> = changes.into_iter().map(|change| self.packer.pack(change)).collect();
         let (changes, packed) = match whole {
             Some(whole) => (changes, whole.packed),
@@ -304,15 +304,15 @@
         };
         let answer = FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
-            reading: reading.map(|reading| reading.told_at(state.reading_number, now)),
+            reading: reading.map(|reading| reading.told_at(state.read_number, now)),
             changes,
             is_whole: news.is_whole,
-            followed_to: news.followed_to.number(),
-            heard_to: state.mirror.last_revision().number(),
+            applied_revision: news.applied_revision.number(),
+            received_revision: state.mirror.last_revision().number(),
             era: state.mirror.era().0,
             // Set as the changes are split off.
             changes_follow: false,
-            own_followed_to: state.own_followed_to.number(),
+            own_applied_revision: state.own_applied_revision.number(),
             evidence: state
                 .evidence
                 .iter()
--- a/crates/proxy/src/control/knowledge.rs
+++ b/crates/proxy/src/control/knowledge.rs
@@ -49,9 +49,9 @@
 }
 
 impl Knowledge {
-    /// Notes a reading of the store by a daemon that knows every change up to `followed_to`.
-    pub fn note_reading(&mut self, seen: Sighting, followed_to: Revision) {
-        if seen.revision <= followed_to {
+    /// Notes a reading of the store by a daemon that knows every change up to `applied_revision`.
+    pub fn note_store_read(&mut self, seen: Sighting, applied_revision: Revision) {
+        if seen.revision <= applied_revision {
             self.complete_at = self.complete_at.max(Some(seen.asked_at));
             return;
         }
@@ -63,12 +63,12 @@
     }
 
     /// Notes that every change up to a revision is known now.
-    pub fn note_followed(&mut self, followed_to: Revision) {
+    pub fn note_applied(&mut self, applied_revision: Revision) {
         let Some((first, latest)) = self.missing else { return };
-        if first.revision > followed_to {
+        if first.revision > applied_revision {
             return;
         }
-        let is_all = latest.revision <= followed_to;
+        let is_all = latest.revision <= applied_revision;
         let made_up_for = if is_all { latest } else { first };
         self.missing = (!is_all).then_some((latest, latest));
         self.complete_at = self.complete_at.max(Some(made_up_for.asked_at));
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -20,7 +20,7 @@
     /// Removals up to here may be forgotten.
     forgotten_to: Revision,
     /// Every change up to here is known.
-    followed_to: Revision,
+    applied_revision: Revision,
 }
 
 /// What another daemon has not heard of yet.
@@ -31,7 +31,7 @@
     /// Whether these are all keys that there are, so that every other key is gone.
     pub is_whole: bool,
     /// Every change up to here is among them.
-    pub followed_to: Revision,
+    pub applied_revision: Revision,
 }
 
 impl Mirror {
@@ -74,13 +74,13 @@
     }
 
     /// Notes that every change up to a revision is known.
-    pub fn note_followed(&mut self, revision: Revision) {
-        self.followed_to = self.followed_to.max(revision);
+    pub fn note_applied(&mut self, revision: Revision) {
+        self.applied_revision = self.applied_revision.max(revision);
     }
 
     /// Returns the revision up to which every change is known; [`Revision::ABSENT`] before the first whole reading.
-    pub fn followed_to(&self) -> Revision {
-        self.followed_to
+    pub fn applied_revision(&self) -> Revision {
+        self.applied_revision
     }
 
     /// Returns the revision of the latest change that is known.
@@ -104,7 +104,7 @@
                 None => Some(Change::Removed { key: key.clone(), revision: *revision }),
             },
         );
-        News { changes: changes.collect(), is_whole, followed_to: self.followed_to }
+        News { changes: changes.collect(), is_whole, applied_revision: self.applied_revision }
     }
 
     /// Returns an item.
--- a/crates/proxy/src/control/packing.rs
+++ b/crates/proxy/src/control/packing.rs
@@ -42,7 +42,7 @@
 pub(crate) struct PackedWhole {
     packed_at: Instant,
     /// Every change up to here is in it.
-    pub(crate) followed_to: Revision,
+    pub(crate) applied_revision: Revision,
     /// A packed [`ChangesMessage`].
     pub(crate) packed: Bytes,
 }
@@ -84,7 +84,7 @@
         if let Some(known) = whole.as_ref()
             && now.duration_since(known.packed_at) < WHOLE_LASTS
             // The answer that it goes with tells one era for all.
-            && known.followed_to.era() == mirror.era()
+            && known.applied_revision.era() == mirror.era()
         {
             return known.clone();
         }
@@ -92,7 +92,7 @@
         let changes = changes.map(ChangeMessage::from).collect();
         let message = ChangesMessage { changes, packed: Bytes::new() };
         let packed = deflate(&message.encode_to_vec());
-        let made = PackedWhole { packed_at: now, followed_to: mirror.followed_to(), packed };
+        let made = PackedWhole { packed_at: now, applied_revision: mirror.applied_revision(), packed };
         *whole = Some(made.clone());
         made
     }
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -76,13 +76,13 @@
     pub host: String,
     /// The asker knows every change up to this revision.
     #[prost(uint64, tag = "2")]
-    pub followed_to: u64,
+    pub applied_revision: u64,
     /// The latest change that this daemon told the asker of; what is later is news.
     #[prost(uint64, tag = "3")]
-    pub heard_to: u64,
+    pub received_revision: u64,
     /// The number of the last reading that the asker was told of.
     #[prost(uint64, tag = "4")]
-    pub reading_number: u64,
+    pub read_number: u64,
     /// The number of the last round of evidence that the asker was told of.
     #[prost(uint64, tag = "5")]
     pub evidence_number: u64,
@@ -98,12 +98,12 @@
     /// Services whose reads the asker refuses because every replica is behind; for whoever promotes.
     #[prost(string, repeated, tag = "9")]
     pub behind: Vec<String>,
-    /// The store's era that `followed_to` is of.
+    /// The store's era that `applied_revision` is of.
     #[prost(uint64, tag = "10")]
     pub era: u64,
-    /// That of `heard_to`.
+    /// That of `received_revision`.
     #[prost(uint64, tag = "11")]
-    pub heard_era: u64,
+    pub received_era: u64,
     /// Whether the asker, which knows nothing yet, takes what the store holds in one packed piece.
     #[prost(bool, tag = "12")]
     pub takes_packed: bool,
@@ -175,13 +175,13 @@
 
 impl FollowRequest {
     /// Returns the revision up to which the asker knows every change.
-    pub fn followed_revision(&self) -> Revision {
-        Revision::new(Era(self.era), self.followed_to)
+    pub fn applied(&self) -> Revision {
+        Revision::new(Era(self.era), self.applied_revision)
     }
 
     /// Returns the latest change that the asker was told of here.
-    pub fn heard_revision(&self) -> Revision {
-        Revision::new(Era(self.heard_era), self.heard_to)
+    pub fn received(&self) -> Revision {
+        Revision::new(Era(self.received_era), self.received_revision)
     }
 
     /// Returns the samples by this daemon's clock, which counts from `epoch` in this `life`; none if the
@@ -208,7 +208,7 @@
     pub held_ms: u64,
     /// The last reading of the store that the answering daemon knows of.
     #[prost(message, optional, tag = "2")]
-    pub reading: Option<ReadingMessage>,
+    pub reading: Option<StoreReadMessage>,
     /// Changes that the asker may not have heard of, oldest first. They travel in a frame of their own
     /// behind the answer, see [`FollowAnswer::split`].
     #[prost(message, repeated, tag = "3")]
@@ -218,10 +218,10 @@
     pub is_whole: bool,
     /// Every change up to this revision is known to the answering daemon.
     #[prost(uint64, tag = "5")]
-    pub followed_to: u64,
+    pub applied_revision: u64,
     /// The latest change that it knows of.
     #[prost(uint64, tag = "6")]
-    pub heard_to: u64,
+    pub received_revision: u64,
     /// Who leads by the word of a majority of the servers.
     #[prost(message, repeated, tag = "7")]
     pub evidence: Vec<EvidenceMessage>,
@@ -236,7 +236,7 @@
     pub samples: Vec<SampleMessage>,
     /// Every change of the daemons' own keys up to this revision is known to the answering daemon.
     #[prost(uint64, tag = "11")]
-    pub own_followed_to: u64,
+    pub own_applied_revision: u64,
     /// Whether the changes come in a frame of their own.
     #[prost(bool, tag = "12")]
     pub changes_follow: bool,
@@ -393,7 +393,7 @@
         let news = News {
             changes: changes.map(|change| change.change(era)).collect(),
             is_whole: self.is_whole,
-            followed_to: Revision::new(era, self.followed_to),
+            applied_revision: Revision::new(era, self.applied_revision),
         };
         let evidence = std::mem::take(&mut self.evidence).into_iter().filter_map(|it| {
             Some(Evidence {
@@ -418,7 +418,7 @@
 
 /// A linearizable reading of the daemons' own keys.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct ReadingMessage {
+pub struct StoreReadMessage {
     /// Its number in the life of the answering daemon, from 1 on.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -432,26 +432,26 @@
 
 /// A linearizable reading of the daemons' own keys, by whomever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreReading {
+pub struct StoreRead {
     /// When it was asked for, or before.
     pub asked_at: Instant,
     /// The store's revision as it was made.
     pub revision: Revision,
 }
 
-impl StoreReading {
+impl StoreRead {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, number: u64, now: Instant) -> ReadingMessage {
+    pub fn told_at(&self, number: u64, now: Instant) -> StoreReadMessage {
         let revision = self.revision.number();
-        ReadingMessage { number, age_ms: age_ms(self.asked_at, now), revision }
+        StoreReadMessage { number, age_ms: age_ms(self.asked_at, now), revision }
     }
 }
 
-impl ReadingMessage {
+impl StoreReadMessage {
     /// Returns the reading, of a store in this era, as it was told at `made_at` at the earliest.
-    pub fn reading(&self, made_at: Instant, era: Era) -> Option<StoreReading> {
+    pub fn reading(&self, made_at: Instant, era: Era) -> Option<StoreRead> {
         let asked_at = made_at.checked_sub(Duration::from_millis(self.age_ms))?;
-        Some(StoreReading { asked_at, revision: Revision::new(era, self.revision) })
+        Some(StoreRead { asked_at, revision: Revision::new(era, self.revision) })
     }
 }
 
@@ -459,7 +459,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnKeys {
     /// Every change up to here is known.
-    pub followed_to: Revision,
+    pub applied_revision: Revision,
     /// The revision of this daemon's member key, if there is one.
     pub member: Option<Revision>,
     /// The revisions of the leadership records, by service.
@@ -468,7 +468,7 @@
 
 /// What a reading by another daemon is worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SharedReading {
+pub enum SharedRead {
     /// It renews the rights to these services.
     Renews(Vec<Name>),
     /// The store has to be read.
@@ -477,19 +477,19 @@
 
 /// Judges a reading by what this daemon knows of the keys that it showed: whoever knows every change up
 /// to the reading's revision knows what it showed without being told.
-pub fn judge_reading(
-    reading: &StoreReading,
+pub fn evaluate_read(
+    reading: &StoreRead,
     now: Instant,
     useful_for: Duration,
     known: &OwnKeys,
-) -> SharedReading {
+) -> SharedRead {
     let is_shown = |revision: Revision| revision <= reading.revision;
     let is_old = now.saturating_duration_since(reading.asked_at) > useful_for;
     // Who does not know all that the reading showed may have missed a change of primary.
-    if is_old || !known.member.is_some_and(is_shown) || known.followed_to < reading.revision {
-        return SharedReading::Useless;
+    if is_old || !known.member.is_some_and(is_shown) || known.applied_revision < reading.revision {
+        return SharedRead::Useless;
     }
     // Of a record that has changed since, the reading says nothing.
     let shown = known.records.iter().filter(|(_, revision)| is_shown(**revision));
-    SharedReading::Renews(shown.map(|(service, _)| service.clone()).collect())
+    SharedRead::Renews(shown.map(|(service, _)| service.clone()).collect())
 }
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -71,10 +71,10 @@
     fn bare_question(&self) -> FollowRequest {
         FollowRequest {
             host: self.settings.host.to_string(),
-            followed_to: Revision::MAX.number(),
-            heard_to: Revision::MAX.number(),
+            applied_revision: Revision::MAX.number(),
+            received_revision: Revision::MAX.number(),
             era: Revision::MAX.era().0,
-            heard_era: Revision::MAX.era().0,
+            received_era: Revision::MAX.era().0,
             ..FollowRequest::default()
         }
     }
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -18,7 +18,7 @@
     control::{
         adapter::Adapter,
         change::VersionedRecord,
-        peers::StoreReading,
+        peers::StoreRead,
         record::{EraSeen, LeadershipRecord},
         runner::Control,
         state::State,
@@ -78,11 +78,11 @@
 
     /// Counts what this daemon wrote and the watch did not tell of before the era ended as known, so that it is put back:
     /// nobody else may have heard of it, and an order may have followed.
-    fn keep_unheard_records(&mut self, heard_to: Revision) {
+    fn keep_unheard_records(&mut self, received_revision: Revision) {
         for (service, written) in std::mem::take(&mut self.written) {
             let known = self.records.get(&service);
             let is_later = known.is_none_or(|known| written.record.is_after(&known.record));
-            if written.revision > heard_to && is_later {
+            if written.revision > received_revision && is_later {
                 self.records.insert(service, Arc::new(written));
             }
         }
@@ -153,8 +153,8 @@
         if era <= before {
             return;
         }
-        let knew_before = state.mirror.followed_to() != Revision::ABSENT;
-        let lost_from = state.mirror.followed_to();
+        let knew_before = state.mirror.applied_revision() != Revision::ABSENT;
+        let lost_from = state.mirror.applied_revision();
         state.mirror.enter(era);
         state.keep_unheard_records(lost_from);
         let now = Instant::now();
@@ -187,7 +187,7 @@
 
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
     /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
-    pub(crate) async fn meet_era(&self, reading: StoreReading) -> Result<(), MetadataError> {
+    pub(crate) async fn meet_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
         if self.zone_reader().is_none() {
             return self.read_everything().await;
         }
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/rights.rs
@@ -12,7 +12,7 @@
         adapter::Adapter,
         control_view::Basis,
         pause::Pause,
-        peers::{SharedReading, StoreReading, judge_reading},
+        peers::{SharedRead, StoreRead, evaluate_read},
         runner::Control,
         state::State,
     },
@@ -47,7 +47,7 @@
                     () = self.refresh_now.notified() => {}
                 }
             }
-            if self.is_reading_shared() {
+            if self.has_fresh_shared_read() {
                 tokio::select! {
                     () = tokio::time::sleep(every / LOOKS_PER_READING) => {}
                     () = self.refresh_now.notified() => {}
@@ -83,7 +83,7 @@
     /// Waits until the store is to be tried again, unless another daemon's reading comes first.
     async fn await_shared_reading(&self, pause: &mut Pause) {
         let shared = async {
-            while !self.is_reading_shared() {
+            while !self.has_fresh_shared_read() {
                 self.news.notified().await;
             }
         };
@@ -111,9 +111,9 @@
     pub(crate) async fn renew_rights(&self, asked_at: Instant) -> Result<(), MetadataError> {
         let own = self.read_below(&self.member_key()).await?;
         if own.revision.era() > self.state.borrow().mirror.era() {
-            return self.meet_era(StoreReading { asked_at, revision: own.revision }).await;
+            return self.meet_era(StoreRead { asked_at, revision: own.revision }).await;
         }
-        if self.state.borrow().own_followed_to >= own.revision {
+        if self.state.borrow().own_applied_revision >= own.revision {
             self.on_own_reading(own.revision, asked_at);
             return Ok(());
         }
@@ -125,7 +125,7 @@
                 Ok(()) | Err(MetadataError::HistoryGone) => {}
                 Err(error) => return Err(error),
             }
-            if self.state.borrow().own_followed_to >= own.revision {
+            if self.state.borrow().own_applied_revision >= own.revision {
                 self.on_own_reading(own.revision, asked_at);
                 return Ok(());
             }
@@ -133,7 +133,7 @@
         let asked_at = Instant::now();
         let everything = self.read_below(&self.key("")).await?;
         if everything.revision.era() > self.state.borrow().mirror.era() {
-            return self.meet_era(StoreReading { asked_at, revision: everything.revision }).await;
+            return self.meet_era(StoreRead { asked_at, revision: everything.revision }).await;
         }
         self.on_own_snapshot(everything, asked_at);
         Ok(())
@@ -141,7 +141,7 @@
 
     /// Whether so much is missing up to a revision that whoever is followed is waited for: that one sends it packed, and once.
     fn is_told_soon(&self, revision: Revision) -> bool {
-        let known = self.state.borrow().own_followed_to;
+        let known = self.state.borrow().own_applied_revision;
         let missing = revision.number().saturating_sub(known.number());
         missing > MOST_MISSING_ASKED && self.zone_reader().is_some()
     }
@@ -151,13 +151,13 @@
     /// Rights need no more than that. Asked for all changes, a region of 150 daemons that was half a second behind drew a
     /// configuration of a megabyte for each of them over one link, and was behind for as long as that lasted.
     async fn hear_own_changes(&self) -> Result<(), MetadataError> {
-        let after = self.state.borrow().own_followed_to;
+        let after = self.state.borrow().own_applied_revision;
         let changes = self.store.watch(&self.key(""), after, Duration::ZERO).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
         self.take_over(changes);
         let mut state = self.state.borrow_mut();
-        state.own_followed_to = state.own_followed_to.max(revision);
+        state.own_applied_revision = state.own_applied_revision.max(revision);
         Ok(())
     }
 
@@ -170,19 +170,19 @@
 
     /// Takes over a reading at a revision up to which every change of the daemons' own keys is known.
     fn on_own_reading(&self, revision: Revision, asked_at: Instant) {
-        let reading = StoreReading { asked_at, revision };
+        let reading = StoreRead { asked_at, revision };
         let now = Instant::now();
         self.note_own_reading(reading, now);
-        match judge_reading(&reading, now, self.right(), &self.own_keys()) {
-            SharedReading::Renews(services) => self.grant_rights(asked_at, Some(&services)),
-            SharedReading::Useless if self.is_key_gone() => self.rejoin.notify_one(),
-            SharedReading::Useless => {}
+        match evaluate_read(&reading, now, self.right(), &self.own_keys()) {
+            SharedRead::Renews(services) => self.grant_rights(asked_at, Some(&services)),
+            SharedRead::Useless if self.is_key_gone() => self.rejoin.notify_one(),
+            SharedRead::Useless => {}
         }
         self.finish_reading(now);
     }
 
     /// Notes a reading that this daemon asked for itself.
-    fn note_own_reading(&self, reading: StoreReading, now: Instant) {
+    fn note_own_reading(&self, reading: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
         state.note_sighting(&reading);
         let before = state.own_read_at.replace(reading.asked_at);
@@ -192,8 +192,8 @@
             state.watching_since = Some(now);
         }
         let is_back = state.note_read(now, self.patience());
-        state.own_followed_to = state.own_followed_to.max(reading.revision);
-        state.keep_reading(reading);
+        state.own_applied_revision = state.own_applied_revision.max(reading.revision);
+        state.keep_latest_read(reading);
         drop(state);
         if is_back {
             self.try_suspected_again();
@@ -215,7 +215,7 @@
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
         let changes = self.state.borrow().mirror.changes_to(&self.key(""), snapshot);
         self.take_over(changes);
-        self.note_own_reading(StoreReading { asked_at, revision }, now);
+        self.note_own_reading(StoreRead { asked_at, revision }, now);
         if is_member {
             self.grant_rights(asked_at, None);
         } else if self.is_key_gone() {
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -168,7 +168,7 @@
 
     fn how_much_is_heard(&self) -> Heard {
         let state = self.state.borrow();
-        if state.mirror.followed_to() == Revision::ABSENT {
+        if state.mirror.applied_revision() == Revision::ABSENT {
             return Heard::Nothing;
         }
         match state.knowledge.age(Instant::now()) {
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -19,7 +19,7 @@
         knowledge::{Knowledge, Sighting},
         looks::Looks,
         mirror::Mirror,
-        peers::{Evidence, PrimarySample, StoreReading},
+        peers::{Evidence, PrimarySample, StoreRead},
         put_back::ConfigurationsHeard,
         record::LeadershipRecord,
         restored::Restore,
@@ -78,19 +78,19 @@
     /// When this daemon itself last asked for a reading of the store.
     pub(crate) own_read_at: Option<Instant>,
     /// The youngest reading of the store, by whomever.
-    pub(crate) reading: Option<StoreReading>,
+    pub(crate) reading: Option<StoreRead>,
     /// How many there were.
-    pub(crate) reading_number: u64,
+    pub(crate) read_number: u64,
     /// Every change of the daemons' own keys up to here is known.
-    pub(crate) own_followed_to: Revision,
+    pub(crate) own_applied_revision: Revision,
     /// The latest change that those who follow the store through this daemon should hear of at once.
-    pub(crate) urgent_to: Revision,
+    pub(crate) urgent_revision: Revision,
     /// Who leads by the word of a majority of the servers, for others.
     pub(crate) evidence: Vec<Evidence>,
     /// A number that rises with each change of that.
     pub(crate) evidence_number: u64,
     /// When the last shared reading that was of use here was asked for.
-    pub(crate) shared_reading_at: Option<Instant>,
+    pub(crate) shared_read_at: Option<Instant>,
     pub(crate) heard_of: HeardOf,
     /// The latest sample of each primary's log that a daemon of the zone took.
     pub(crate) samples: Arc<HashMap<Name, PrimarySample>>,
@@ -157,15 +157,15 @@
     }
 
     /// Notes that every change up to a revision is known.
-    pub(crate) fn note_followed(&mut self, revision: Revision) {
-        self.mirror.note_followed(revision);
-        self.knowledge.note_followed(self.mirror.followed_to());
+    pub(crate) fn note_applied(&mut self, revision: Revision) {
+        self.mirror.note_applied(revision);
+        self.knowledge.note_applied(self.mirror.applied_revision());
     }
 
     /// Notes which revision the store stood at, by any reading, whether it gives a right or not.
-    pub(crate) fn note_sighting(&mut self, reading: &StoreReading) {
+    pub(crate) fn note_sighting(&mut self, reading: &StoreRead) {
         let seen = Sighting { revision: reading.revision, asked_at: reading.asked_at };
-        self.knowledge.note_reading(seen, self.mirror.followed_to());
+        self.knowledge.note_store_read(seen, self.mirror.applied_revision());
     }
 
     /// Forgets what was believed of a server's former life: rights to use it, what it showed of its log, and that it was out
@@ -187,10 +187,10 @@
     }
 
     /// Keeps a reading for others if it is the youngest.
-    pub(crate) fn keep_reading(&mut self, reading: StoreReading) {
+    pub(crate) fn keep_latest_read(&mut self, reading: StoreRead) {
         if self.reading.is_none_or(|known| known.asked_at < reading.asked_at) {
             self.reading = Some(reading);
-            self.reading_number += 1;
+            self.read_number += 1;
         }
     }
 
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -72,7 +72,7 @@
         self.enter_era(revision);
         let changes = self.state.borrow().mirror.changes_to("", everything);
         self.take_over(changes);
-        self.state.borrow_mut().note_followed(revision);
+        self.state.borrow_mut().note_applied(revision);
         self.on_own_snapshot(own, asked_at);
         self.note_everything_known();
         Ok(())
@@ -132,15 +132,15 @@
 
     /// Asks the store once what has changed since the last change that is known, and takes that over.
     pub(crate) async fn watch_once(&self, wait: Duration) -> Result<(), MetadataError> {
-        let after = self.state.borrow().mirror.followed_to();
+        let after = self.state.borrow().mirror.applied_revision();
         // One watch over all keys costs one call where three prefixes would cost three.
         let changes = self.store.watch("", after, wait).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
         self.take_over(changes);
         let mut state = self.state.borrow_mut();
-        state.note_followed(revision);
-        state.own_followed_to = state.own_followed_to.max(revision);
+        state.note_applied(revision);
+        state.own_applied_revision = state.own_applied_revision.max(revision);
         Ok(())
     }
 
@@ -202,9 +202,9 @@
     /// An answer that has begun is waited for, and asked for again if it does not end: everything is more than the changes,
     /// and would come over the same link.
     async fn catch_up(&self) -> Result<(), MetadataError> {
-        let before = self.state.borrow().mirror.followed_to();
+        let before = self.state.borrow().mirror.applied_revision();
         let asked = self.watch_once(Duration::ZERO).await;
-        let has_moved = self.state.borrow().mirror.followed_to() > before;
+        let has_moved = self.state.borrow().mirror.applied_revision() > before;
         match asked {
             // In a large fleet readings overtake an answer that takes long; more of them follows it.
             Ok(()) if !self.is_behind() || (has_moved && self.is_fleet_large()) => {
@@ -230,7 +230,7 @@
                     continue;
                 }
                 if self.is_urgent(&key) {
-                    state.urgent_to = state.urgent_to.max(change.revision());
+                    state.urgent_revision = state.urgent_revision.max(change.revision());
                 }
             }
             if key.starts_with(&*self.settings.metadata.prefix) {
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -340,7 +340,7 @@
     ] {
         mirror.apply(change);
     }
-    mirror.note_followed(at(7));
+    mirror.note_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
         ("what it was told last", 6, vec![removed("p/b", 7)]),
@@ -349,7 +349,7 @@
     ];
     for (name, after, expected) in cases {
         let news = mirror.news_since(at(after));
-        assert_eq!(news, News { changes: expected, is_whole: false, followed_to: at(7) }, "{name}");
+        assert_eq!(news, News { changes: expected, is_whole: false, applied_revision: at(7) }, "{name}");
         assert_eq!(mirror.has_news(at(after)), !news.changes.is_empty(), "{name}");
     }
 }
@@ -383,7 +383,7 @@
         mirror.apply(put(key, at(9)));
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
-    mirror.note_followed(at(10));
+    mirror.note_applied(at(10));
     assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era not begun");
     mirror.enter(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
@@ -391,8 +391,8 @@
     for change in changes {
         assert!(mirror.apply(change));
     }
-    mirror.note_followed(restored(5));
-    assert_eq!(mirror.followed_to(), restored(5));
+    mirror.note_applied(restored(5));
+    assert_eq!(mirror.applied_revision(), restored(5));
     assert_eq!(mirror.last_revision(), restored(5));
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
     assert!(mirror.get("p/lost").is_none());
--- a/crates/proxy/tests/knowledge.rs
+++ b/crates/proxy/tests/knowledge.rs
@@ -26,13 +26,13 @@
 fn a_reading_of_a_later_era_shows_that_something_is_missing() {
     let base = Instant::now();
     let mut knowledge = Knowledge::default();
-    knowledge.note_reading(seen(base, 100, 90), at(90));
+    knowledge.note_store_read(seen(base, 100, 90), at(90));
     let restored = Revision::new(Era(1), 7);
-    knowledge.note_reading(Sighting { revision: restored, asked_at: base + ms(500) }, at(90));
+    knowledge.note_store_read(Sighting { revision: restored, asked_at: base + ms(500) }, at(90));
     assert_eq!(knowledge.behind_for(base + ms(600)), Some(ms(100)));
-    knowledge.note_followed(at(95));
+    knowledge.note_applied(at(95));
     assert_eq!(knowledge.behind_for(base + ms(600)), Some(ms(100)));
-    knowledge.note_followed(restored);
+    knowledge.note_applied(restored);
     assert_eq!(knowledge.behind_for(base + ms(600)), None);
 }
 
@@ -41,13 +41,13 @@
     let base = Instant::now();
     let mut knowledge = Knowledge::default();
     assert_eq!(knowledge.age(base + ms(50)), None);
-    knowledge.note_reading(seen(base, 100, 7), at(7));
+    knowledge.note_store_read(seen(base, 100, 7), at(7));
     assert_eq!(knowledge.age(base + ms(400)), Some(ms(300)));
     assert_eq!(knowledge.behind_for(base + ms(400)), None);
-    knowledge.note_reading(seen(base, 500, 9), at(7));
+    knowledge.note_store_read(seen(base, 500, 9), at(7));
     assert_eq!(knowledge.age(base + ms(600)), Some(ms(500)));
     assert_eq!(knowledge.behind_for(base + ms(600)), Some(ms(100)));
-    knowledge.note_followed(at(9));
+    knowledge.note_applied(at(9));
     assert_eq!(knowledge.age(base + ms(600)), Some(ms(100)));
     assert_eq!(knowledge.behind_for(base + ms(600)), None);
 }
@@ -59,10 +59,10 @@
     let base = Instant::now();
     let mut knowledge = Knowledge::default();
     for step in 1..100 {
-        knowledge.note_reading(seen(base, step * 100, step * 10), at(step * 10 - 10));
+        knowledge.note_store_read(seen(base, step * 100, step * 10), at(step * 10 - 10));
         let now = base + ms(step * 100 + 50);
         assert!(knowledge.behind_for(now).unwrap() <= ms(150), "step {step}");
-        knowledge.note_followed(at(step * 10 - 5));
+        knowledge.note_applied(at(step * 10 - 5));
     }
 }
 
@@ -70,8 +70,8 @@
 fn a_reading_that_was_asked_for_earlier_makes_nothing_younger() {
     let base = Instant::now();
     let mut knowledge = Knowledge::default();
-    knowledge.note_reading(seen(base, 500, 7), at(7));
-    knowledge.note_reading(seen(base, 300, 6), at(7));
+    knowledge.note_store_read(seen(base, 500, 7), at(7));
+    knowledge.note_store_read(seen(base, 300, 6), at(7));
     assert_eq!(knowledge.age(base + ms(600)), Some(ms(100)));
 }
 
@@ -85,7 +85,7 @@
         let base = Instant::now();
         let mut knowledge = Knowledge::default();
         let mut readings: Vec<Sighting> = Vec::new();
-        let mut followed_to = 0;
+        let mut applied_revision = 0;
         let mut revision = 0;
         for (step, (change, is_reading)) in steps.into_iter().enumerate() {
             let now = base + ms(step as u64 * 10);
@@ -93,19 +93,19 @@
             if is_reading {
                 let sighting = Sighting { revision: at(revision), asked_at: now };
                 readings.push(sighting);
-                knowledge.note_reading(sighting, at(followed_to));
+                knowledge.note_store_read(sighting, at(applied_revision));
             } else {
-                followed_to = revision.saturating_sub(change / 2);
-                knowledge.note_followed(at(followed_to));
+                applied_revision = revision.saturating_sub(change / 2);
+                knowledge.note_applied(at(applied_revision));
             }
-            let complete = readings.iter().filter(|it| it.revision <= at(followed_to));
+            let complete = readings.iter().filter(|it| it.revision <= at(applied_revision));
             let true_age = complete.map(|it| now.duration_since(it.asked_at)).min();
             match (knowledge.age(now), true_age) {
                 (Some(age), Some(true_age)) => prop_assert!(age >= true_age),
                 (Some(_), None) => prop_assert!(false, "nothing was complete"),
                 (None, _) => {}
             }
-            let is_missing = readings.iter().any(|it| it.revision > at(followed_to));
+            let is_missing = readings.iter().any(|it| it.revision > at(applied_revision));
             prop_assert_eq!(knowledge.behind_for(now).is_some(), is_missing);
         }
     }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -12,7 +12,7 @@
         packing::unpack,
         peers::{
             ChangeMessage, ChangesMessage, ClockMessage, Evidence, FollowAnswer, FollowRequest,
-            OwnKeys, PrimarySample, SharedReading, StoreReading, judge_reading,
+            OwnKeys, PrimarySample, SharedRead, StoreRead, evaluate_read,
         },
     },
     metadata::{Change, Era, Item, Revision},
@@ -36,26 +36,26 @@
 #[test]
 fn a_reading_renews_what_it_showed_to_whoever_knows_all_of_it() {
     let base = Instant::now() + ms(10_000);
-    let reading = StoreReading { asked_at: base, revision: at(20) };
-    let keys = |followed_to, member: Option<u64>, records: &[(&str, u64)]| OwnKeys {
-        followed_to: at(followed_to),
+    let reading = StoreRead { asked_at: base, revision: at(20) };
+    let keys = |applied_revision, member: Option<u64>, records: &[(&str, u64)]| OwnKeys {
+        applied_revision: at(applied_revision),
         member: member.map(at),
         records: known(records),
     };
     let renews = |services: &[&str]| {
-        SharedReading::Renews(services.iter().map(|service| Name::from(*service)).collect())
+        SharedRead::Renews(services.iter().map(|service| Name::from(*service)).collect())
     };
     let cases = [
         ("all that it showed", keys(20, Some(3), &[("a", 5)]), 300, renews(&["a"])),
         ("a record as old as it", keys(20, Some(3), &[("a", 20)]), 300, renews(&["a"])),
         ("a later change is known", keys(30, Some(3), &[("a", 21)]), 300, renews(&[])),
-        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, SharedReading::Useless),
-        ("no member", keys(20, None, &[("a", 5)]), 300, SharedReading::Useless),
-        ("a member since", keys(30, Some(21), &[("a", 5)]), 300, SharedReading::Useless),
-        ("too old", keys(20, Some(3), &[("a", 5)]), 701, SharedReading::Useless),
+        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, SharedRead::Useless),
+        ("no member", keys(20, None, &[("a", 5)]), 300, SharedRead::Useless),
+        ("a member since", keys(30, Some(21), &[("a", 5)]), 300, SharedRead::Useless),
+        ("too old", keys(20, Some(3), &[("a", 5)]), 701, SharedRead::Useless),
     ];
     for (name, keys, age_ms, expected) in cases {
-        assert_eq!(judge_reading(&reading, base + ms(age_ms), USEFUL, &keys), expected, "{name}");
+        assert_eq!(evaluate_read(&reading, base + ms(age_ms), USEFUL, &keys), expected, "{name}");
     }
 }
 
@@ -64,12 +64,12 @@
 fn a_reading_of_another_era_renews_nothing() {
     let base = Instant::now() + ms(10_000);
     let restored = |number| Revision::new(Era(2), number);
-    let keys = OwnKeys { followed_to: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
-    let later = StoreReading { asked_at: base, revision: restored(10) };
-    assert_eq!(judge_reading(&later, base, USEFUL, &keys), SharedReading::Useless);
-    let keys = OwnKeys { followed_to: restored(10), member: Some(restored(3)), ..keys };
-    let earlier = StoreReading { asked_at: base, revision: at(20) };
-    assert_eq!(judge_reading(&earlier, base, USEFUL, &keys), SharedReading::Useless);
+    let keys = OwnKeys { applied_revision: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
+    let later = StoreRead { asked_at: base, revision: restored(10) };
+    assert_eq!(evaluate_read(&later, base, USEFUL, &keys), SharedRead::Useless);
+    let keys = OwnKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
+    let earlier = StoreRead { asked_at: base, revision: at(20) };
+    assert_eq!(evaluate_read(&earlier, base, USEFUL, &keys), SharedRead::Useless);
 }
 
 #[test]
@@ -84,7 +84,7 @@
         term: Term(3),
         asked_at: servers_asked_at,
     };
-    let reading = StoreReading { asked_at: base + ms(300), revision: at(20) };
+    let reading = StoreRead { asked_at: base + ms(300), revision: at(20) };
     let mut answer = FollowAnswer {
         held_ms: made_at.duration_since(received_at).as_millis() as u64,
         reading: Some(reading.told_at(4, made_at)),
@@ -120,7 +120,7 @@
     let sent = vec![put, empty, removed];
     let message = FollowAnswer {
         changes: sent.iter().cloned().map(Into::into).collect(),
-        followed_to: 11,
+        applied_revision: 11,
         ..FollowAnswer::default()
     };
     // The changes travel behind the answer, so that it is small whatever they are.
