--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/asking.rs
@@ -101,7 +101,7 @@
     /// that asked each for itself took a good part of the servers' time for nothing but that. Groups that no
     /// caller of this daemon asks for are left out where there are many.
     fn services_to_ask(&self, now: Instant) -> Vec<Name> {
-        let follows = self.zone_reader().is_some();
+        let follows = self.upstream().is_some();
         // In a large fleet unused ones are left to whoever is followed: hundreds that each ask for them fill the links
         // between regions, and by that keep the store out of reach.
         let most_unused = match follows && self.is_fleet_large() {
--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -66,7 +66,7 @@
 }
 
 /// Daemons that may reach a server which this one can't, by the server's identity; nearest first.
-pub type Detours = HashMap<Name, Arc<[SocketAddr]>>;
+pub type TunnelPeers = HashMap<Name, Arc<[SocketAddr]>>;
 
 /// Who owns the connections to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -126,7 +126,7 @@
     /// Daemons that share the servers' connections.
     pub sharers: Sharers,
     /// Ways around to the servers that this daemon can't reach itself.
-    pub detours: Arc<Detours>,
+    pub tunnel_peers: Arc<TunnelPeers>,
     /// Who owns the connections to servers, where there are too few for every daemon to have its own.
     pub owners: Arc<Owners>,
     /// Where primaries' logs stood, as other daemons of the zone saw it.
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -17,11 +17,11 @@
 use crate::{
     control::{
         adapter::Adapter,
-        mirror::News,
+        mirror::StoreUpdates,
         peer_link::{SplitAnswer, answer_askers},
         peers::{
-            ClockMessage, DetourRequest, FollowAnswer, FollowRequest, OwnKeys, SharedRead,
-            StoreRead, evaluate_read,
+            ClockMessage, FollowAnswer, FollowRequest, OwnKeys, SharedRead, StoreRead,
+            TunnelRequest, evaluate_read,
         },
         runner::{Ask, Control},
         tree::{TreeMember, daemon_to_follow},
@@ -40,7 +40,7 @@
 
 /// How far this daemon has heard what another one tells.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HeardOf {
+pub(crate) struct UpstreamProgress {
     pub(crate) reader: Option<SocketAddr>,
     pub(crate) received_revision: Revision,
     pub(crate) read_number: u64,
@@ -57,7 +57,7 @@
 impl<P: Adapter> Control<P> {
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
-    pub(crate) fn zone_reader(&self) -> Option<SocketAddr> {
+    pub(crate) fn upstream(&self) -> Option<SocketAddr> {
         if self.held_duty().is_some() {
             return None;
         }
@@ -74,7 +74,7 @@
                 let availability_zone = &member.availability_zone;
                 let reach = self.settings.layout.reach(availability_zone);
                 let is_near = reach < Reach::OtherRegion || crosses_regions;
-                let is_silent = self.asker.is_silent(address, now);
+                let is_silent = self.requester.is_silent(address, now);
                 (is_near && !is_silent).then_some(TreeMember { host, availability_zone, address })
             })
             .collect();
@@ -96,7 +96,7 @@
     }
 
     /// Says whom this daemon follows now, so that a change that did not come can be traced from its log.
-    pub(crate) fn tell_followed(&self, before: Option<SocketAddr>, now: Option<SocketAddr>) {
+    pub(crate) fn log_upstream(&self, before: Option<SocketAddr>, now: Option<SocketAddr>) {
         let name =
             |reader: Option<SocketAddr>| reader.map_or("store".to_owned(), |it| it.to_string());
         log::info!(
@@ -107,71 +107,72 @@
     }
 
     /// Passes the zone's reader over if its readings are old although the store answers this daemon.
-    pub(crate) fn doubt_reader(&self) {
-        let heard_of = self.state.borrow().heard_of;
+    pub(crate) fn drop_stale_upstream(&self) {
+        let upstream_progress = self.state.borrow().upstream_progress;
         let lasts = self.right().mul_f64(SHARED_LASTS_PART);
-        let is_old = heard_of.reading_at.is_none_or(|at| at.elapsed() > lasts);
+        let is_old = upstream_progress.reading_at.is_none_or(|at| at.elapsed() > lasts);
         // Readings wait behind changes that are on their way.
-        let is_old = is_old && self.asker.receives_for(Instant::now()).is_none();
-        if let Some(reader) = heard_of.reader.filter(|_| is_old) {
+        let is_old = is_old && self.requester.receives_for(Instant::now()).is_none();
+        if let Some(reader) = upstream_progress.reader.filter(|_| is_old) {
             log::info!(
                 event = "peer_behind", peer = reader.to_string().as_str();
                 "the zone's reader does not reach the store and is passed over"
             );
-            self.asker.pass_over(reader, Instant::now());
-            self.state.borrow_mut().heard_of = HeardOf::default();
+            self.requester.pass_over(reader, Instant::now());
+            self.state.borrow_mut().upstream_progress = UpstreamProgress::default();
         }
     }
 
     /// Asks the zone's reader once what has changed, and takes that over.
-    pub(crate) async fn follow_reader(&self, reader: SocketAddr) {
-        let heard_of = {
+    pub(crate) async fn follow_upstream(&self, reader: SocketAddr) {
+        let upstream_progress = {
             let mut state = self.state.borrow_mut();
-            if state.heard_of.reader != Some(reader) {
-                state.heard_of = HeardOf { reader: Some(reader), ..HeardOf::default() };
+            if state.upstream_progress.reader != Some(reader) {
+                state.upstream_progress =
+                    UpstreamProgress { reader: Some(reader), ..UpstreamProgress::default() };
             }
-            state.heard_of
+            state.upstream_progress
         };
         let applied_revision = self.state.borrow().mirror.applied_revision();
         let request = FollowRequest {
             host: self.settings.host.to_string(),
             applied_revision: applied_revision.number(),
             era: applied_revision.era().0,
-            received_revision: heard_of.received_revision.number(),
-            received_era: heard_of.received_revision.era().0,
-            read_number: heard_of.read_number,
-            evidence_number: heard_of.evidence_number,
+            received_revision: upstream_progress.received_revision.number(),
+            received_era: upstream_progress.received_revision.era().0,
+            read_number: upstream_progress.read_number,
+            evidence_number: upstream_progress.evidence_number,
             wait_ms: NEWS_WAIT.as_millis() as u64,
-            heard: heard_of.clock.map(|(clock, _)| clock),
-            samples: self.samples_since(heard_of.clock.map(|(_, heard_at)| heard_at)),
+            last_clock: upstream_progress.clock.map(|(clock, _)| clock),
+            samples: self.samples_since(upstream_progress.clock.map(|(_, heard_at)| heard_at)),
             behind: Vec::new(),
             takes_packed: true,
         };
         let sent_at = Instant::now();
         let is_starting = !self.state.borrow().servers_known;
-        match self.asker.ask(reader, &request, is_starting).await {
-            Some(answer) => self.take_answer(answer, sent_at),
+        match self.requester.ask(reader, &request, is_starting).await {
+            Some(answer) => self.apply_answer(answer, sent_at),
             None => {
                 log::info!(
                     event = "peer_silent", peer = reader.to_string().as_str();
                     "the zone's reader did not answer and is passed over"
                 );
-                self.state.borrow_mut().heard_of = HeardOf::default();
+                self.state.borrow_mut().upstream_progress = UpstreamProgress::default();
             }
         }
     }
 
-    fn take_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
+    fn apply_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
         let told = answer.take_told(sent_at);
         self.store.note_era(answer.era());
-        let reading = answer.reading.take();
+        let reading = answer.store_read.take();
         {
             let mut state = self.state.borrow_mut();
-            state.heard_of.received_revision = answer.revision(answer.received_revision);
-            state.heard_of.evidence_number = answer.evidence_number;
-            state.heard_of.clock = answer.clock.map(|clock| (clock, Instant::now()));
+            state.upstream_progress.received_revision = answer.revision(answer.received_revision);
+            state.upstream_progress.evidence_number = answer.evidence_number;
+            state.upstream_progress.clock = answer.clock.map(|clock| (clock, Instant::now()));
         }
-        self.take_over_news(told.news);
+        self.apply_updates(told.news);
         {
             let mut state = self.state.borrow_mut();
             let own_applied_revision = answer.revision(answer.own_applied_revision);
@@ -182,10 +183,10 @@
         {
             {
                 let mut state = self.state.borrow_mut();
-                state.heard_of.read_number = told.number;
-                state.heard_of.reading_at = Some(reading.asked_at);
+                state.upstream_progress.read_number = told.number;
+                state.upstream_progress.reading_at = Some(reading.asked_at);
             }
-            self.take_reading(reading);
+            self.apply_shared_read(reading);
             self.tell_and_look();
         }
         for evidence in told.evidence {
@@ -198,7 +199,7 @@
     }
 
     /// Takes over a reading by another daemon, for what it is worth here.
-    fn take_reading(&self, reading: StoreRead) {
+    fn apply_shared_read(&self, reading: StoreRead) {
         let now = Instant::now();
         self.state.borrow_mut().note_sighting(&reading);
         let useful_for = self.right().mul_f64(USEFUL_PART);
@@ -230,8 +231,8 @@
         }
     }
 
-    fn take_over_news(&self, news: News) {
-        let News { changes, is_whole, applied_revision } = news;
+    fn apply_updates(&self, news: StoreUpdates) {
+        let StoreUpdates { changes, is_whole, applied_revision } = news;
         let changes = if is_whole {
             let items = changes.into_iter().filter_map(|change| match change {
                 Change::Put(item) => Some(item),
@@ -252,7 +253,7 @@
         let received_at = Instant::now();
         // An asker that was in another zone's reach may have heard of a restore first.
         self.store.note_era(request.applied().era());
-        self.take_samples(request.samples_here(self.life, self.epoch, received_at));
+        self.take_samples(request.samples_here(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
             self.note_behind(Name::from(service.as_str()));
         }
@@ -262,8 +263,8 @@
             tokio::pin!(news);
             // From here on nothing is missed between the look and the wait.
             news.as_mut().enable();
-            if self.has_news_for(&request) || Instant::now() >= until {
-                return self.tell_follower(&request, received_at);
+            if self.has_updates_for(&request) || Instant::now() >= until {
+                return self.build_answer(&request, received_at);
             }
             tokio::select! {
                 () = tokio::time::sleep_until(until.into()) => {}
@@ -272,17 +273,17 @@
         }
     }
 
-    fn has_news_for(&self, request: &FollowRequest) -> bool {
+    fn has_updates_for(&self, request: &FollowRequest) -> bool {
         let state = self.state.borrow();
         state.urgent_revision > request.applied().max(request.received())
             || state.read_number != request.read_number
             || state.evidence_number != request.evidence_number
     }
 
-    fn tell_follower(&self, request: &FollowRequest, received_at: Instant) -> SplitAnswer {
+    fn build_answer(&self, request: &FollowRequest, received_at: Instant) -> SplitAnswer {
         let now = Instant::now();
         let state = self.state.borrow();
-        let reading = state.reading.filter(|_| state.read_number != request.read_number);
+        let reading = state.latest_read.filter(|_| state.read_number != request.read_number);
         // Only whoever changes a primary asks who has stopped, and that one reads the store itself.
         let stopped = self.key("stopped/");
         let is_wanted = |change: &Change| !change.key().starts_with(&stopped);
@@ -290,10 +291,9 @@
         let whole = (is_starting && state.mirror.applied_revision() > Revision::ABSENT)
             .then(|| self.packer.whole(&state.mirror, now, is_wanted))
             // Where removals since then are forgotten, what is known now is told in the usual way.
-            .filter(|whole| !state.mirror.news_since(whole.applied_revision).is_whole);
-        let known_to =
-            whole.as_ref().map_or(request.applied(), |whole| whole.applied_revision);
-        let news = state.mirror.news_since(known_to);
+            .filter(|whole| !state.mirror.updates_since(whole.applied_revision).is_whole);
+        let known_to = whole.as_ref().map_or(request.applied(), |whole| whole.applied_revision);
+        let news = state.mirror.updates_since(known_to);
         let changes: Vec<_> = news.changes.into_iter().filter(is_wanted).collect();
         let span = (known_to, news.applied_revision);
         let changes: Vec<_> = changes.into_iter().map(|change| self.packer.pack(change)).collect();
@@ -304,7 +304,7 @@
         };
         let answer = FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
-            reading: reading.map(|reading| reading.told_at(state.read_number, now)),
+            store_read: reading.map(|reading| reading.told_at(state.read_number, now)),
             changes,
             is_whole: news.is_whole,
             applied_revision: news.applied_revision.number(),
@@ -321,7 +321,7 @@
                 .collect(),
             evidence_number: state.evidence_number,
             clock: Some(ClockMessage {
-                life: self.life,
+                incarnation: self.incarnation,
                 at_ms: now.duration_since(self.epoch).as_millis() as u64,
             }),
             samples: state
@@ -336,7 +336,7 @@
 
     /// Returns where a server listens that another daemon wants a detour to; nothing once this daemon
     /// stops, since its connections end soon.
-    fn address_for(&self, request: &DetourRequest) -> Option<SocketAddr> {
+    fn address_for(&self, request: &TunnelRequest) -> Option<SocketAddr> {
         if self.stopping.borrow().is_some() {
             return None;
         }
@@ -354,7 +354,7 @@
                 let control = self.clone();
                 let answer = async move |request| control.answer_follower(request).await;
                 let control = self.clone();
-                let find_server = move |request: &DetourRequest| control.address_for(request);
+                let find_server = move |request: &TunnelRequest| control.address_for(request);
                 let asks = self.asks.clone();
                 let hand_over = move |link| {
                     // A full ring means that the serving thread is behind; the link ends and is made again.
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -25,7 +25,7 @@
 
 /// What another daemon has not heard of yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct StoreUpdates {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
     /// Whether these are all keys that there are, so that every other key is gone.
@@ -89,12 +89,12 @@
     }
 
     /// Whether something was heard that somebody who knows everything up to `after` has not.
-    pub fn has_news(&self, after: Revision) -> bool {
+    pub fn has_updates(&self, after: Revision) -> bool {
         self.last_revision() > after
     }
 
     /// Returns what somebody has not heard who knows everything up to `after`.
-    pub fn news_since(&self, after: Revision) -> News {
+    pub fn updates_since(&self, after: Revision) -> StoreUpdates {
         let is_whole = after < self.forgotten_to;
         let from = if is_whole { Revision::ABSENT } else { after.next() };
         let changes = self.by_revision.range((from, String::new())..).filter_map(
@@ -104,7 +104,11 @@
                 None => Some(Change::Removed { key: key.clone(), revision: *revision }),
             },
         );
-        News { changes: changes.collect(), is_whole, applied_revision: self.applied_revision }
+        StoreUpdates {
+            changes: changes.collect(),
+            is_whole,
+            applied_revision: self.applied_revision,
+        }
     }
 
     /// Returns an item.
--- a/crates/proxy/src/control/packing.rs
+++ b/crates/proxy/src/control/packing.rs
@@ -88,11 +88,12 @@
         {
             return known.clone();
         }
-        let changes = mirror.news_since(Revision::ABSENT).changes.into_iter().filter(is_wanted);
+        let changes = mirror.updates_since(Revision::ABSENT).changes.into_iter().filter(is_wanted);
         let changes = changes.map(ChangeMessage::from).collect();
         let message = ChangesMessage { changes, packed: Bytes::new() };
         let packed = deflate(&message.encode_to_vec());
-        let made = PackedWhole { packed_at: now, applied_revision: mirror.applied_revision(), packed };
+        let made =
+            PackedWhole { packed_at: now, applied_revision: mirror.applied_revision(), packed };
         *whole = Some(made.clone());
         made
     }
--- a/crates/proxy/src/control/pause.rs
+++ b/crates/proxy/src/control/pause.rs
@@ -56,15 +56,15 @@
 impl<P: Adapter> Control<P> {
     /// Whether the daemon that this one follows the store through answered a moment ago.
     pub(crate) fn does_reader_answer(&self) -> bool {
-        let heard_of = self.state.borrow().heard_of;
-        heard_of.clock.is_some_and(|(_, heard_at)| heard_at.elapsed() < ANSWERED_WITHIN)
+        let upstream_progress = self.state.borrow().upstream_progress;
+        upstream_progress.clock.is_some_and(|(_, heard_at)| heard_at.elapsed() < ANSWERED_WITHIN)
     }
 
     /// Waits after a call that failed until the store is worth another try: until a reading by whomever shows that it
     /// is back, or for a while that grows.
     pub(crate) async fn await_store(&self, pause: &mut Pause) {
         let is_silent = || self.state.borrow().is_store_silent(self.patience());
-        if self.zone_reader().is_none() {
+        if self.upstream().is_none() {
             return pause.wait().await;
         }
         if !is_silent() {
--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -20,11 +20,11 @@
 
 use crate::{
     control::{
-        detour::give_detour,
         packing::unpack_all,
         peers::{
-            ChangesMessage, DetourRequest, FollowAnswer, FollowRequest, PeerQuestion, PeerRequest,
+            ChangesMessage, FollowAnswer, FollowRequest, PeerQuestion, PeerRequest, TunnelRequest,
         },
+        tunnel::serve_tunnel,
     },
     links::bound_silence,
 };
@@ -39,9 +39,9 @@
 /// How long the changes behind an answer may take: a configuration of a megabyte, packed to a tenth, for
 /// eight daemons over a link of a megabyte a second, and others' traffic beside it.
 const CHANGES_WITHIN: Duration = Duration::from_secs(5);
-/// Detours that a daemon gives at a time, of two descriptors each: a sixteenth of the 4,096 that it may open by
+/// TunnelPeers that a daemon gives at a time, of two descriptors each: a sixteenth of the 4,096 that it may open by
 /// default, so that a partition which leaves few daemons with a path does not take the descriptors for callers.
-const MOST_DETOURS: usize = 128;
+const MAX_TUNNELS: usize = 128;
 /// How long a daemon that did not answer is not asked.
 const SILENT_FOR: Duration = Duration::from_secs(3);
 /// The largest frame: everything that the store holds for a large installation.
@@ -84,16 +84,16 @@
 pub(crate) async fn answer_askers(
     listener: TcpListener,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer + Clone + 'static,
-    find_server: impl Fn(&DetourRequest) -> Option<SocketAddr> + Clone + 'static,
+    find_server: impl Fn(&TunnelRequest) -> Option<SocketAddr> + Clone + 'static,
     hand_over: impl Fn(HandedOver) + Clone + 'static,
 ) {
-    let detours = Arc::new(Semaphore::new(MOST_DETOURS));
+    let tunnels = Arc::new(Semaphore::new(MAX_TUNNELS));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (answer, find_server) = (answer.clone(), find_server.clone());
                 let hand_over = hand_over.clone();
-                let asker = answer_asker(stream, answer, find_server, hand_over, detours.clone());
+                let asker = answer_asker(stream, answer, find_server, hand_over, tunnels.clone());
                 tokio::task::spawn_local(asker);
             }
             Err(error) => {
@@ -111,19 +111,19 @@
 async fn answer_asker(
     stream: TcpStream,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer,
-    find_server: impl Fn(&DetourRequest) -> Option<SocketAddr>,
+    find_server: impl Fn(&TunnelRequest) -> Option<SocketAddr>,
     hand_over: impl Fn(HandedOver),
-    detours: Arc<Semaphore>,
+    tunnels: Arc<Semaphore>,
 ) {
     let mut frames = framed(stream);
     while let Some(Ok(frame)) = frames.next().await {
         let request = match PeerRequest::decode(frame).ok().and_then(|request| request.question) {
             Some(PeerQuestion::Follow(request)) => request,
-            Some(PeerQuestion::Detour(request)) => {
+            Some(PeerQuestion::Tunnel(request)) => {
                 // Without a place for it the asker hears that the server was not reached.
-                let place = detours.try_acquire().ok();
+                let place = tunnels.try_acquire().ok();
                 let server = place.as_ref().and_then(|_| find_server(&request));
-                return give_detour(frames, server).await;
+                return serve_tunnel(frames, server).await;
             }
             Some(PeerQuestion::Relay(_)) => match HandedOver::new(frames) {
                 Ok(link) => return hand_over(link),
@@ -165,14 +165,14 @@
 
 /// Asks other daemons, over connections that are kept.
 #[derive(Clone, Default)]
-pub(crate) struct Asker {
+pub(crate) struct PeerRequester {
     open: Rc<RefCell<HashMap<SocketAddr, Frames>>>,
     silent_until: Rc<RefCell<HashMap<SocketAddr, Instant>>>,
     /// Since when changes behind an answer are on their way.
     receives_since: Rc<Cell<Option<Instant>>>,
 }
 
-impl Asker {
+impl PeerRequester {
     /// Whether a daemon did not answer a moment ago.
     pub(crate) fn is_silent(&self, address: SocketAddr, now: Instant) -> bool {
         self.silent_until.borrow().get(&address).is_some_and(|until| now < *until)
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -18,7 +18,7 @@
 use prost::{Message, Oneof};
 
 use crate::{
-    control::mirror::News,
+    control::mirror::StoreUpdates,
     metadata::{Change, Era, Item, Revision},
 };
 
@@ -36,10 +36,10 @@
     /// What have you heard? Answered by [`FollowAnswer`]; more questions may follow.
     #[prost(message, tag = "1")]
     Follow(FollowRequest),
-    /// Connect me to a server. Answered by [`DetourAnswer`]; if it was reached, what follows is the
+    /// Connect me to a server. Answered by [`TunnelAnswer`]; if it was reached, what follows is the
     /// server's.
     #[prost(message, tag = "2")]
-    Detour(DetourRequest),
+    Tunnel(TunnelRequest),
     /// Run statements for me on your connections. What follows is of [`crate::relay`].
     #[prost(message, tag = "3")]
     Relay(RelayMessage),
@@ -51,7 +51,7 @@
 
 /// Names a server that the asker can't reach itself.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct DetourRequest {
+pub struct TunnelRequest {
     /// The server's service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -62,7 +62,7 @@
 
 /// Whether a server was reached for another daemon.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct DetourAnswer {
+pub struct TunnelAnswer {
     /// Whether the connection stands.
     #[prost(bool, tag = "1")]
     pub reached: bool,
@@ -91,7 +91,7 @@
     pub wait_ms: u64,
     /// The life and the clock of the last answer that the asker had from this daemon.
     #[prost(message, optional, tag = "7")]
-    pub heard: Option<ClockMessage>,
+    pub last_clock: Option<ClockMessage>,
     /// Samples that the asker took since it had that answer, one for each service at the most.
     #[prost(message, repeated, tag = "8")]
     pub samples: Vec<SampleMessage>,
@@ -114,7 +114,7 @@
 pub struct ClockMessage {
     /// A number of this life of the daemon; clocks of two lives have nothing in common.
     #[prost(uint64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Milliseconds since it began, rounded down.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
@@ -192,7 +192,9 @@
         epoch: Instant,
         now: Instant,
     ) -> Vec<(Name, PrimarySample)> {
-        let Some(heard) = self.heard.filter(|heard| heard.life == life) else { return Vec::new() };
+        let Some(heard) = self.last_clock.filter(|heard| heard.incarnation == life) else {
+            return Vec::new();
+        };
         let heard_at = epoch + Duration::from_millis(heard.at_ms);
         let samples = self.samples.iter();
         let samples = samples.map(|it| it.sample(heard_at + Duration::from_millis(it.ms)));
@@ -208,7 +210,7 @@
     pub held_ms: u64,
     /// The last reading of the store that the answering daemon knows of.
     #[prost(message, optional, tag = "2")]
-    pub reading: Option<StoreReadMessage>,
+    pub store_read: Option<StoreReadMessage>,
     /// Changes that the asker may not have heard of, oldest first. They travel in a frame of their own
     /// behind the answer, see [`FollowAnswer::split`].
     #[prost(message, repeated, tag = "3")]
@@ -351,7 +353,7 @@
 /// What an answer tells besides its reading, taken apart.
 pub struct Told {
     /// Changes, or everything that there is.
-    pub news: News,
+    pub news: StoreUpdates,
     /// Evidence, each with the latest moment at which the servers can have been asked.
     pub evidence: Vec<Evidence>,
     /// Samples by service.
@@ -390,7 +392,7 @@
         let made_at = self.made_at(sent_at);
         let era = Era(self.era);
         let changes = std::mem::take(&mut self.changes).into_iter();
-        let news = News {
+        let news = StoreUpdates {
             changes: changes.map(|change| change.change(era)).collect(),
             is_whole: self.is_whole,
             applied_revision: Revision::new(era, self.applied_revision),
--- a/crates/proxy/src/control/records.rs
+++ b/crates/proxy/src/control/records.rs
@@ -105,7 +105,7 @@
             }
         }
         // Whoever is followed reads the store now and passes that on within milliseconds.
-        if is_settled && self.zone_reader().is_none() {
+        if is_settled && self.upstream().is_none() {
             self.refresh_now.notify_one();
         }
     }
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -46,7 +46,7 @@
         let control = self.clone();
         tokio::task::spawn_local(async move {
             // One that does not answer is passed over for a while and logged where it matters.
-            let _ = control.asker.ask(holder, &request, false).await;
+            let _ = control.requester.ask(holder, &request, false).await;
         });
     }
 
@@ -63,7 +63,7 @@
         let value = std::str::from_utf8(&duty.value).ok()?;
         let (holder, _) = value.split_once(' ')?;
         let member = state.members.get(holder)?;
-        let is_silent = |address: &SocketAddr| self.asker.is_silent(*address, Instant::now());
+        let is_silent = |address: &SocketAddr| self.requester.is_silent(*address, Instant::now());
         member.peer_address.filter(|address| !is_silent(address))
     }
 
@@ -98,7 +98,9 @@
         let control = self.clone();
         tokio::task::spawn_local(async move {
             let sent_at = Instant::now();
-            let Some(mut answer) = control.asker.ask(peer, &request, false).await else { return };
+            let Some(mut answer) = control.requester.ask(peer, &request, false).await else {
+                return;
+            };
             let samples = answer.take_told(sent_at).samples;
             log::debug!(
                 event = "samples_heard", peer = peer.to_string().as_str(), samples = samples.len();
@@ -116,7 +118,8 @@
         let mut readers = Vec::new();
         for member in state.members.values() {
             let Some(address) = member.peer_address else { continue };
-            if !zones.contains(&member.availability_zone) && !self.asker.is_silent(address, now) {
+            if !zones.contains(&member.availability_zone) && !self.requester.is_silent(address, now)
+            {
                 zones.push(member.availability_zone.clone());
                 readers.push(address);
             }
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -167,7 +167,7 @@
         // The duty ended with its lease, and what was missing while nothing was heard can't be known.
         state.duty_lease = None;
         state.watching_since = Some(now);
-        state.reading = None;
+        state.latest_read = None;
         state.acknowledged.clear();
         drop(state);
         self.metrics.now.with_label_values(&["store_era"]).set(era.0 as i64);
@@ -188,7 +188,7 @@
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
     /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
     pub(crate) async fn meet_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
-        if self.zone_reader().is_none() {
+        if self.upstream().is_none() {
             return self.read_everything().await;
         }
         self.state.borrow_mut().note_sighting(&reading);
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/rights.rs
@@ -58,7 +58,7 @@
             match self.renew_rights(asked_at).await {
                 Ok(()) => {
                     pause.reset();
-                    self.doubt_reader();
+                    self.drop_stale_upstream();
                     let rest = every.saturating_sub(asked_at.elapsed());
                     tokio::select! {
                         () = tokio::time::sleep(rest) => {}
@@ -71,7 +71,7 @@
                         why = error.to_string().as_str();
                         "the store did not answer"
                     );
-                    match self.zone_reader() {
+                    match self.upstream() {
                         Some(_) => self.await_shared_reading(&mut pause).await,
                         None => pause.wait().await,
                     }
@@ -143,7 +143,7 @@
     fn is_told_soon(&self, revision: Revision) -> bool {
         let known = self.state.borrow().own_applied_revision;
         let missing = revision.number().saturating_sub(known.number());
-        missing > MOST_MISSING_ASKED && self.zone_reader().is_some()
+        missing > MOST_MISSING_ASKED && self.upstream().is_some()
     }
 
     /// Asks the store once what has changed of the daemons' own keys, and takes that over.
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -22,7 +22,7 @@
         change::Reason,
         control_view::{ControlView, Observation},
         packing::Packer,
-        peer_link::{Asker, HandedOver},
+        peer_link::{HandedOver, PeerRequester},
         state::State,
     },
     events::ProxyMetrics,
@@ -134,10 +134,10 @@
     /// Says that this daemon has become a member, and that everything has been read, for the first time.
     pub(crate) has_joined: Notify,
     pub(crate) has_read: Notify,
-    pub(crate) asker: Asker,
+    pub(crate) requester: PeerRequester,
     pub(crate) packer: Packer,
     /// A number of this life of the daemon, and when it began.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) epoch: Instant,
     /// Wakes the lease loop when this daemon's key is found to be gone.
     pub(crate) rejoin: Notify,
@@ -175,9 +175,9 @@
         refresh_now: Notify::new(),
         has_joined: Notify::new(),
         has_read: Notify::new(),
-        asker: Asker::default(),
+        requester: PeerRequester::default(),
         packer: Packer::default(),
-        life: rand::rng().random(),
+        incarnation: rand::rng().random(),
         epoch: Instant::now(),
         rejoin: Notify::new(),
         suspicions_due: Notify::new(),
@@ -270,9 +270,9 @@
             log::info!(event = "server_gone", server = &**server; "a server's entry stayed away");
         }
         state.published_servers = state.servers.by_service();
-        let detours = self.detours(&state, now);
-        if *state.published_detours != detours {
-            state.published_detours = Arc::new(detours);
+        let tunnel_peers = self.tunnel_peers(&state, now);
+        if *state.published_tunnel_peers != tunnel_peers {
+            state.published_tunnel_peers = Arc::new(tunnel_peers);
         }
         self.renew_owners(&mut state);
         let sharers = Sharers {
@@ -291,7 +291,7 @@
             servers: state.published_servers.clone(),
             leaders: state.leaders.clone(),
             sharers,
-            detours: state.published_detours.clone(),
+            tunnel_peers: state.published_tunnel_peers.clone(),
             owners: state.published_owners.clone(),
             samples: state.samples.clone(),
             servers_known: state.servers_known,
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -74,7 +74,7 @@
             let Some(reader) = self.first_reader(&members, began.elapsed()) else {
                 return Ok(false);
             };
-            self.follow_reader(reader).await;
+            self.follow_upstream(reader).await;
             match self.how_much_is_heard() {
                 Heard::Nothing => {}
                 Heard::WithoutAge => self.look_at_own_key().await,
@@ -158,7 +158,7 @@
         let own_zone = &*self.settings.availability_zone;
         let near = members.iter().filter(|member| member.value.availability_zone == own_zone);
         let askable = near.filter_map(|Listed { host, value }| {
-            let address = value.peer_address.filter(|it| !self.asker.is_silent(*it, now))?;
+            let address = value.peer_address.filter(|it| !self.requester.is_silent(*it, now))?;
             Some(TreeMember { host, availability_zone: own_zone, address })
         });
         let askable: Vec<TreeMember<'_>> =
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -14,8 +14,8 @@
     catalog::Catalog,
     control::{
         change::VersionedRecord,
-        control_view::{Detours, GroupLeader, Owners},
-        following::HeardOf,
+        control_view::{GroupLeader, Owners, TunnelPeers},
+        following::UpstreamProgress,
         knowledge::{Knowledge, Sighting},
         looks::Looks,
         mirror::Mirror,
@@ -78,7 +78,7 @@
     /// When this daemon itself last asked for a reading of the store.
     pub(crate) own_read_at: Option<Instant>,
     /// The youngest reading of the store, by whomever.
-    pub(crate) reading: Option<StoreRead>,
+    pub(crate) latest_read: Option<StoreRead>,
     /// How many there were.
     pub(crate) read_number: u64,
     /// Every change of the daemons' own keys up to here is known.
@@ -91,7 +91,7 @@
     pub(crate) evidence_number: u64,
     /// When the last shared reading that was of use here was asked for.
     pub(crate) shared_read_at: Option<Instant>,
-    pub(crate) heard_of: HeardOf,
+    pub(crate) upstream_progress: UpstreamProgress,
     /// The latest sample of each primary's log that a daemon of the zone took.
     pub(crate) samples: Arc<HashMap<Name, PrimarySample>>,
     /// When another zone was last asked for such samples.
@@ -123,7 +123,7 @@
     /// When the store was last found again after a time without it.
     pub(crate) store_back_at: Option<Instant>,
     pub(crate) published_servers: Arc<ServersByService>,
-    pub(crate) published_detours: Arc<Detours>,
+    pub(crate) published_tunnel_peers: Arc<TunnelPeers>,
     pub(crate) published_owners: Arc<Owners>,
     /// Every member that can be asked, by host.
     pub(crate) published_members: Arc<BTreeMap<Name, SocketAddr>>,
@@ -188,8 +188,8 @@
 
     /// Keeps a reading for others if it is the youngest.
     pub(crate) fn keep_latest_read(&mut self, reading: StoreRead) {
-        if self.reading.is_none_or(|known| known.asked_at < reading.asked_at) {
-            self.reading = Some(reading);
+        if self.latest_read.is_none_or(|known| known.asked_at < reading.asked_at) {
+            self.latest_read = Some(reading);
             self.read_number += 1;
         }
     }
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -15,7 +15,7 @@
 use crate::{
     control::{
         adapter::Adapter,
-        control_view::{Detours, Observation},
+        control_view::{Observation, TunnelPeers},
         pause::Pause,
         runner::{Ask, Control},
         state::State,
@@ -224,8 +224,8 @@
     }
 
     /// Returns, for each server that this daemon can't reach, some daemons that have not said so too.
-    pub(crate) fn detours(&self, state: &State, now: Instant) -> Detours {
-        let mut detours = Detours::new();
+    pub(crate) fn tunnel_peers(&self, state: &State, now: Instant) -> TunnelPeers {
+        let mut detours = TunnelPeers::new();
         if state.suspected.is_empty() {
             return detours;
         }
@@ -256,7 +256,7 @@
         let behind = state.members.range::<Name, _>((Excluded(own), Unbounded));
         let around = behind.chain(state.members.range::<Name, _>(..own));
         let askable = around.filter_map(|(host, member)| {
-            let address = member.peer_address.filter(|it| !self.asker.is_silent(*it, now))?;
+            let address = member.peer_address.filter(|it| !self.requester.is_silent(*it, now))?;
             Some((&*member.availability_zone, (host, address)))
         });
         let (near, far): (Vec<_>, Vec<_>) =
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -83,13 +83,13 @@
         let wait = Duration::from_millis(self.settings.metadata.watch_wait_ms);
         let mut followed = None;
         loop {
-            let reader = self.zone_reader();
+            let reader = self.upstream();
             if reader != followed {
-                self.tell_followed(followed, reader);
+                self.log_upstream(followed, reader);
                 followed = reader;
             }
             if let Some(reader) = reader {
-                self.follow_reader(reader).await;
+                self.follow_upstream(reader).await;
                 continue;
             }
             let asked_at = Instant::now();
@@ -182,8 +182,8 @@
         let behind_for = self.state.borrow().knowledge.behind_for(now);
         let Some(behind_for) = behind_for.filter(|time| *time > BEHIND_FOR) else { return false };
         let behind_for = behind_for.saturating_sub(self.asks_later_by());
-        let follows = self.zone_reader().is_some();
-        must_ask_store(behind_for, follows, self.asker.receives_for(now))
+        let follows = self.upstream().is_some();
+        must_ask_store(behind_for, follows, self.requester.receives_for(now))
     }
 
     /// How much later this daemon asks than the first of its zone.
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -16,7 +16,7 @@
 use crate::{
     accounts::Principal,
     catalog::{ServerEntry, ServerLife},
-    control::{detour::open_detour, peers::DetourRequest},
+    control::{peers::TunnelRequest, tunnel::open_tunnel},
     dialect::{EndpointDialect, EndpointMessage, EndpointStartup},
     links::{bound_silence, drop_unreceived_at_end, end_in_order},
     relay::messages::NotSent,
@@ -143,8 +143,8 @@
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let deadline = Instant::now() + within;
         let request =
-            DetourRequest { service: entry.service.to_string(), server: entry.server.to_string() };
-        let stream = match timeout_at(deadline.into(), open_detour(peer, request)).await {
+            TunnelRequest { service: entry.service.to_string(), server: entry.server.to_string() };
+        let stream = match timeout_at(deadline.into(), open_tunnel(peer, request)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(none)) => return Err(ConnectionLost::Broken(none.to_string())),
             Err(_) => return Err(ConnectionLost::Silent),
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -20,7 +20,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::control_view::{ControlView, Detours, Observation, Owners},
+    control::control_view::{ControlView, Observation, Owners, TunnelPeers},
     dialect::{CallerDialect, EndpointDialect},
     events::ProxyMetrics,
     relay::links::RelayLinks,
@@ -89,7 +89,7 @@
 #[derive(Default)]
 struct Seen {
     servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
-    detours: Arc<Detours>,
+    detours: Arc<TunnelPeers>,
     owners: Arc<Owners>,
     share: Share,
 }
@@ -273,7 +273,7 @@
         let share = share_of(granted, slots, beliefs.sharers, by_account);
         let seen = Seen {
             servers: beliefs.servers.clone(),
-            detours: beliefs.detours.clone(),
+            detours: beliefs.tunnel_peers.clone(),
             owners: beliefs.owners.clone(),
             share,
         };
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -19,7 +19,7 @@
 use crate::{
     accounts::Principal,
     catalog::ServerEntry,
-    control::control_view::{Detours, Owners},
+    control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
         lease::{Lease, Terms},
@@ -109,7 +109,7 @@
         self: &Rc<Self>,
         entries: &[Arc<ServerEntry>],
         share: Share,
-        detours: &Detours,
+        detours: &TunnelPeers,
         owners: &Owners,
     ) {
         let mut state = self.state.borrow_mut();
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -8,7 +8,7 @@
     catalog::ServerEntry,
     control::{
         evidence::{HeldRight, KnownLead, LeadByEvidence, judge, may_give_right},
-        mirror::{Mirror, News},
+        mirror::{Mirror, StoreUpdates},
         move_times::MoveTimes,
         record::{
             ChosenServer, CountingRecord, LeadershipRecord, PrimaryChange, RightBounds,
@@ -348,9 +348,13 @@
         ("nothing, as it knows more", 9, Vec::new()),
     ];
     for (name, after, expected) in cases {
-        let news = mirror.news_since(at(after));
-        assert_eq!(news, News { changes: expected, is_whole: false, applied_revision: at(7) }, "{name}");
-        assert_eq!(mirror.has_news(at(after)), !news.changes.is_empty(), "{name}");
+        let news = mirror.updates_since(at(after));
+        assert_eq!(
+            news,
+            StoreUpdates { changes: expected, is_whole: false, applied_revision: at(7) },
+            "{name}"
+        );
+        assert_eq!(mirror.has_updates(at(after)), !news.changes.is_empty(), "{name}");
     }
 }
 
@@ -363,10 +367,10 @@
         mirror.apply(Change::Put(item(&key, 2 + 2 * number)));
         mirror.apply(Change::Removed { key, revision: at(3 + 2 * number) });
     }
-    let news = mirror.news_since(at(5));
+    let news = mirror.updates_since(at(5));
     assert!(news.is_whole);
     assert_eq!(news.changes, [Change::Put(item("kept", 1))]);
-    let late = mirror.news_since(at(3_999));
+    let late = mirror.updates_since(at(3_999));
     assert!(!late.is_whole);
     assert_eq!(late.changes.len(), 1);
 }
@@ -400,9 +404,9 @@
     assert!(!mirror.apply(put("p/kept", at(11))), "a write that was late");
     assert!(!mirror.apply(Change::Removed { key: "p/kept".to_owned(), revision: at(12) }));
     // Who knows only of the era before is told everything, whatever number it stands at.
-    let news = mirror.news_since(at(u64::MAX));
+    let news = mirror.updates_since(at(u64::MAX));
     assert!(news.is_whole && news.changes.len() == 1, "{news:?}");
-    assert!(!mirror.news_since(restored(4)).is_whole);
+    assert!(!mirror.updates_since(restored(4)).is_whole);
 }
 
 fn written(era: u64, edition: u64, term: u64) -> LeadershipRecord {
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -64,7 +64,8 @@
 fn a_reading_of_another_era_renews_nothing() {
     let base = Instant::now() + ms(10_000);
     let restored = |number| Revision::new(Era(2), number);
-    let keys = OwnKeys { applied_revision: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
+    let keys =
+        OwnKeys { applied_revision: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
     let later = StoreRead { asked_at: base, revision: restored(10) };
     assert_eq!(evaluate_read(&later, base, USEFUL, &keys), SharedRead::Useless);
     let keys = OwnKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
@@ -87,7 +88,7 @@
     let reading = StoreRead { asked_at: base + ms(300), revision: at(20) };
     let mut answer = FollowAnswer {
         held_ms: made_at.duration_since(received_at).as_millis() as u64,
-        reading: Some(reading.told_at(4, made_at)),
+        store_read: Some(reading.told_at(4, made_at)),
         evidence: vec![own.told_at(made_at)],
         ..FollowAnswer::default()
     };
@@ -97,7 +98,7 @@
     assert_eq!((&*heard.server, heard.term), ("s1", Term(3)));
     assert!(heard.asked_at <= servers_asked_at, "evidence seems older than it is, never younger");
     assert!(heard.asked_at >= servers_asked_at - ms(42), "by the way of the question at the most");
-    let heard = answer.reading.unwrap().reading(answer.made_at(sent_at), Era::NONE).unwrap();
+    let heard = answer.store_read.unwrap().reading(answer.made_at(sent_at), Era::NONE).unwrap();
     assert_eq!(heard.revision, at(20));
     assert!(heard.asked_at <= reading.asked_at && heard.asked_at >= reading.asked_at - ms(42));
 }
@@ -152,9 +153,10 @@
     let (epoch, made_at, heard_at) = (base, base + ms(1_000), base + ms(1_070));
     let taken_at = base + ms(1_200);
     let sample = PrimarySample { asked_at: taken_at, point };
-    let clock = ClockMessage { life: 9, at_ms: made_at.duration_since(epoch).as_millis() as u64 };
+    let clock =
+        ClockMessage { incarnation: 9, at_ms: made_at.duration_since(epoch).as_millis() as u64 };
     let request = FollowRequest {
-        heard: Some(clock),
+        last_clock: Some(clock),
         samples: sample.told_since(&service, heard_at).into_iter().collect(),
         ..FollowRequest::default()
     };
@@ -183,13 +185,20 @@
     let service = Name::from("a");
     assert_eq!(sample.told_since(&service, base + ms(101)), None, "taken before the answer came");
     let told = sample.told_since(&service, base).unwrap();
-    let request =
-        |heard| FollowRequest { heard, samples: vec![told.clone()], ..FollowRequest::default() };
+    let request = |heard| FollowRequest {
+        last_clock: heard,
+        samples: vec![told.clone()],
+        ..FollowRequest::default()
+    };
     let now = base + ms(500);
     let here = |heard| request(heard).samples_here(7, base, now).len();
-    assert_eq!(here(Some(ClockMessage { life: 7, at_ms: 0 })), 1);
-    assert_eq!(here(Some(ClockMessage { life: 8, at_ms: 0 })), 0, "another life");
-    assert_eq!(here(Some(ClockMessage { life: 7, at_ms: 450 })), 0, "a time that has not come");
+    assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 0 })), 1);
+    assert_eq!(here(Some(ClockMessage { incarnation: 8, at_ms: 0 })), 0, "another life");
+    assert_eq!(
+        here(Some(ClockMessage { incarnation: 7, at_ms: 450 })),
+        0,
+        "a time that has not come"
+    );
     assert_eq!(here(None), 0);
 }
 
--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -151,11 +151,11 @@
             .zip(heard)
             .and_then(|(sample, (_, heard_at))| sample.told_since(&self.service, *heard_at));
         let clock = heard.map(|(clock, _)| match broken {
-            Broken::AnyLife => ClockMessage { life: self.daemons[asked].life, ..*clock },
+            Broken::AnyLife => ClockMessage { incarnation: self.daemons[asked].life, ..*clock },
             _ => *clock,
         });
         let request = FollowRequest {
-            heard: clock,
+            last_clock: clock,
             samples: told.into_iter().collect(),
             ..FollowRequest::default()
         };
@@ -175,7 +175,7 @@
         FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
             clock: Some(ClockMessage {
-                life: daemon.life,
+                incarnation: daemon.life,
                 at_ms: now.duration_since(daemon.epoch).as_millis() as u64,
             }),
             samples: told.into_iter().collect(),
