--- a/crates/proxy/src/control/asking.rs
+++ b/crates/proxy/src/control/asking.rs
@@ -18,7 +18,7 @@
         control_view::{Basis, GroupLeader},
         evidence::{self, HeldRight, KnownLead, LeadByEvidence, may_give_right},
         peers::Evidence,
-        runner::{Ask, CommandAsk, Control},
+        runner::{CommandRequest, Control, ServingRequest},
     },
     metadata::MetadataStore,
     statement::{EndpointStatus, EndpointText},
@@ -83,7 +83,7 @@
         let is_left_open = |(service, known): (&Name, &Arc<VersionedRecord>)| {
             !state.is_confirmed(&known.record) && state.catalog.services.contains_key(service)
         };
-        state.is_store_silent(self.patience())
+        state.is_store_silent(self.store_silence_timeout())
             || self.store.era() > state.mirror.era()
             || state.records.iter().any(is_left_open)
     }
@@ -92,7 +92,7 @@
         for evidence in found {
             self.take_evidence(&evidence);
         }
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
         self.publish();
     }
 
@@ -165,7 +165,7 @@
         KnownLead {
             term: lead.map_or(Term(0), |lead| lead.term),
             changing: lead.is_some_and(|lead| lead.changing),
-            is_store_silent: state.is_store_silent(self.patience()),
+            is_store_silent: state.is_store_silent(self.store_silence_timeout()),
         }
     }
 
@@ -218,7 +218,7 @@
         let mut waiting = FuturesUnordered::new();
         for server in servers {
             let (answer, answered) = oneshot::channel();
-            let ask = CommandAsk {
+            let ask = CommandRequest {
                 service: service.clone(),
                 server: server.clone(),
                 text: EndpointText::Status,
@@ -226,7 +226,7 @@
                 answer,
             };
             // A full ring means that the serving thread is behind; this round goes without it.
-            if self.asks.try_send(Ask::Command(ask)).is_ok() {
+            if self.serving_requests.try_send(ServingRequest::Command(ask)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
             }
--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -229,9 +229,9 @@
     ) -> Result<(), ChangeEnd> {
         let known = self.known_record(service).ok_or(ChangeEnd::Superseded)?;
         if reason == Reason::ReplicasBehind {
-            self.state.borrow_mut().lead_checked.insert(service.clone(), Instant::now());
+            self.state.borrow_mut().leader_move_checked_at.insert(service.clone(), Instant::now());
             self.check_level_replica(service, &known.record).await?;
-            self.state.borrow_mut().lead_moved.insert(service.clone(), Instant::now());
+            self.state.borrow_mut().leader_moved_at.insert(service.clone(), Instant::now());
         }
         let run = self.begin_change(service, known, reason).await?;
         self.step("begun", service, &run);
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -13,7 +13,7 @@
     accounts::Principal,
     catalog::ServerEntry,
     control::adapter::Adapter,
-    control::runner::{Ask, CommandAsk, Control, join_all},
+    control::runner::{CommandRequest, Control, ServingRequest, join_all},
     dialect::EndpointDialect,
     serve::connection::{ConnectionLost, EndpointConnection, Introduction},
     statement::{EndpointCommand, EndpointStatus, EndpointText, ErrorCode},
@@ -126,7 +126,7 @@
             Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)) => {
                 let (answer, answered) = oneshot::channel();
                 let deadline = Instant::now() + within;
-                let ask = CommandAsk {
+                let ask = CommandRequest {
                     service: entry.service.clone(),
                     server: entry.server.clone(),
                     text,
@@ -134,7 +134,7 @@
                     answer,
                 };
                 // A full ring means that the serving thread is behind; the command is given again.
-                let _ = self.asks.try_send(Ask::Command(ask));
+                let _ = self.serving_requests.try_send(ServingRequest::Command(ask));
                 match tokio::time::timeout_at(deadline.into(), answered).await {
                     Ok(Ok(status)) => Ok((None, status)),
                     Ok(Err(_)) | Err(_) => {
--- a/crates/proxy/src/control/packing.rs
+++ b/crates/proxy/src/control/compression.rs
@@ -39,36 +39,36 @@
 /// All that the store held at a revision, packed in one piece. Entries of servers are small and resemble each other, so
 /// that together they pack to a tenth, and by themselves not at all.
 #[derive(Clone)]
-pub(crate) struct PackedWhole {
-    packed_at: Instant,
+pub(crate) struct CompressedSnapshot {
+    compressed_at: Instant,
     /// Every change up to here is in it.
     pub(crate) applied_revision: Revision,
     /// A packed [`ChangesMessage`].
-    pub(crate) packed: Bytes,
+    pub(crate) compressed: Bytes,
 }
 
 /// Packs what is large, each once: the same goes to several daemons.
 #[derive(Default)]
-pub(crate) struct Packer {
+pub(crate) struct Compressor {
     last: RefCell<Option<(String, Revision, Bytes)>>,
-    whole: RefCell<Option<PackedWhole>>,
-    together: RefCell<Option<PackedChanges>>,
+    whole: RefCell<Option<CompressedSnapshot>>,
+    together: RefCell<Option<CompressedChanges>>,
 }
 
 /// The changes after one revision up to another, packed in one piece.
-struct PackedChanges {
+struct CompressedChanges {
     span: (Revision, Revision),
-    packed: Bytes,
+    compressed: Bytes,
 }
 
-impl Packer {
+impl Compressor {
     /// Returns a change as it is sent.
-    pub(crate) fn pack(&self, change: Change) -> ChangeMessage {
+    pub(crate) fn compress(&self, change: Change) -> ChangeMessage {
         let revision = change.revision();
         let mut message = ChangeMessage::from(change);
         if let Some(value) = message.value.as_mut().filter(|it| it.len() >= PACK_FROM_BYTES) {
-            *value = self.packed(&message.key, revision, value);
-            message.is_packed = true;
+            *value = self.compressed_value(&message.key, revision, value);
+            message.is_compressed = true;
         }
         message
     }
@@ -79,10 +79,10 @@
         mirror: &Mirror,
         now: Instant,
         is_wanted: impl Fn(&Change) -> bool,
-    ) -> PackedWhole {
+    ) -> CompressedSnapshot {
         let mut whole = self.whole.borrow_mut();
         if let Some(known) = whole.as_ref()
-            && now.duration_since(known.packed_at) < WHOLE_LASTS
+            && now.duration_since(known.compressed_at) < WHOLE_LASTS
             // The answer that it goes with tells one era for all.
             && known.applied_revision.era() == mirror.era()
         {
@@ -90,16 +90,19 @@
         }
         let changes = mirror.updates_since(Revision::ABSENT).changes.into_iter().filter(is_wanted);
         let changes = changes.map(ChangeMessage::from).collect();
-        let message = ChangesMessage { changes, packed: Bytes::new() };
-        let packed = deflate(&message.encode_to_vec());
-        let made =
-            PackedWhole { packed_at: now, applied_revision: mirror.applied_revision(), packed };
+        let message = ChangesMessage { changes, compressed: Bytes::new() };
+        let compressed = deflate(&message.encode_to_vec());
+        let made = CompressedSnapshot {
+            compressed_at: now,
+            applied_revision: mirror.applied_revision(),
+            compressed,
+        };
         *whole = Some(made.clone());
         made
     }
 
     /// Packs the changes of a span in one piece if they are large; returns those that are sent as they are, and the piece.
-    pub(crate) fn pack_together(
+    pub(crate) fn compress_together(
         &self,
         span: (Revision, Revision),
         changes: Vec<ChangeMessage>,
@@ -110,42 +113,42 @@
         }
         let mut together = self.together.borrow_mut();
         if let Some(known) = together.as_ref().filter(|known| known.span == span) {
-            return (Vec::new(), known.packed.clone());
+            return (Vec::new(), known.compressed.clone());
         }
-        let message = ChangesMessage { changes, packed: Bytes::new() };
-        let packed = deflate(&message.encode_to_vec());
-        *together = Some(PackedChanges { span, packed: packed.clone() });
-        (Vec::new(), packed)
+        let message = ChangesMessage { changes, compressed: Bytes::new() };
+        let compressed = deflate(&message.encode_to_vec());
+        *together = Some(CompressedChanges { span, compressed: compressed.clone() });
+        (Vec::new(), compressed)
     }
 
-    fn packed(&self, key: &str, revision: Revision, value: &Bytes) -> Bytes {
+    fn compressed_value(&self, key: &str, revision: Revision, value: &Bytes) -> Bytes {
         let mut last = self.last.borrow_mut();
-        if let Some((known, at, packed)) = last.as_ref()
+        if let Some((known, at, compressed)) = last.as_ref()
             && known == key
             && *at == revision
         {
-            return packed.clone();
+            return compressed.clone();
         }
-        let packed = deflate(value);
-        *last = Some((key.to_owned(), revision, packed.clone()));
-        packed
+        let compressed = deflate(value);
+        *last = Some((key.to_owned(), revision, compressed.clone()));
+        compressed
     }
 }
 
 fn deflate(value: &[u8]) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    let packed = encoder.write_all(value).and_then(|()| encoder.finish());
-    Bytes::from(packed.expect("writing into memory does not fail"))
+    let compressed = encoder.write_all(value).and_then(|()| encoder.finish());
+    Bytes::from(compressed.expect("writing into memory does not fail"))
 }
 
-fn inflate(packed: &[u8], longest_bytes: u64) -> std::io::Result<Bytes> {
-    let mut unpacked = Vec::new();
-    let mut decoder = DeflateDecoder::new(packed).take(longest_bytes + 1);
-    decoder.read_to_end(&mut unpacked)?;
-    if unpacked.len() as u64 > longest_bytes {
-        return Err(std::io::Error::other("a packed value is too long"));
+fn inflate(compressed: &[u8], longest_bytes: u64) -> std::io::Result<Bytes> {
+    let mut decompressed = Vec::new();
+    let mut decoder = DeflateDecoder::new(compressed).take(longest_bytes + 1);
+    decoder.read_to_end(&mut decompressed)?;
+    if decompressed.len() as u64 > longest_bytes {
+        return Err(std::io::Error::other("a compressed value is too long"));
     }
-    Ok(Bytes::from(unpacked))
+    Ok(Bytes::from(decompressed))
 }
 
 /// Returns all changes of a message, oldest first, with those that it holds in one packed piece.
@@ -153,16 +156,16 @@
 /// # Errors
 ///
 /// If something in it is no packed value, or longer than may be.
-pub fn unpack_all(message: ChangesMessage) -> std::io::Result<Vec<ChangeMessage>> {
+pub fn decompress_all(message: ChangesMessage) -> std::io::Result<Vec<ChangeMessage>> {
     let mut changes = Vec::new();
-    if !message.packed.is_empty() {
-        let whole = inflate(&message.packed, LONGEST_WHOLE_BYTES)?;
+    if !message.compressed.is_empty() {
+        let whole = inflate(&message.compressed, LONGEST_WHOLE_BYTES)?;
         let whole = ChangesMessage::decode(whole).map_err(std::io::Error::other)?;
         changes.extend(whole.changes);
     }
     changes.extend(message.changes);
     for change in &mut changes {
-        unpack(change)?;
+        decompress(change)?;
     }
     Ok(changes)
 }
@@ -172,9 +175,11 @@
 /// # Errors
 ///
 /// If it is no packed value, or longer than any value may be.
-pub fn unpack(message: &mut ChangeMessage) -> std::io::Result<()> {
-    let Some(value) = message.value.as_mut().filter(|_| message.is_packed) else { return Ok(()) };
+pub fn decompress(message: &mut ChangeMessage) -> std::io::Result<()> {
+    let Some(value) = message.value.as_mut().filter(|_| message.is_compressed) else {
+        return Ok(());
+    };
     *value = inflate(value, LONGEST_VALUE_BYTES)?;
-    message.is_packed = false;
+    message.is_compressed = false;
     Ok(())
 }
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/duty.rs
@@ -68,7 +68,7 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep(LOOK_EVERY) => {}
-                () = self.changed.notified() => {}
+                () = self.mirror_changed.notified() => {}
             }
             let stopping = self.stopping.borrow().is_some();
             let looks_at = Instant::now();
@@ -260,7 +260,7 @@
             tokio::task::spawn_local(async move {
                 control.change_and_log(&service, reason).await;
                 control.changes_running.borrow_mut().remove(&service);
-                control.changed.notify_waiters();
+                control.mirror_changed.notify_waiters();
             });
         }
     }
@@ -302,7 +302,7 @@
             return is_gone.then_some(Reason::Gone);
         };
         self.state.borrow_mut().primary_missing_since.remove(service);
-        if self.state.borrow_mut().is_primary_reborn(service, &known.record) {
+        if self.state.borrow_mut().has_primary_restarted(service, &known.record) {
             return Some(Reason::Reborn);
         }
         if primary.leaving {
@@ -314,9 +314,9 @@
             return Some(Reason::Unreachable);
         }
         let times = MoveTimes {
-            behind_at: state.replicas_behind.get(service).copied(),
-            moved_at: state.lead_moved.get(service).copied(),
-            checked_at: state.lead_checked.get(service).copied(),
+            behind_at: state.replicas_behind_at.get(service).copied(),
+            moved_at: state.leader_moved_at.get(service).copied(),
+            checked_at: state.leader_move_checked_at.get(service).copied(),
         };
         times.allow_move(Instant::now()).then_some(Reason::ReplicasBehind)
     }
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -119,7 +119,7 @@
         while !self.all_answered(service, run) && Instant::now() < until {
             tokio::select! {
                 () = tokio::time::sleep_until(until.into()) => {}
-                () = self.changed.notified() => {}
+                () = self.mirror_changed.notified() => {}
             }
         }
     }
@@ -154,7 +154,7 @@
             let look_at = complete_at.min(now + LOOK_AT_DUTY_EVERY);
             tokio::select! {
                 () = tokio::time::sleep_until(look_at.into()) => {}
-                () = self.changed.notified() => {}
+                () = self.mirror_changed.notified() => {}
             }
         }
     }
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -23,8 +23,8 @@
             ClockMessage, FollowAnswer, FollowRequest, OwnKeys, SharedRead, StoreRead,
             TunnelRequest, evaluate_read,
         },
-        runner::{Ask, Control},
-        tree::{TreeMember, daemon_to_follow},
+        runner::{Control, ServingRequest},
+        tree::{TreeMember, select_upstream},
     },
     metadata::{Change, MetadataStore, Revision, Snapshot},
 };
@@ -65,7 +65,7 @@
         let state = self.state.borrow();
         // What a region hears through another one, it hears through the link between them, which a start of either
         // may fill; the store itself may be near.
-        let crosses_regions = state.is_store_silent(self.patience());
+        let crosses_regions = state.is_store_silent(self.store_silence_timeout());
         let askable: Vec<TreeMember<'_>> = state
             .members
             .iter()
@@ -78,7 +78,7 @@
                 (is_near && !is_silent).then_some(TreeMember { host, availability_zone, address })
             })
             .collect();
-        daemon_to_follow(&askable, &self.settings.host, &self.settings.availability_zone)
+        select_upstream(&askable, &self.settings.host, &self.settings.availability_zone)
     }
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
@@ -91,7 +91,7 @@
     /// Returns how old what is known of the store may be, in milliseconds; 0 before the first reading, when nothing
     /// is served.
     pub(crate) fn knowledge_age_ms(&self) -> u64 {
-        let age = self.state.borrow().knowledge.age(Instant::now());
+        let age = self.state.borrow().freshness.age(Instant::now());
         age.map_or(0, |age| age.as_millis() as u64)
     }
 
@@ -146,7 +146,7 @@
             last_clock: upstream_progress.clock.map(|(clock, _)| clock),
             samples: self.samples_since(upstream_progress.clock.map(|(_, heard_at)| heard_at)),
             behind: Vec::new(),
-            takes_packed: true,
+            accepts_compressed: true,
         };
         let sent_at = Instant::now();
         let is_starting = !self.state.borrow().servers_known;
@@ -163,7 +163,7 @@
     }
 
     fn apply_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
-        let told = answer.take_told(sent_at);
+        let contents = answer.take_contents(sent_at);
         self.store.note_era(answer.era());
         let reading = answer.store_read.take();
         {
@@ -172,7 +172,7 @@
             state.upstream_progress.evidence_number = answer.evidence_number;
             state.upstream_progress.clock = answer.clock.map(|clock| (clock, Instant::now()));
         }
-        self.apply_updates(told.news);
+        self.apply_updates(contents.updates);
         {
             let mut state = self.state.borrow_mut();
             let own_applied_revision = answer.revision(answer.own_applied_revision);
@@ -189,11 +189,11 @@
             self.apply_shared_read(reading);
             self.tell_and_look();
         }
-        for evidence in told.evidence {
+        for evidence in contents.evidence {
             self.take_evidence(&evidence);
         }
-        self.take_samples(told.samples);
-        self.news.notify_waiters();
+        self.merge_samples(contents.samples);
+        self.updates_available.notify_waiters();
         self.note_members(Instant::now());
         self.publish();
     }
@@ -201,7 +201,7 @@
     /// Takes over a reading by another daemon, for what it is worth here.
     fn apply_shared_read(&self, reading: StoreRead) {
         let now = Instant::now();
-        self.state.borrow_mut().note_sighting(&reading);
+        self.state.borrow_mut().note_observed_revision(&reading);
         let useful_for = self.right().mul_f64(USEFUL_PART);
         let judged = evaluate_read(&reading, now, useful_for, &self.own_keys());
         let SharedRead::Renews(services) = judged else { return };
@@ -209,7 +209,7 @@
             let mut state = self.state.borrow_mut();
             state.shared_read_at = Some(reading.asked_at);
             state.keep_latest_read(reading);
-            state.note_read(now, self.patience())
+            state.note_read(now, self.store_silence_timeout())
         };
         if is_back {
             self.try_suspected_again();
@@ -244,7 +244,7 @@
         } else {
             changes
         };
-        self.take_over(changes);
+        self.apply_changes(changes);
         self.state.borrow_mut().note_applied(applied_revision);
     }
 
@@ -253,13 +253,13 @@
         let received_at = Instant::now();
         // An asker that was in another zone's reach may have heard of a restore first.
         self.store.note_era(request.applied().era());
-        self.take_samples(request.samples_here(self.incarnation, self.epoch, received_at));
+        self.merge_samples(request.samples_here(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
-            self.note_behind(Name::from(service.as_str()));
+            self.note_replicas_behind(Name::from(service.as_str()));
         }
         let until = received_at + Duration::from_millis(request.wait_ms).min(NEWS_WAIT);
         loop {
-            let news = self.news.notified();
+            let news = self.updates_available.notified();
             tokio::pin!(news);
             // From here on nothing is missed between the look and the wait.
             news.as_mut().enable();
@@ -287,24 +287,25 @@
         // Only whoever changes a primary asks who has stopped, and that one reads the store itself.
         let stopped = self.key("stopped/");
         let is_wanted = |change: &Change| !change.key().starts_with(&stopped);
-        let is_starting = request.takes_packed && request.applied_revision == 0;
+        let is_starting = request.accepts_compressed && request.applied_revision == 0;
         let whole = (is_starting && state.mirror.applied_revision() > Revision::ABSENT)
-            .then(|| self.packer.whole(&state.mirror, now, is_wanted))
+            .then(|| self.compressor.whole(&state.mirror, now, is_wanted))
             // Where removals since then are forgotten, what is known now is told in the usual way.
             .filter(|whole| !state.mirror.updates_since(whole.applied_revision).is_whole);
         let known_to = whole.as_ref().map_or(request.applied(), |whole| whole.applied_revision);
         let news = state.mirror.updates_since(known_to);
         let changes: Vec<_> = news.changes.into_iter().filter(is_wanted).collect();
         let span = (known_to, news.applied_revision);
-        let changes: Vec<_> = changes.into_iter().map(|change| self.packer.pack(change)).collect();
-        let (changes, packed) = match whole {
-            Some(whole) => (changes, whole.packed),
-            None if request.takes_packed => self.packer.pack_together(span, changes),
+        let changes: Vec<_> =
+            changes.into_iter().map(|change| self.compressor.compress(change)).collect();
+        let (changes, compressed) = match whole {
+            Some(whole) => (changes, whole.compressed),
+            None if request.accepts_compressed => self.compressor.compress_together(span, changes),
             None => (changes, Bytes::new()),
         };
         let answer = FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
-            store_read: reading.map(|reading| reading.told_at(state.read_number, now)),
+            store_read: reading.map(|reading| reading.to_message(state.read_number, now)),
             changes,
             is_whole: news.is_whole,
             applied_revision: news.applied_revision.number(),
@@ -317,7 +318,7 @@
                 .evidence
                 .iter()
                 .filter(|it| now.duration_since(it.asked_at) < self.evidence())
-                .map(|it| it.told_at(now))
+                .map(|it| it.to_message(now))
                 .collect(),
             evidence_number: state.evidence_number,
             clock: Some(ClockMessage {
@@ -328,10 +329,10 @@
                 .samples
                 .iter()
                 .filter(|(_, sample)| now.duration_since(sample.asked_at) < SAMPLES_TOLD_FOR)
-                .map(|(service, sample)| sample.told_at(service, now))
+                .map(|(service, sample)| sample.to_message(service, now))
                 .collect(),
         };
-        answer.split(packed)
+        answer.split(compressed)
     }
 
     /// Returns where a server listens that another daemon wants a detour to; nothing once this daemon
@@ -355,10 +356,10 @@
                 let answer = async move |request| control.answer_follower(request).await;
                 let control = self.clone();
                 let find_server = move |request: &TunnelRequest| control.address_for(request);
-                let asks = self.asks.clone();
+                let serving_requests = self.serving_requests.clone();
                 let hand_over = move |link| {
                     // A full ring means that the serving thread is behind; the link ends and is made again.
-                    if asks.try_send(Ask::Relay(link)).is_err() {
+                    if serving_requests.try_send(ServingRequest::Relay(link)).is_err() {
                         log::info!(event = "relay_refused"; "a link of another daemon was not taken");
                     }
                 };
--- a/crates/proxy/src/control/knowledge.rs
+++ b/crates/proxy/src/control/freshness.rs
@@ -25,13 +25,13 @@
 /// Returns how much later a daemon of a large fleet asks the store for what it misses, with so many others of its zone
 /// before it. Those ask first and pass on what they hear, so that a zone which is behind as a whole, as behind a full link,
 /// draws it once or twice instead of once for each daemon. The fiftieth asks 1.5 s after the first.
-pub fn asks_later_by(daemons_before: usize) -> Duration {
+pub fn catch_up_delay(daemons_before: usize) -> Duration {
     TURN * (daemons_before + 1).ilog2()
 }
 
 /// That the store stood at a revision when it was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct ObservedRevision {
     /// The store's revision.
     pub revision: Revision,
     /// When it was asked, or before.
@@ -40,17 +40,17 @@
 
 /// Up to which moment everything is known, and since when something is missing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Knowledge {
+pub struct Freshness {
     /// Everything that there was at this moment is known.
     complete_at: Option<Instant>,
     /// The first and the latest sighting of what is not known yet. Two are enough for any number: once the first is
     /// made up for, the latest takes its place.
-    missing: Option<(Sighting, Sighting)>,
+    missing: Option<(ObservedRevision, ObservedRevision)>,
 }
 
-impl Knowledge {
+impl Freshness {
     /// Notes a reading of the store by a daemon that knows every change up to `applied_revision`.
-    pub fn note_store_read(&mut self, seen: Sighting, applied_revision: Revision) {
+    pub fn note_store_read(&mut self, seen: ObservedRevision, applied_revision: Revision) {
         if seen.revision <= applied_revision {
             self.complete_at = self.complete_at.max(Some(seen.asked_at));
             return;
@@ -90,7 +90,11 @@
 ///
 /// Changes that are on their way come sooner than they would from the store, over the same link and beside them: three
 /// hundred daemons that asked while a large configuration came down to them each read the whole store.
-pub fn must_ask_store(behind_for: Duration, follows: bool, receives_for: Option<Duration>) -> bool {
+pub fn must_read_store(
+    behind_for: Duration,
+    follows: bool,
+    receives_for: Option<Duration>,
+) -> bool {
     if !follows {
         return behind_for > BEHIND_FOR;
     }
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -92,14 +92,14 @@
         match is_read_before {
             // What was read as no member gave no right.
             true => self.refresh_now.notify_one(),
-            false => self.has_joined.notify_one(),
+            false => self.joined.notify_one(),
         }
         Ok(())
     }
 
     /// Whether a reading after the member key was written shows that it is gone, as when the store
     /// took it away although the lease stands.
-    pub(crate) fn is_key_gone(&self) -> bool {
+    pub(crate) fn is_member_key_missing(&self) -> bool {
         let state = self.state.borrow();
         let read_since = state.last_read_at > state.member_put_at;
         read_since && state.mirror.get(&self.member_key()).is_none()
@@ -147,7 +147,7 @@
                 let lease = HeldLease { valid_until: sent_at + lasts, ..lease };
                 self.state.borrow_mut().lease = Some(lease);
                 self.publish();
-                if self.is_key_gone() {
+                if self.is_member_key_missing() {
                     log::info!(event = "member_key_gone"; "this daemon's key is written again");
                     self.put_member(lease.id).await?;
                     self.refresh_now.notify_one();
--- a/crates/proxy/src/control/owning.rs
+++ b/crates/proxy/src/control/owners.rs
@@ -8,11 +8,11 @@
 
 impl<P: Adapter> Control<P> {
     /// Takes over which daemons stand where, after members have changed.
-    pub(crate) fn renew_owners(&self, state: &mut State) {
-        if state.owners_of_members == Some(state.members_version) {
+    pub(crate) fn update_owners(&self, state: &mut State) {
+        if state.owners_members_version == Some(state.members_version) {
             return;
         }
-        state.owners_of_members = Some(state.members_version);
+        state.owners_members_version = Some(state.members_version);
         let mut by_zone: BTreeMap<Name, BTreeMap<Name, SocketAddr>> = BTreeMap::new();
         let mut members = BTreeMap::new();
         for (host, member) in &state.members {
--- a/crates/proxy/src/control/pause.rs
+++ b/crates/proxy/src/control/pause.rs
@@ -63,7 +63,7 @@
     /// Waits after a call that failed until the store is worth another try: until a reading by whomever shows that it
     /// is back, or for a while that grows.
     pub(crate) async fn await_store(&self, pause: &mut Pause) {
-        let is_silent = || self.state.borrow().is_store_silent(self.patience());
+        let is_silent = || self.state.borrow().is_store_silent(self.store_silence_timeout());
         if self.upstream().is_none() {
             return pause.wait().await;
         }
@@ -73,7 +73,7 @@
         }
         let is_back = async {
             while is_silent() {
-                self.news.notified().await;
+                self.updates_available.notified().await;
             }
         };
         tokio::select! {
--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     control::{
-        packing::unpack_all,
+        compression::decompress_all,
         peers::{
             ChangesMessage, FollowAnswer, FollowRequest, PeerQuestion, PeerRequest, TunnelRequest,
         },
@@ -61,16 +61,16 @@
 
 /// A link of another daemon on its way from the thread that accepted it to the one that serves.
 #[derive(Debug)]
-pub struct HandedOver {
+pub struct AcceptedLink {
     stream: std::net::TcpStream,
     /// What was read already.
     read: BytesMut,
 }
 
-impl HandedOver {
-    fn new(frames: Frames) -> std::io::Result<HandedOver> {
+impl AcceptedLink {
+    fn new(frames: Frames) -> std::io::Result<AcceptedLink> {
         let parts = frames.into_parts();
-        Ok(HandedOver { stream: parts.io.into_std()?, read: parts.read_buf })
+        Ok(AcceptedLink { stream: parts.io.into_std()?, read: parts.read_buf })
     }
 
     pub(crate) fn into_frames(self) -> std::io::Result<Frames> {
@@ -85,7 +85,7 @@
     listener: TcpListener,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer + Clone + 'static,
     find_server: impl Fn(&TunnelRequest) -> Option<SocketAddr> + Clone + 'static,
-    hand_over: impl Fn(HandedOver) + Clone + 'static,
+    hand_over: impl Fn(AcceptedLink) + Clone + 'static,
 ) {
     let tunnels = Arc::new(Semaphore::new(MAX_TUNNELS));
     loop {
@@ -112,7 +112,7 @@
     stream: TcpStream,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer,
     find_server: impl Fn(&TunnelRequest) -> Option<SocketAddr>,
-    hand_over: impl Fn(HandedOver),
+    hand_over: impl Fn(AcceptedLink),
     tunnels: Arc<Semaphore>,
 ) {
     let mut frames = framed(stream);
@@ -125,7 +125,7 @@
                 let server = place.as_ref().and_then(|_| find_server(&request));
                 return serve_tunnel(frames, server).await;
             }
-            Some(PeerQuestion::Relay(_)) => match HandedOver::new(frames) {
+            Some(PeerQuestion::Relay(_)) => match AcceptedLink::new(frames) {
                 Ok(link) => return hand_over(link),
                 Err(error) => {
                     log::warn!(
@@ -222,7 +222,7 @@
             self.receives_since.set(None);
             let frame = received.ok()??.ok()?;
             let changes = ChangesMessage::decode(frame).map_err(std::io::Error::other);
-            match changes.and_then(unpack_all) {
+            match changes.and_then(decompress_all) {
                 Ok(changes) => answer.changes = changes,
                 Err(error) => {
                     log::warn!(
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -106,7 +106,7 @@
     pub received_era: u64,
     /// Whether the asker, which knows nothing yet, takes what the store holds in one packed piece.
     #[prost(bool, tag = "12")]
-    pub takes_packed: bool,
+    pub accepts_compressed: bool,
 }
 
 /// A daemon's steady clock.
@@ -149,13 +149,13 @@
 
 impl PrimarySample {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, service: &Name, now: Instant) -> SampleMessage {
+    pub fn to_message(&self, service: &Name, now: Instant) -> SampleMessage {
         self.message(service, age_ms(self.asked_at, now))
     }
 
     /// Returns what the daemon is told whose answer came at `heard_at`; nothing if the sample is from
     /// before, since the other's clock then says nothing of it.
-    pub fn told_since(&self, service: &Name, heard_at: Instant) -> Option<SampleMessage> {
+    pub fn to_message_since(&self, service: &Name, heard_at: Instant) -> Option<SampleMessage> {
         let after = self.asked_at.checked_duration_since(heard_at)?;
         Some(self.message(service, after.as_millis() as u64))
     }
@@ -253,9 +253,9 @@
     /// The changes, oldest first.
     #[prost(message, repeated, tag = "1")]
     pub changes: Vec<ChangeMessage>,
-    /// What comes before these, packed as a message of this kind; see [`super::packing`].
+    /// What comes before these, packed as a message of this kind; see [`super::compression`].
     #[prost(bytes = "bytes", tag = "2")]
-    pub packed: Bytes,
+    pub compressed: Bytes,
 }
 
 /// A change of one key; the answer that it comes with tells the era of its revisions.
@@ -273,9 +273,9 @@
     /// The value; none if the key was removed.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub value: Option<Bytes>,
-    /// Whether the value is packed; see [`super::packing`].
+    /// Whether the value is packed; see [`super::compression`].
     #[prost(bool, tag = "5")]
-    pub is_packed: bool,
+    pub is_compressed: bool,
 }
 
 impl From<Change> for ChangeMessage {
@@ -286,7 +286,7 @@
                 revision: revision.number(),
                 created: created.number(),
                 value: Some(value),
-                is_packed: false,
+                is_compressed: false,
             },
             Change::Removed { key, revision } => {
                 ChangeMessage { key, revision: revision.number(), ..ChangeMessage::default() }
@@ -340,7 +340,7 @@
 
 impl Evidence {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, now: Instant) -> EvidenceMessage {
+    pub fn to_message(&self, now: Instant) -> EvidenceMessage {
         EvidenceMessage {
             service: self.service.to_string(),
             server: self.server.to_string(),
@@ -351,9 +351,9 @@
 }
 
 /// What an answer tells besides its reading, taken apart.
-pub struct Told {
+pub struct AnswerContents {
     /// Changes, or everything that there is.
-    pub news: StoreUpdates,
+    pub updates: StoreUpdates,
     /// Evidence, each with the latest moment at which the servers can have been asked.
     pub evidence: Vec<Evidence>,
     /// Samples by service.
@@ -365,10 +365,10 @@
     /// that the daemon lives, while a configuration may take seconds over a slow link.
     ///
     /// `packed` goes before the changes, for an asker that knows nothing yet; empty for any other.
-    pub fn split(mut self, packed: Bytes) -> (FollowAnswer, Option<ChangesMessage>) {
+    pub fn split(mut self, compressed: Bytes) -> (FollowAnswer, Option<ChangesMessage>) {
         let changes = std::mem::take(&mut self.changes);
-        self.changes_follow = !changes.is_empty() || !packed.is_empty();
-        let changes = self.changes_follow.then_some(ChangesMessage { changes, packed });
+        self.changes_follow = !changes.is_empty() || !compressed.is_empty();
+        let changes = self.changes_follow.then_some(ChangesMessage { changes, compressed });
         (self, changes)
     }
 
@@ -388,11 +388,11 @@
     }
 
     /// Takes the changes and the evidence out.
-    pub fn take_told(&mut self, sent_at: Instant) -> Told {
+    pub fn take_contents(&mut self, sent_at: Instant) -> AnswerContents {
         let made_at = self.made_at(sent_at);
         let era = Era(self.era);
         let changes = std::mem::take(&mut self.changes).into_iter();
-        let news = StoreUpdates {
+        let updates = StoreUpdates {
             changes: changes.map(|change| change.change(era)).collect(),
             is_whole: self.is_whole,
             applied_revision: Revision::new(era, self.applied_revision),
@@ -409,7 +409,7 @@
             .samples
             .iter()
             .filter_map(|it| Some(it.sample(made_at.checked_sub(Duration::from_millis(it.ms))?)));
-        Told { news, evidence: evidence.collect(), samples: samples.collect() }
+        AnswerContents { updates, evidence: evidence.collect(), samples: samples.collect() }
     }
 }
 
@@ -443,7 +443,7 @@
 
 impl StoreRead {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, number: u64, now: Instant) -> StoreReadMessage {
+    pub fn to_message(&self, number: u64, now: Instant) -> StoreReadMessage {
         let revision = self.revision.number();
         StoreReadMessage { number, age_ms: age_ms(self.asked_at, now), revision }
     }
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -29,17 +29,17 @@
 impl<P: Adapter> Control<P> {
     /// Tells whoever promotes that the replicas of a service are too far behind for the reads there are. Its
     /// own callers may ask that service little, and then it would not notice for seconds.
-    pub(crate) fn tell_behind(self: &Rc<Self>, service: Name) {
+    pub(crate) fn report_replicas_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
         if self.held_duty().is_some() {
-            self.note_behind(service);
+            self.note_replicas_behind(service);
             return;
         }
         let Some(holder) = self.duty_holder() else { return };
-        let told_at = self.state.borrow_mut().behind_told.insert(service.clone(), now);
+        let told_at = self.state.borrow_mut().behind_reported_at.insert(service.clone(), now);
         if told_at.is_some_and(|at| now.duration_since(at) < BEHIND_TOLD_EVERY) {
             // The time of the report that was sent counts, not of those that were not.
-            self.state.borrow_mut().behind_told.insert(service, told_at.unwrap_or(now));
+            self.state.borrow_mut().behind_reported_at.insert(service, told_at.unwrap_or(now));
             return;
         }
         let request = FollowRequest { behind: vec![service.to_string()], ..self.bare_question() };
@@ -51,9 +51,9 @@
     }
 
     /// Notes such a report, and looks whether the lead should move.
-    pub(crate) fn note_behind(&self, service: Name) {
-        self.state.borrow_mut().replicas_behind.insert(service, Instant::now());
-        self.changed.notify_waiters();
+    pub(crate) fn note_replicas_behind(&self, service: Name) {
+        self.state.borrow_mut().replicas_behind_at.insert(service, Instant::now());
+        self.mirror_changed.notify_waiters();
     }
 
     /// Returns where the daemon that holds the duty to promote is asked, if that is another one.
@@ -82,15 +82,15 @@
     /// Asks a daemon of another zone where the primaries' logs stand. After a restart a server may count
     /// so many former connections for 3 s that none of a zone's daemons gets one to the primary; with a
     /// sample from elsewhere their reads run at replicas meanwhile instead of being refused.
-    pub(crate) fn ask_for_samples(self: &Rc<Self>) {
+    pub(crate) fn request_samples(self: &Rc<Self>) {
         let now = Instant::now();
         {
             let mut state = self.state.borrow_mut();
-            let asked_at = state.samples_asked_at;
+            let asked_at = state.samples_requested_at;
             if asked_at.is_some_and(|at| now.duration_since(at) < SAMPLES_ASKED_EVERY) {
                 return;
             }
-            state.samples_asked_at = Some(now);
+            state.samples_requested_at = Some(now);
         }
         let peers = self.other_zones_readers(now);
         let request = self.bare_question();
@@ -101,12 +101,12 @@
             let Some(mut answer) = control.requester.ask(peer, &request, false).await else {
                 return;
             };
-            let samples = answer.take_told(sent_at).samples;
+            let samples = answer.take_contents(sent_at).samples;
             log::debug!(
                 event = "samples_heard", peer = peer.to_string().as_str(), samples = samples.len();
                 "a daemon of another zone told where primaries' logs stand"
             );
-            control.take_samples(samples);
+            control.merge_samples(samples);
             control.publish();
         });
     }
@@ -132,11 +132,11 @@
         let Some(heard_at) = heard_at else { return Vec::new() };
         let state = self.state.borrow();
         let samples = state.samples.iter();
-        samples.filter_map(|(service, sample)| sample.told_since(service, heard_at)).collect()
+        samples.filter_map(|(service, sample)| sample.to_message_since(service, heard_at)).collect()
     }
 
     /// Keeps the latest sample of each primary's log.
-    pub(crate) fn take_samples(&self, samples: impl IntoIterator<Item = (Name, PrimarySample)>) {
+    pub(crate) fn merge_samples(&self, samples: impl IntoIterator<Item = (Name, PrimarySample)>) {
         let mut state = self.state.borrow_mut();
         for (service, sample) in samples {
             let known = state.samples.get(&service);
--- a/crates/proxy/src/control/restored.rs
+++ b/crates/proxy/src/control/restored.rs
@@ -189,9 +189,9 @@
     /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
     pub(crate) async fn meet_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
         if self.upstream().is_none() {
-            return self.read_everything().await;
+            return self.load_from_store().await;
         }
-        self.state.borrow_mut().note_sighting(&reading);
+        self.state.borrow_mut().note_observed_revision(&reading);
         Ok(())
     }
 
--- a/crates/proxy/src/control/rights.rs
+++ b/crates/proxy/src/control/rights.rs
@@ -35,7 +35,7 @@
         let mut pause = Pause::default();
         // The first reading is that of everything, which brings what the rights are about.
         while !self.state.borrow().servers_known {
-            self.has_read.notified().await;
+            self.initial_load_done.notified().await;
         }
         loop {
             // Here, since this loop turns also while nothing is heard.
@@ -84,7 +84,7 @@
     async fn await_shared_reading(&self, pause: &mut Pause) {
         let shared = async {
             while !self.has_fresh_shared_read() {
-                self.news.notified().await;
+                self.updates_available.notified().await;
             }
         };
         tokio::select! {
@@ -155,7 +155,7 @@
         let changes = self.store.watch(&self.key(""), after, Duration::ZERO).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
-        self.take_over(changes);
+        self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
         state.own_applied_revision = state.own_applied_revision.max(revision);
         Ok(())
@@ -175,7 +175,7 @@
         self.note_own_reading(reading, now);
         match evaluate_read(&reading, now, self.right(), &self.own_keys()) {
             SharedRead::Renews(services) => self.grant_rights(asked_at, Some(&services)),
-            SharedRead::Useless if self.is_key_gone() => self.rejoin.notify_one(),
+            SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
             SharedRead::Useless => {}
         }
         self.finish_reading(now);
@@ -184,14 +184,14 @@
     /// Notes a reading that this daemon asked for itself.
     fn note_own_reading(&self, reading: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
-        state.note_sighting(&reading);
+        state.note_observed_revision(&reading);
         let before = state.own_read_at.replace(reading.asked_at);
         if before.is_none_or(|before| now.duration_since(before) > self.right()) {
             // Members that came and went meanwhile were not seen; another's reading does not tell of
             // them.
             state.watching_since = Some(now);
         }
-        let is_back = state.note_read(now, self.patience());
+        let is_back = state.note_read(now, self.store_silence_timeout());
         state.own_applied_revision = state.own_applied_revision.max(reading.revision);
         state.keep_latest_read(reading);
         drop(state);
@@ -205,7 +205,7 @@
         self.note_members(now);
         self.tell_and_look();
         self.publish();
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
     }
 
     /// Takes over a reading of the daemons' own keys that was asked for at `asked_at`.
@@ -214,11 +214,11 @@
         let revision = snapshot.revision;
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
         let changes = self.state.borrow().mirror.changes_to(&self.key(""), snapshot);
-        self.take_over(changes);
+        self.apply_changes(changes);
         self.note_own_reading(StoreRead { asked_at, revision }, now);
         if is_member {
             self.grant_rights(asked_at, None);
-        } else if self.is_key_gone() {
+        } else if self.is_member_key_missing() {
             self.rejoin.notify_one();
         }
         self.finish_reading(now);
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -20,9 +20,9 @@
     control::{
         adapter::Adapter,
         change::Reason,
+        compression::Compressor,
         control_view::{ControlView, Observation},
-        packing::Packer,
-        peer_link::{HandedOver, PeerRequester},
+        peer_link::{AcceptedLink, PeerRequester},
         state::State,
     },
     events::ProxyMetrics,
@@ -36,9 +36,9 @@
 
 /// What the control thread asks of the serving thread.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ServingRequest {
     /// Give a server a command, over the connections that sessions share.
-    Command(CommandAsk),
+    Command(CommandRequest),
     /// Find out whether a server that another daemon suspects can be reached from here.
     Probe {
         /// The service.
@@ -47,12 +47,12 @@
         server: Name,
     },
     /// Run what another daemon hands over on this link.
-    Relay(HandedOver),
+    Relay(AcceptedLink),
 }
 
 /// A command that is answered with the server's status.
 #[derive(Debug)]
-pub struct CommandAsk {
+pub struct CommandRequest {
     /// The service.
     pub service: Name,
     /// The server.
@@ -99,7 +99,7 @@
     /// What the serving thread observes.
     pub observations: flume::Receiver<Observation>,
     /// Questions that the serving thread asks.
-    pub asks: flume::Sender<Ask>,
+    pub serving_requests: flume::Sender<ServingRequest>,
     /// When the stop began: from then on the duty is left to others.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// Whether every caller has left: from then on nothing is needed any more.
@@ -119,23 +119,23 @@
     pub(crate) metrics: ProxyMetrics,
     pub(crate) state: RefCell<State>,
     /// Wakes whoever decides by the mirror.
-    pub(crate) changed: Notify,
+    pub(crate) mirror_changed: Notify,
     /// Wakes the answers to daemons that follow the store through this one.
-    pub(crate) news: Notify,
+    pub(crate) updates_available: Notify,
     /// Changes of primary that this daemon makes now, with their reasons.
     pub(crate) changes_running: RefCell<BTreeMap<Name, Reason>>,
     pub(crate) change_count: Cell<u64>,
     pub(crate) format: P::Format,
     pub(crate) control_view: watch::Sender<Arc<ControlView>>,
     pub(crate) observations: flume::Receiver<Observation>,
-    pub(crate) asks: flume::Sender<Ask>,
+    pub(crate) serving_requests: flume::Sender<ServingRequest>,
     pub(crate) stopping: watch::Receiver<Option<Instant>>,
     pub(crate) refresh_now: Notify,
     /// Says that this daemon has become a member, and that everything has been read, for the first time.
-    pub(crate) has_joined: Notify,
-    pub(crate) has_read: Notify,
+    pub(crate) joined: Notify,
+    pub(crate) initial_load_done: Notify,
     pub(crate) requester: PeerRequester,
-    pub(crate) packer: Packer,
+    pub(crate) compressor: Compressor,
     /// A number of this life of the daemon, and when it began.
     pub(crate) incarnation: u64,
     pub(crate) epoch: Instant,
@@ -145,7 +145,7 @@
     pub(crate) suspicions_due: Notify,
     /// Wakes whoever writes again what the store lost.
     pub(crate) put_back: Notify,
-    pub(crate) writes: (flume::Sender<PendingWrite>, flume::Receiver<PendingWrite>),
+    pub(crate) pending_writes: (flume::Sender<PendingWrite>, flume::Receiver<PendingWrite>),
 }
 
 /// A write with what it is for.
@@ -163,26 +163,26 @@
         dialect: parts.dialect,
         metrics: parts.metrics,
         state: RefCell::default(),
-        changed: Notify::new(),
-        news: Notify::new(),
+        mirror_changed: Notify::new(),
+        updates_available: Notify::new(),
         changes_running: RefCell::default(),
         change_count: Cell::new(0),
         format: parts.format,
         control_view: parts.control_view,
         observations: parts.observations,
-        asks: parts.asks,
+        serving_requests: parts.serving_requests,
         stopping: parts.stopping,
         refresh_now: Notify::new(),
-        has_joined: Notify::new(),
-        has_read: Notify::new(),
+        joined: Notify::new(),
+        initial_load_done: Notify::new(),
         requester: PeerRequester::default(),
-        packer: Packer::default(),
+        compressor: Compressor::default(),
         incarnation: rand::rng().random(),
         epoch: Instant::now(),
         rejoin: Notify::new(),
         suspicions_due: Notify::new(),
         put_back: Notify::new(),
-        writes: flume::bounded(MOST_PENDING_WRITES),
+        pending_writes: flume::bounded(MOST_PENDING_WRITES),
     });
     let mut ended = parts.ended;
     let work = async {
@@ -236,7 +236,7 @@
     }
 
     /// How long no reading may come before the store counts as silent.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn store_silence_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.refresh_ms) * 2
     }
 
@@ -255,7 +255,7 @@
         self.take_doubted_entries(now);
         let mut state = self.state.borrow_mut();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
-        if state.is_store_silent(self.patience()) {
+        if state.is_store_silent(self.store_silence_timeout()) {
             // Servers can't renew their entries either, as far as is known here.
             state.servers.restart_grace(now);
         }
@@ -274,7 +274,7 @@
         if *state.published_tunnel_peers != tunnel_peers {
             state.published_tunnel_peers = Arc::new(tunnel_peers);
         }
-        self.renew_owners(&mut state);
+        self.update_owners(&mut state);
         let sharers = Sharers {
             zones: state.zones.max(1),
             daemons: state.members_seen.len().max(1) as u32,
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -12,9 +12,9 @@
         adapter::Adapter,
         runner::Control,
         state::MemberValue,
-        tree::{TreeMember, daemon_to_follow},
+        tree::{TreeMember, select_upstream},
     },
-    metadata::{Consistency, MetadataError, MetadataStore, Patience, Revision},
+    metadata::{Consistency, MetadataError, MetadataStore, ReadTimeouts, Revision},
 };
 
 /// Members up to which each daemon reads everything itself when it starts: that takes one step instead of the three of the
@@ -52,19 +52,19 @@
 
 impl<P: Adapter> Control<P> {
     /// Learns everything that the store holds, the first time from another daemon where the fleet is large.
-    pub(crate) async fn learn_everything(&self) -> Result<(), MetadataError> {
+    pub(crate) async fn load_store(&self) -> Result<(), MetadataError> {
         let is_first = !self.state.borrow().servers_known;
-        if is_first && self.hear_everything().await? {
+        if is_first && self.load_from_peer().await? {
             return Ok(());
         }
-        self.read_everything().await
+        self.load_from_store().await
     }
 
     /// Hears everything from another daemon of the zone, in a large fleet; `false` if it is to be read from the store.
     ///
     /// Where the members can't be listed the whole is not read either: a link that is too full for the one is by far too
     /// full for the other.
-    async fn hear_everything(&self) -> Result<bool, MetadataError> {
+    async fn load_from_peer(&self) -> Result<bool, MetadataError> {
         let members = self.list_settled_members().await?;
         if members.len() <= MOST_WHO_READ {
             return Ok(false);
@@ -79,7 +79,7 @@
                 Heard::Nothing => {}
                 Heard::WithoutAge => self.look_at_own_key().await,
                 Heard::Everything => {
-                    self.note_everything_known();
+                    self.note_store_loaded();
                     log::info!(
                         event = "heard_everything", peer = reader.to_string().as_str(),
                         took_ms = began.elapsed().as_millis() as u64;
@@ -108,13 +108,13 @@
     }
 
     /// Notes that the configuration, the servers and the daemons' own keys are all known.
-    pub(crate) fn note_everything_known(&self) {
+    pub(crate) fn note_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
         state.servers_known = true;
         // A long time without the store may have made entries lapse that servers renew now.
         state.servers.restart_grace(Instant::now());
         drop(state);
-        self.has_read.notify_one();
+        self.initial_load_done.notify_one();
         self.publish();
     }
 
@@ -140,8 +140,9 @@
 
     async fn list_members(&self, consistency: Consistency) -> Result<Vec<Listed>, MetadataError> {
         let prefix = self.key("members/");
-        let patience = Patience { answer: self.read_timeout(), whole: self.whole_read_timeout() };
-        let read = self.store.range(&prefix, consistency, patience).await;
+        let timeouts =
+            ReadTimeouts { answer: self.read_timeout(), whole: self.whole_read_timeout() };
+        let read = self.store.range(&prefix, consistency, timeouts).await;
         self.count_call("range", &read);
         let listed = read?.items.into_iter().filter_map(|item| {
             let host = item.key.strip_prefix(&prefix)?.to_owned();
@@ -162,8 +163,8 @@
             Some(TreeMember { host, availability_zone: own_zone, address })
         });
         let askable: Vec<TreeMember<'_>> =
-            askable.skip(passed_over(waited, self.whole_read_timeout())).collect();
-        daemon_to_follow(&askable, &self.settings.host, own_zone)
+            askable.skip(skipped_peers(waited, self.whole_read_timeout())).collect();
+        select_upstream(&askable, &self.settings.host, own_zone)
     }
 
     fn how_much_is_heard(&self) -> Heard {
@@ -171,7 +172,7 @@
         if state.mirror.applied_revision() == Revision::ABSENT {
             return Heard::Nothing;
         }
-        match state.knowledge.age(Instant::now()) {
+        match state.freshness.age(Instant::now()) {
             Some(age) if age < KNOWN_WITHIN => Heard::Everything,
             Some(_) | None => Heard::WithoutAge,
         }
@@ -181,7 +182,7 @@
 /// Returns how many of a zone's first daemons are passed over by one that has waited so long for them: none of them may
 /// reach the store. Each time that a reading of everything may take lets about as many more read it as have tried, so
 /// that a slow start does not have all of a zone read at once, which would make it slower for each of them.
-pub fn passed_over(waited: Duration, reading_takes: Duration) -> usize {
+pub fn skipped_peers(waited: Duration, reading_takes: Duration) -> usize {
     let rounds = waited.as_millis() / reading_takes.as_millis().max(1);
     (1_usize << rounds.min(MOST_ROUNDS)) - 1
 }
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -16,7 +16,7 @@
         change::VersionedRecord,
         control_view::{GroupLeader, Owners, TunnelPeers},
         following::UpstreamProgress,
-        knowledge::{Knowledge, Sighting},
+        freshness::{Freshness, ObservedRevision},
         looks::Looks,
         mirror::Mirror,
         peers::{Evidence, PrimarySample, StoreRead},
@@ -59,7 +59,7 @@
 pub(crate) struct State {
     pub(crate) mirror: Mirror,
     /// How old what the mirror holds may be.
-    pub(crate) knowledge: Knowledge,
+    pub(crate) freshness: Freshness,
     pub(crate) servers: ServerList,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) servers_known: bool,
@@ -95,7 +95,7 @@
     /// The latest sample of each primary's log that a daemon of the zone took.
     pub(crate) samples: Arc<HashMap<Name, PrimarySample>>,
     /// When another zone was last asked for such samples.
-    pub(crate) samples_asked_at: Option<Instant>,
+    pub(crate) samples_requested_at: Option<Instant>,
     /// When each other daemon was last known to be a member.
     pub(crate) members_seen: HashMap<Name, SeenMember>,
     /// Since when members have been watched, which bounds what may have been missed.
@@ -105,13 +105,13 @@
     /// Since when the recorded primary of a service has had no entry.
     pub(crate) primary_missing_since: HashMap<Name, Instant>,
     /// When the replicas of a service were last found too far behind for the reads there are.
-    pub(crate) replicas_behind: HashMap<Name, Instant>,
+    pub(crate) replicas_behind_at: HashMap<Name, Instant>,
     /// When the holder of the duty was last told so by this daemon.
-    pub(crate) behind_told: HashMap<Name, Instant>,
+    pub(crate) behind_reported_at: HashMap<Name, Instant>,
     /// When this daemon last moved the lead of a service for that reason.
-    pub(crate) lead_moved: HashMap<Name, Instant>,
+    pub(crate) leader_moved_at: HashMap<Name, Instant>,
     /// When it last looked whether a replica could take the lead over for that reason.
-    pub(crate) lead_checked: HashMap<Name, Instant>,
+    pub(crate) leader_move_checked_at: HashMap<Name, Instant>,
     pub(crate) acknowledged: HashMap<Name, String>,
     /// Servers that this daemon can't reach, and when it last tried.
     pub(crate) suspected: HashMap<(Name, Name), Instant>,
@@ -121,14 +121,14 @@
     pub(crate) looks: Looks,
     pub(crate) witnessing: Witnessing,
     /// When the store was last found again after a time without it.
-    pub(crate) store_back_at: Option<Instant>,
+    pub(crate) store_recovered_at: Option<Instant>,
     pub(crate) published_servers: Arc<ServersByService>,
     pub(crate) published_tunnel_peers: Arc<TunnelPeers>,
     pub(crate) published_owners: Arc<Owners>,
     /// Every member that can be asked, by host.
     pub(crate) published_members: Arc<BTreeMap<Name, SocketAddr>>,
     /// The [`State::members_version`] that they were made from.
-    pub(crate) owners_of_members: Option<u64>,
+    pub(crate) owners_members_version: Option<u64>,
     /// Availability zones that have members.
     pub(crate) zones: u32,
     /// What the store's last restore asks for.
@@ -142,15 +142,15 @@
 
 impl State {
     /// Whether no reading of the store has come for so long.
-    pub(crate) fn is_store_silent(&self, patience: Duration) -> bool {
-        self.last_read_at.is_none_or(|at| at.elapsed() > patience)
+    pub(crate) fn is_store_silent(&self, silence_timeout: Duration) -> bool {
+        self.last_read_at.is_none_or(|at| at.elapsed() > silence_timeout)
     }
 
     /// Notes a reading of the store; `true` if it is the first one after a time without any.
-    pub(crate) fn note_read(&mut self, now: Instant, patience: Duration) -> bool {
-        let is_back = self.is_store_silent(patience);
+    pub(crate) fn note_read(&mut self, now: Instant, silence_timeout: Duration) -> bool {
+        let is_back = self.is_store_silent(silence_timeout);
         if is_back {
-            self.store_back_at = Some(now);
+            self.store_recovered_at = Some(now);
         }
         self.last_read_at = Some(now);
         is_back
@@ -159,18 +159,18 @@
     /// Notes that every change up to a revision is known.
     pub(crate) fn note_applied(&mut self, revision: Revision) {
         self.mirror.note_applied(revision);
-        self.knowledge.note_applied(self.mirror.applied_revision());
+        self.freshness.note_applied(self.mirror.applied_revision());
     }
 
     /// Notes which revision the store stood at, by any reading, whether it gives a right or not.
-    pub(crate) fn note_sighting(&mut self, reading: &StoreRead) {
-        let seen = Sighting { revision: reading.revision, asked_at: reading.asked_at };
-        self.knowledge.note_store_read(seen, self.mirror.applied_revision());
+    pub(crate) fn note_observed_revision(&mut self, reading: &StoreRead) {
+        let seen = ObservedRevision { revision: reading.revision, asked_at: reading.asked_at };
+        self.freshness.note_store_read(seen, self.mirror.applied_revision());
     }
 
     /// Forgets what was believed of a server's former life: rights to use it, what it showed of its log, and that it was out
     /// of reach.
-    pub(crate) fn forget_life(&mut self, service: &Name, server: &Name) {
+    pub(crate) fn forget_incarnation(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
         if let Some(lead) = Arc::make_mut(&mut self.leaders).get_mut(service)
             && lead.server == *server
@@ -182,7 +182,11 @@
     }
 
     /// Whether the server that a record names as primary has started again since it came to lead.
-    pub(crate) fn is_primary_reborn(&mut self, service: &Name, record: &LeadershipRecord) -> bool {
+    pub(crate) fn has_primary_restarted(
+        &mut self,
+        service: &Name,
+        record: &LeadershipRecord,
+    ) -> bool {
         self.servers.is_reborn(service, &record.primary, record.primary_life)
     }
 
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -17,7 +17,7 @@
         adapter::Adapter,
         control_view::{Observation, TunnelPeers},
         pause::Pause,
-        runner::{Ask, Control},
+        runner::{Control, ServingRequest},
         state::State,
         telling::Untold,
         witnesses::is_witness,
@@ -57,14 +57,14 @@
                 return self.take_reachability((service, server), reachable, asked_at);
             }
             Observation::PrimarySampled { service, sample } => {
-                self.take_samples([(service, sample)]);
+                self.merge_samples([(service, sample)]);
             }
             Observation::Used { service } => {
                 self.state.borrow_mut().used_at.insert(service, Instant::now());
             }
-            Observation::SampleWanted => self.ask_for_samples(),
+            Observation::SampleWanted => self.request_samples(),
             Observation::Contradicted { service, term } => self.drop_right(&service, term),
-            Observation::ReplicasBehind { service } => self.tell_behind(service),
+            Observation::ReplicasBehind { service } => self.report_replicas_behind(service),
         }
         false
     }
@@ -134,8 +134,9 @@
     fn untold_suspicions(&self) -> Option<(Untold, LeaseId)> {
         let mut state = self.state.borrow_mut();
         let lease = state.lease?.id;
-        let is_confirmed =
-            |asked_at: &Instant| state.store_back_at.is_none_or(|back_at| *asked_at >= back_at);
+        let is_confirmed = |asked_at: &Instant| {
+            state.store_recovered_at.is_none_or(|back_at| *asked_at >= back_at)
+        };
         let suspected = state.suspected.iter().filter(|(_, asked_at)| is_confirmed(asked_at));
         let wanted: BTreeSet<String> =
             suspected.map(|((service, server), _)| self.suspicion_key(service, server)).collect();
@@ -208,7 +209,7 @@
 
     fn have_probed(&self, (service, server): (Name, Name)) {
         // A full ring means that the serving thread is behind; it tries by itself soon, or its own traffic shows it.
-        let _ = self.asks.try_send(Ask::Probe { service, server });
+        let _ = self.serving_requests.try_send(ServingRequest::Probe { service, server });
     }
 
     /// Has the servers tried again that this daemon could not reach before the store was back.
@@ -216,7 +217,7 @@
         let unconfirmed: Vec<(Name, Name)> = {
             let state = self.state.borrow();
             let is_older =
-                |asked_at: &Instant| state.store_back_at.is_some_and(|at| *asked_at < at);
+                |asked_at: &Instant| state.store_recovered_at.is_some_and(|at| *asked_at < at);
             let suspected = state.suspected.iter().filter(|(_, asked_at)| is_older(asked_at));
             suspected.map(|(pair, _)| pair.clone()).collect()
         };
@@ -273,14 +274,14 @@
     /// Starts a write whose failure costs time and nothing else.
     pub(crate) fn write_soon(&self, transaction: Transaction, what: &'static str) {
         // A full ring means that the store has been silent for long; a later reading makes up for it.
-        if self.writes.0.try_send((transaction, what)).is_err() {
+        if self.pending_writes.0.try_send((transaction, what)).is_err() {
             log::warn!(event = "write_dropped", what = what; "too many writes wait for the store");
         }
     }
 
     /// Carries those writes out, each as soon as it comes.
     pub(crate) async fn write_loop(self: Rc<Self>) {
-        while let Ok((transaction, what)) = self.writes.1.recv_async().await {
+        while let Ok((transaction, what)) = self.pending_writes.1.recv_async().await {
             let written = self.store.commit(&transaction, self.write_timeout()).await;
             self.count_call("commit", &written);
             if let Err(error) = written {
--- a/crates/proxy/src/control/tree.rs
+++ b/crates/proxy/src/control/tree.rs
@@ -23,7 +23,7 @@
 /// A daemon follows one of its zone that comes before it. The first of a zone follows the first of another
 /// zone that comes before it, so only the very first reads and watches the store, and whoever promotes: with
 /// one in each of three zones, half of all calls to the store were the same call three times.
-pub fn daemon_to_follow(
+pub fn select_upstream(
     members: &[TreeMember<'_>],
     host: &str,
     availability_zone: &str,
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -11,11 +11,11 @@
 use crate::{
     catalog::CatalogFormat,
     control::adapter::Adapter,
-    control::knowledge::{BEHIND_FOR, asks_later_by, must_ask_store},
+    control::freshness::{BEHIND_FOR, catch_up_delay, must_read_store},
     control::pause::Pause,
     control::runner::Control,
     metadata::{
-        Change, Changes, Consistency, Item, MetadataError, MetadataStore, Patience, Snapshot,
+        Change, Changes, Consistency, Item, MetadataError, MetadataStore, ReadTimeouts, Snapshot,
     },
 };
 
@@ -36,9 +36,9 @@
     pub(crate) async fn watch_loop(self: Rc<Self>) {
         let mut pause = Pause::default();
         // A store that does not let this daemon join may still let it read.
-        let _ = tokio::time::timeout(JOINED_WITHIN, self.has_joined.notified()).await;
+        let _ = tokio::time::timeout(JOINED_WITHIN, self.joined.notified()).await;
         loop {
-            match self.learn_everything().await {
+            match self.load_store().await {
                 Ok(()) => {
                     pause.reset();
                     let error = self.follow(&mut pause).await;
@@ -59,10 +59,11 @@
 
     /// Reads all that the watch follows, at once: the watch must begin where the configuration, the
     /// servers and the daemons' own keys were all read.
-    pub(crate) async fn read_everything(&self) -> Result<(), MetadataError> {
+    pub(crate) async fn load_from_store(&self) -> Result<(), MetadataError> {
         let asked_at = Instant::now();
-        let patience = Patience { answer: self.read_timeout(), whole: self.whole_read_timeout() };
-        let read = self.store.range("", Consistency::Linearizable, patience).await;
+        let timeouts =
+            ReadTimeouts { answer: self.read_timeout(), whole: self.whole_read_timeout() };
+        let read = self.store.range("", Consistency::Linearizable, timeouts).await;
         self.count_call("range", &read);
         let everything = read?;
         let revision = everything.revision;
@@ -71,10 +72,10 @@
         let own = Snapshot { items: own_items.cloned().collect(), revision };
         self.enter_era(revision);
         let changes = self.state.borrow().mirror.changes_to("", everything);
-        self.take_over(changes);
+        self.apply_changes(changes);
         self.state.borrow_mut().note_applied(revision);
         self.on_own_snapshot(own, asked_at);
-        self.note_everything_known();
+        self.note_store_loaded();
         Ok(())
     }
 
@@ -137,7 +138,7 @@
         let changes = self.store.watch("", after, wait).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
-        self.take_over(changes);
+        self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
         state.note_applied(revision);
         state.own_applied_revision = state.own_applied_revision.max(revision);
@@ -147,7 +148,7 @@
     /// Asks the store for what is missing once whoever is followed, or the watch, has told nothing of it for too long.
     ///
     /// This is what bounds the age of a configuration wherever the store answers: by the time until a reading is asked
-    /// for (0.7 of `right_ms`), [`FOLLOWER_BEHIND_FOR`](super::knowledge) and a look, 2.3 s in all by default. Without it twelve daemons that reached the
+    /// for (0.7 of `right_ms`), [`FOLLOWER_BEHIND_FOR`](super::freshness) and a look, 2.3 s in all by default. Without it twelve daemons that reached the
     /// store served by a former configuration for as long as those that they followed were cut off, seven seconds. It
     /// takes no time of the rights, which are renewed beside it. See `docs/CONFIGURATION-SPREAD.md`.
     pub(crate) async fn catch_up_loop(self: Rc<Self>) {
@@ -179,22 +180,22 @@
     /// Whether something has been missing for so long that whoever is followed can't be waited for.
     fn is_behind(&self) -> bool {
         let now = Instant::now();
-        let behind_for = self.state.borrow().knowledge.behind_for(now);
+        let behind_for = self.state.borrow().freshness.behind_for(now);
         let Some(behind_for) = behind_for.filter(|time| *time > BEHIND_FOR) else { return false };
-        let behind_for = behind_for.saturating_sub(self.asks_later_by());
+        let behind_for = behind_for.saturating_sub(self.catch_up_delay());
         let follows = self.upstream().is_some();
-        must_ask_store(behind_for, follows, self.requester.receives_for(now))
+        must_read_store(behind_for, follows, self.requester.receives_for(now))
     }
 
     /// How much later this daemon asks than the first of its zone.
-    fn asks_later_by(&self) -> Duration {
+    fn catch_up_delay(&self) -> Duration {
         if !self.is_fleet_large() {
             return Duration::ZERO;
         }
         let (host, zone) = (&self.settings.host, &self.settings.availability_zone);
         let state = self.state.borrow();
         let before = state.members.range::<Name, _>(..host);
-        asks_later_by(before.filter(|(_, member)| member.availability_zone == **zone).count())
+        catch_up_delay(before.filter(|(_, member)| member.availability_zone == **zone).count())
     }
 
     /// Asks for the changes, and for everything where that brings nothing: watches may be deaf for a while.
@@ -214,12 +215,12 @@
             Err(error @ (MetadataError::NotDone(_) | MetadataError::Unfinished)) => Err(error),
             // A full link more likely than a deaf watch, and everything would fill it for longer.
             Err(error @ MetadataError::NoAnswer(_)) if self.is_fleet_large() => Err(error),
-            Ok(()) | Err(_) => self.read_everything().await,
+            Ok(()) | Err(_) => self.load_from_store().await,
         }
     }
 
     /// Takes over changes, from wherever they were heard, and wakes whoever waits for them.
-    pub(crate) fn take_over(&self, changes: Vec<Change>) {
+    pub(crate) fn apply_changes(&self, changes: Vec<Change>) {
         let mut own_changed = false;
         let mut records = Vec::new();
         for change in changes {
@@ -237,14 +238,14 @@
                 own_changed = true;
                 records.extend(self.on_own_key(&key));
             } else {
-                self.on_foreign_change(change);
+                self.on_operator_or_server_change(change);
             }
         }
         self.take_over_records(&records);
         if own_changed {
-            self.changed.notify_waiters();
+            self.mirror_changed.notify_waiters();
         }
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
     }
 
     /// Whether others should hear of a change of this key at once; what comes in numbers, as when many
@@ -255,7 +256,7 @@
     }
 
     /// Takes over a change of what operators and servers write.
-    fn on_foreign_change(&self, change: Change) {
+    fn on_operator_or_server_change(&self, change: Change) {
         match change {
             Change::Put(item) if self.is_operators_configuration(&item.key) => {
                 self.on_configuration(&item);
@@ -323,7 +324,7 @@
                     );
                 }
                 if before.is_some() && before != life {
-                    state.forget_life(&service, &server);
+                    state.forget_incarnation(&service, &server);
                     log::info!(
                         event = "server_reborn", service = &*service, server = &*server,
                         revision = item.revision.number();
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -27,7 +27,7 @@
     control::{
         adapter::AdapterTypes,
         control_view::ControlView,
-        runner::{Ask, ControlParts, ControlSettings, run_control},
+        runner::{ControlParts, ControlSettings, ServingRequest, run_control},
     },
     dialect::{CallerDialect, EndpointDialect},
     events::ProxyMetrics,
@@ -135,7 +135,7 @@
                 dialect,
                 control_view: beliefs_out,
                 observations,
-                asks: asks_out,
+                serving_requests: asks_out,
                 stopping,
                 ended,
                 peer_listener,
@@ -204,7 +204,7 @@
 async fn serve<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     listener: std::net::TcpListener,
-    asks: flume::Receiver<Ask>,
+    asks: flume::Receiver<ServingRequest>,
     stopping: watch::Sender<Option<Instant>>,
     grace: Duration,
     stop: impl Future<Output = ()>,
--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -157,16 +157,16 @@
 /// How long a call may take. A store that says nothing is given up soon; an answer that has begun may be
 /// large, and its link slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct ReadTimeouts {
     /// Until the answer begins.
     pub answer: Duration,
     /// Until all of it is there.
     pub whole: Duration,
 }
 
-impl From<Duration> for Patience {
-    fn from(time: Duration) -> Patience {
-        Patience { answer: time, whole: time }
+impl From<Duration> for ReadTimeouts {
+    fn from(time: Duration) -> ReadTimeouts {
+        ReadTimeouts { answer: time, whole: time }
     }
 }
 
@@ -184,7 +184,7 @@
         &self,
         prefix: &str,
         consistency: Consistency,
-        patience: Patience,
+        patience: ReadTimeouts,
     ) -> Result<Snapshot, MetadataError>;
     /// Waits for changes after a revision, at most for `wait`.
     async fn watch(
--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     accounts::Principal,
-    control::peer_link::{Frames, HandedOver},
+    control::peer_link::{AcceptedLink, Frames},
     dialect::{CallerDialect, EndpointDialect},
     relay::{
         load_messages::LoadMessage,
@@ -76,7 +76,7 @@
 /// Runs what another daemon hands over until its link ends; what is open then is rolled back.
 pub async fn answer_relay<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
-    link: HandedOver,
+    link: AcceptedLink,
 ) {
     let frames: Frames = match link.into_frames() {
         Ok(frames) => frames,
--- a/crates/proxy/src/serve/ask.rs
+++ b/crates/proxy/src/serve/ask.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use crate::{
-    control::runner::{Ask, CommandAsk},
+    control::runner::{CommandRequest, ServingRequest},
     dialect::{CallerDialect, EndpointDialect},
     relay::answering::answer_relay,
     serve::{
@@ -21,17 +21,17 @@
 /// Answers questions until the control thread ends.
 pub async fn answer_asks<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
-    asks: flume::Receiver<Ask>,
+    asks: flume::Receiver<ServingRequest>,
 ) {
     while let Ok(ask) = asks.recv_async().await {
         let engine = engine.clone();
         let ask = match ask {
-            Ask::Command(ask) => ask,
-            Ask::Relay(link) => {
+            ServingRequest::Command(ask) => ask,
+            ServingRequest::Relay(link) => {
                 tokio::task::spawn_local(answer_relay(engine, link));
                 continue;
             }
-            Ask::Probe { service, server } => {
+            ServingRequest::Probe { service, server } => {
                 let group = engine.group(&service, &engine.beliefs());
                 engine.probe_again(&group, &service, &server);
                 continue;
@@ -48,7 +48,7 @@
 
 async fn give_command<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
-    ask: &CommandAsk,
+    ask: &CommandRequest,
 ) -> Option<EndpointStatus> {
     let beliefs = engine.beliefs();
     let group = engine.group(&ask.service, &beliefs);
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -9,7 +9,7 @@
 use prost::Message;
 use proxy::{
     control::{
-        packing::unpack,
+        compression::decompress,
         peers::{
             ChangeMessage, ChangesMessage, ClockMessage, Evidence, FollowAnswer, FollowRequest,
             OwnKeys, PrimarySample, SharedRead, StoreRead, evaluate_read,
@@ -88,11 +88,11 @@
     let reading = StoreRead { asked_at: base + ms(300), revision: at(20) };
     let mut answer = FollowAnswer {
         held_ms: made_at.duration_since(received_at).as_millis() as u64,
-        store_read: Some(reading.told_at(4, made_at)),
-        evidence: vec![own.told_at(made_at)],
+        store_read: Some(reading.to_message(4, made_at)),
+        evidence: vec![own.to_message(made_at)],
         ..FollowAnswer::default()
     };
-    let told = answer.take_told(sent_at);
+    let told = answer.take_contents(sent_at);
     assert_eq!(told.evidence.len(), 1);
     let heard = &told.evidence[0];
     assert_eq!((&*heard.server, heard.term), ("s1", Term(3)));
@@ -129,14 +129,14 @@
     assert!(head.changes_follow && head.changes.is_empty());
     let mut received = FollowAnswer::decode(&*head.encode_to_vec()).unwrap();
     received.changes = ChangesMessage::decode(&*changes.unwrap().encode_to_vec()).unwrap().changes;
-    assert_eq!(received.take_told(Instant::now()).news.changes, sent);
+    assert_eq!(received.take_contents(Instant::now()).updates.changes, sent);
     // All revisions of an answer are of the era that it tells.
     let mut restored = FollowAnswer {
         changes: sent.iter().cloned().map(Into::into).collect(),
         era: 3,
         ..FollowAnswer::default()
     };
-    let told = restored.take_told(Instant::now()).news.changes;
+    let told = restored.take_contents(Instant::now()).updates.changes;
     assert!(told.iter().all(|change| change.revision().era() == Era(3)));
     let (head, changes) = FollowAnswer::default().split(bytes::Bytes::new());
     assert!(!head.changes_follow && changes.is_none());
@@ -157,7 +157,7 @@
         ClockMessage { incarnation: 9, at_ms: made_at.duration_since(epoch).as_millis() as u64 };
     let request = FollowRequest {
         last_clock: Some(clock),
-        samples: sample.told_since(&service, heard_at).into_iter().collect(),
+        samples: sample.to_message_since(&service, heard_at).into_iter().collect(),
         ..FollowRequest::default()
     };
     // Up: the question is on its way for any time.
@@ -169,10 +169,10 @@
     // Down again, to a third daemon whose question was sent at 2400 and waited for 200 ms.
     let mut answer = FollowAnswer {
         held_ms: 200,
-        samples: vec![here[0].1.told_at(&service, base + ms(2_650))],
+        samples: vec![here[0].1.to_message(&service, base + ms(2_650))],
         ..FollowAnswer::default()
     };
-    let told = answer.take_told(base + ms(2_400));
+    let told = answer.take_contents(base + ms(2_400));
     assert_eq!(told.samples.len(), 1);
     assert!(told.samples[0].1.asked_at <= taken_at);
     assert!(told.samples[0].1.asked_at >= taken_at - ms(125));
@@ -183,8 +183,12 @@
     let base = Instant::now() + ms(10_000);
     let sample = PrimarySample { asked_at: base + ms(100), point: LogPoint::new(1, 1) };
     let service = Name::from("a");
-    assert_eq!(sample.told_since(&service, base + ms(101)), None, "taken before the answer came");
-    let told = sample.told_since(&service, base).unwrap();
+    assert_eq!(
+        sample.to_message_since(&service, base + ms(101)),
+        None,
+        "taken before the answer came"
+    );
+    let told = sample.to_message_since(&service, base).unwrap();
     let request = |heard| FollowRequest {
         last_clock: heard,
         samples: vec![told.clone()],
@@ -207,12 +211,12 @@
     let message = |value: &[u8]| ChangeMessage {
         key: "k".to_owned(),
         value: Some(value.to_vec().into()),
-        is_packed: true,
+        is_compressed: true,
         ..ChangeMessage::default()
     };
-    assert!(unpack(&mut message(b"\xff\xff plain text")).is_err());
+    assert!(decompress(&mut message(b"\xff\xff plain text")).is_err());
     // A value that is not packed stays as it is.
-    let mut plain = ChangeMessage { is_packed: false, ..message(b"plain text") };
-    unpack(&mut plain).unwrap();
+    let mut plain = ChangeMessage { is_compressed: false, ..message(b"plain text") };
+    decompress(&mut plain).unwrap();
     assert_eq!(plain.value.as_deref(), Some(&b"plain text"[..]));
 }
--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -132,7 +132,7 @@
                     Broken::FromArrival => self.now(),
                     _ => sent_at,
                 };
-                for (_, sample) in answer.take_told(counts_from).samples {
+                for (_, sample) in answer.take_contents(counts_from).samples {
                     self.keep(*asker, sample);
                 }
                 let heard = answer.clock.map(|clock| (clock, self.now()));
@@ -149,7 +149,7 @@
         let told = daemon
             .sample
             .zip(heard)
-            .and_then(|(sample, (_, heard_at))| sample.told_since(&self.service, *heard_at));
+            .and_then(|(sample, (_, heard_at))| sample.to_message_since(&self.service, *heard_at));
         let clock = heard.map(|(clock, _)| match broken {
             Broken::AnyLife => ClockMessage { incarnation: self.daemons[asked].life, ..*clock },
             _ => *clock,
@@ -171,7 +171,7 @@
 
     fn answer(&self, asked: usize, received_at: Instant) -> FollowAnswer {
         let (daemon, now) = (&self.daemons[asked], self.now());
-        let told = daemon.sample.map(|sample| sample.told_at(&self.service, now));
+        let told = daemon.sample.map(|sample| sample.to_message(&self.service, now));
         FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
             clock: Some(ClockMessage {
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use proxy::control::tree::{TreeMember, daemon_to_follow};
+use proxy::control::tree::{TreeMember, select_upstream};
 
 fn address(host: &str) -> SocketAddr {
     let number: u16 =
@@ -36,7 +36,7 @@
     ];
     for (name, known, host, expected) in cases {
         let zone = host.split('-').next().unwrap();
-        let found = daemon_to_follow(&members(known), host, zone);
+        let found = select_upstream(&members(known), host, zone);
         assert_eq!(found, expected.map(address), "{name}");
     }
 }
@@ -48,7 +48,7 @@
     let all = members(&hosts);
     let mut followers = vec![0; hosts.len()];
     for (place, host) in hosts.iter().enumerate() {
-        let Some(found) = daemon_to_follow(&all, host, "a") else {
+        let Some(found) = select_upstream(&all, host, "a") else {
             assert_eq!(place, 0);
             continue;
         };
