--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -11,9 +11,9 @@
     catalog::ServerEntry,
     control::{
         adapter::Adapter,
-        change::{ChangeEnd, ChangeRun},
-        commands::{ASK_EVERY, Commands},
-        record::{LeadershipRecord, RightBounds, StopProgress, StoppedServer, majority},
+        change::{ChangeFailure, ChangeRun},
+        commands::{Commands, POLL_INTERVAL},
+        record::{LeadershipRecord, PrimaryLeaseDurations, StopProgress, StoppedServer, majority},
         runner::Control,
         state::SeenMember,
     },
@@ -45,7 +45,7 @@
         service: &Name,
         run: &mut ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Result<Vec<StoppedServer>, ChangeEnd> {
+    ) -> Result<Vec<StoppedServer>, ChangeFailure> {
         let give_up_at = Instant::now() + FENCE_WITHIN;
         loop {
             let entries = self.entries(service);
@@ -60,9 +60,9 @@
                 if run.chosen().is_none() {
                     self.call_off(service, run.clone(), commands).await?;
                 }
-                return Err(ChangeEnd::NoMajority);
+                return Err(ChangeFailure::NoMajority);
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -134,8 +134,11 @@
         service: &Name,
         run: &ChangeRun,
         fenced_at: Instant,
-    ) -> Result<(), ChangeEnd> {
-        let bounds = RightBounds { store: self.right(), evidence: self.evidence() };
+    ) -> Result<(), ChangeFailure> {
+        let bounds = PrimaryLeaseDurations {
+            store: self.primary_lease_duration(),
+            evidence: self.evidence_duration(),
+        };
         loop {
             let progress = StopProgress {
                 recorded_at: run.recorded_at,
@@ -147,9 +150,9 @@
             if now >= complete_at {
                 return Ok(());
             }
-            if self.duty_left(now) < DUTY_LEFT_TO_RESUME {
+            if self.promoter_lease_left(now) < DUTY_LEFT_TO_RESUME {
                 let why = "the duty could not be renewed".to_owned();
-                return Err(ChangeEnd::Store(MetadataError::NotDone(why)));
+                return Err(ChangeFailure::Store(MetadataError::NotDone(why)));
             }
             let look_at = complete_at.min(now + LOOK_AT_DUTY_EVERY);
             tokio::select! {
@@ -163,7 +166,7 @@
     pub(crate) fn all_answered(&self, service: &Name, run: &ChangeRun) -> bool {
         let state = self.state.borrow();
         // A daemon that vanished before this one began to watch may still hold a right.
-        let lasting = self.right().mul_f64(1.1);
+        let lasting = self.primary_lease_duration().mul_f64(1.1);
         let watched = state
             .watching_since
             .is_some_and(|since| run.recorded_at.saturating_duration_since(since) > lasting);
@@ -183,7 +186,7 @@
         service: &Name,
         run: ChangeRun,
         commands: &mut Commands<'_, P>,
-    ) -> Result<(), ChangeEnd> {
+    ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         commands
             .ask_all(entries.into_iter().map(|entry| (entry, EndpointText::Resume)).collect())
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -58,7 +58,7 @@
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
     pub(crate) fn upstream(&self) -> Option<SocketAddr> {
-        if self.held_duty().is_some() {
+        if self.held_promoter_lease().is_some() {
             return None;
         }
         let now = Instant::now();
@@ -83,7 +83,7 @@
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
     pub(crate) fn has_fresh_shared_read(&self) -> bool {
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let state = self.state.borrow();
         state.shared_read_at.is_some_and(|at| at.elapsed() < lasts)
     }
@@ -109,7 +109,7 @@
     /// Passes the zone's reader over if its readings are old although the store answers this daemon.
     pub(crate) fn drop_stale_upstream(&self) {
         let upstream_progress = self.state.borrow().upstream_progress;
-        let lasts = self.right().mul_f64(SHARED_LASTS_PART);
+        let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let is_old = upstream_progress.reading_at.is_none_or(|at| at.elapsed() > lasts);
         // Readings wait behind changes that are on their way.
         let is_old = is_old && self.requester.receives_for(Instant::now()).is_none();
@@ -187,10 +187,10 @@
                 state.upstream_progress.reading_at = Some(reading.asked_at);
             }
             self.apply_shared_read(reading);
-            self.tell_and_look();
+            self.report_and_probe_suspicions();
         }
         for evidence in contents.evidence {
-            self.take_evidence(&evidence);
+            self.accept_evidence(&evidence);
         }
         self.merge_samples(contents.samples);
         self.updates_available.notify_waiters();
@@ -202,7 +202,7 @@
     fn apply_shared_read(&self, reading: StoreRead) {
         let now = Instant::now();
         self.state.borrow_mut().note_observed_revision(&reading);
-        let useful_for = self.right().mul_f64(USEFUL_PART);
+        let useful_for = self.primary_lease_duration().mul_f64(USEFUL_PART);
         let judged = evaluate_read(&reading, now, useful_for, &self.own_keys());
         let SharedRead::Renews(services) = judged else { return };
         let is_back = {
@@ -212,9 +212,9 @@
             state.note_read(now, self.store_silence_timeout())
         };
         if is_back {
-            self.try_suspected_again();
+            self.reprobe_suspected_servers();
         }
-        self.grant_rights(reading.asked_at, Some(&services));
+        self.grant_primary_leases(reading.asked_at, Some(&services));
     }
 
     /// Returns what this daemon knows of the daemons' own keys.
@@ -317,7 +317,7 @@
             evidence: state
                 .evidence
                 .iter()
-                .filter(|it| now.duration_since(it.asked_at) < self.evidence())
+                .filter(|it| now.duration_since(it.asked_at) < self.evidence_duration())
                 .map(|it| it.to_message(now))
                 .collect(),
             evidence_number: state.evidence_number,
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -19,7 +19,7 @@
 use crate::{
     control::{
         adapter::Adapter,
-        change::Reason,
+        change::ChangeReason,
         compression::Compressor,
         control_view::{ControlView, Observation},
         peer_link::{AcceptedLink, PeerRequester},
@@ -123,7 +123,7 @@
     /// Wakes the answers to daemons that follow the store through this one.
     pub(crate) updates_available: Notify,
     /// Changes of primary that this daemon makes now, with their reasons.
-    pub(crate) changes_running: RefCell<BTreeMap<Name, Reason>>,
+    pub(crate) changes_running: RefCell<BTreeMap<Name, ChangeReason>>,
     pub(crate) change_count: Cell<u64>,
     pub(crate) format: P::Format,
     pub(crate) control_view: watch::Sender<Arc<ControlView>>,
@@ -144,7 +144,7 @@
     /// Wakes whoever tells of suspicions when the store may not show them as it should.
     pub(crate) suspicions_due: Notify,
     /// Wakes whoever writes again what the store lost.
-    pub(crate) put_back: Notify,
+    pub(crate) republish: Notify,
     pub(crate) pending_writes: (flume::Sender<PendingWrite>, flume::Receiver<PendingWrite>),
 }
 
@@ -181,7 +181,7 @@
         epoch: Instant::now(),
         rejoin: Notify::new(),
         suspicions_due: Notify::new(),
-        put_back: Notify::new(),
+        republish: Notify::new(),
         pending_writes: flume::bounded(MOST_PENDING_WRITES),
     });
     let mut ended = parts.ended;
@@ -193,12 +193,12 @@
             control.clone().lease_loop(),
             control.clone().evidence_loop(),
             control.clone().observation_loop(),
-            control.clone().duty_loop(),
+            control.clone().promoter_loop(),
             control.clone().write_loop(),
             control.clone().suspicion_loop(),
-            control.clone().duty_lease_loop(),
+            control.clone().promoter_lease_loop(),
             control.clone().peer_loop(parts.peer_listener),
-            control.clone().put_back_loop(),
+            control.clone().republish_loop(),
         );
     };
     tokio::select! {
@@ -231,7 +231,7 @@
         Duration::from_millis(self.settings.metadata.write_timeout_ms)
     }
 
-    pub(crate) fn right(&self) -> Duration {
+    pub(crate) fn primary_lease_duration(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.right_ms)
     }
 
@@ -240,7 +240,7 @@
         Duration::from_millis(self.settings.leadership.refresh_ms) * 2
     }
 
-    pub(crate) fn evidence(&self) -> Duration {
+    pub(crate) fn evidence_duration(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.evidence_ms)
     }
 
@@ -252,7 +252,7 @@
     /// Publishes what is believed now.
     pub(crate) fn publish(&self) {
         let now = Instant::now();
-        self.take_doubted_entries(now);
+        self.apply_deferred_entries(now);
         let mut state = self.state.borrow_mut();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
         if state.is_store_silent(self.store_silence_timeout()) {
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -17,15 +17,15 @@
         control_view::{GroupLeader, Owners, TunnelPeers},
         following::UpstreamProgress,
         freshness::{Freshness, ObservedRevision},
-        looks::Looks,
         mirror::Mirror,
         peers::{Evidence, PrimarySample, StoreRead},
-        put_back::ConfigurationsHeard,
+        probe_schedule::ProbeSchedule,
         record::LeadershipRecord,
-        restored::Restore,
+        reported_suspicions::ReportedSuspicions,
+        republish::ConfigurationVersions,
         servers::{ServerList, ServersByService},
-        telling::Told,
-        witnesses::Witnessing,
+        store_restore::Restore,
+        witnesses::WitnessCache,
     },
     metadata::{LeaseId, Revision},
 };
@@ -74,7 +74,7 @@
     pub(crate) used_at: HashMap<Name, Instant>,
     pub(crate) lease: Option<HeldLease>,
     /// The lease of the duty to promote, while this daemon holds the duty or tries to.
-    pub(crate) duty_lease: Option<HeldLease>,
+    pub(crate) promoter_lease: Option<HeldLease>,
     /// When this daemon itself last asked for a reading of the store.
     pub(crate) own_read_at: Option<Instant>,
     /// The youngest reading of the store, by whomever.
@@ -116,10 +116,10 @@
     /// Servers that this daemon can't reach, and when it last tried.
     pub(crate) suspected: HashMap<(Name, Name), Instant>,
     /// What the store was told of that.
-    pub(crate) suspicions_told: Told,
+    pub(crate) reported_suspicions: ReportedSuspicions,
     /// When servers were looked at that others suspect, and of which this daemon is a witness.
-    pub(crate) looks: Looks,
-    pub(crate) witnessing: Witnessing,
+    pub(crate) probe_schedule: ProbeSchedule,
+    pub(crate) witness_cache: WitnessCache,
     /// When the store was last found again after a time without it.
     pub(crate) store_recovered_at: Option<Instant>,
     pub(crate) published_servers: Arc<ServersByService>,
@@ -137,7 +137,7 @@
     pub(crate) editions: HashMap<Name, u64>,
     /// Records that this daemon wrote last; the watch may not have told of them yet.
     pub(crate) written: HashMap<Name, VersionedRecord>,
-    pub(crate) configurations: ConfigurationsHeard,
+    pub(crate) configurations: ConfigurationVersions,
 }
 
 impl State {
@@ -187,7 +187,7 @@
         service: &Name,
         record: &LeadershipRecord,
     ) -> bool {
-        self.servers.is_reborn(service, &record.primary, record.primary_life)
+        self.servers.is_restarted(service, &record.primary, record.primary_incarnation)
     }
 
     /// Keeps a reading for others if it is the youngest.
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -11,8 +11,8 @@
 use crate::{
     catalog::CatalogFormat,
     control::adapter::Adapter,
+    control::backoff::Backoff,
     control::freshness::{BEHIND_FOR, catch_up_delay, must_read_store},
-    control::pause::Pause,
     control::runner::Control,
     metadata::{
         Change, Changes, Consistency, Item, MetadataError, MetadataStore, ReadTimeouts, Snapshot,
@@ -34,14 +34,14 @@
 impl<P: Adapter> Control<P> {
     /// Reads everything once, then follows the changes; starts over when a change may be missed.
     pub(crate) async fn watch_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         // A store that does not let this daemon join may still let it read.
         let _ = tokio::time::timeout(JOINED_WITHIN, self.joined.notified()).await;
         loop {
             match self.load_store().await {
                 Ok(()) => {
-                    pause.reset();
-                    let error = self.follow(&mut pause).await;
+                    backoff.reset();
+                    let error = self.follow(&mut backoff).await;
                     log::info!(
                         event = "watch_ended", why = error.to_string().as_str();
                         "the watch ended and everything is read again"
@@ -53,7 +53,7 @@
                     "the store did not answer"
                 ),
             }
-            pause.wait().await;
+            backoff.wait().await;
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Follows the changes, through the zone's reader where there is one, until they can't be followed any more.
-    async fn follow(&self, pause: &mut Pause) -> MetadataError {
+    async fn follow(&self, backoff: &mut Backoff) -> MetadataError {
         let wait = Duration::from_millis(self.settings.metadata.watch_wait_ms);
         let mut followed = None;
         loop {
@@ -95,7 +95,7 @@
             }
             let asked_at = Instant::now();
             match self.watch_once(wait).await {
-                Ok(()) => pause.reset(),
+                Ok(()) => backoff.reset(),
                 Err(error) if self.may_watch_on(&error) => {
                     log::info!(
                         event = "store_unreachable", call = "watch",
@@ -104,7 +104,7 @@
                     );
                     // Servers may have been unable to renew their entries in the same time.
                     self.state.borrow_mut().servers.restart_grace(Instant::now());
-                    pause.wait().await;
+                    backoff.wait().await;
                     continue;
                 }
                 Err(error) => return error,
@@ -152,11 +152,11 @@
     /// store served by a former configuration for as long as those that they followed were cut off, seven seconds. It
     /// takes no time of the rights, which are renewed beside it. See `docs/CONFIGURATION-SPREAD.md`.
     pub(crate) async fn catch_up_loop(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             tokio::time::sleep(LOOK_BEHIND_EVERY).await;
             if !self.is_behind() {
-                pause.reset();
+                backoff.reset();
                 continue;
             }
             let age_ms = self.knowledge_age_ms();
@@ -171,7 +171,7 @@
                         why = error.to_string().as_str();
                         "the store did not answer"
                     );
-                    self.await_store(&mut pause).await;
+                    self.await_store(&mut backoff).await;
                 }
             }
         }
@@ -236,12 +236,12 @@
             }
             if key.starts_with(&*self.settings.metadata.prefix) {
                 own_changed = true;
-                records.extend(self.on_own_key(&key));
+                records.extend(self.on_shared_key(&key));
             } else {
                 self.on_operator_or_server_change(change);
             }
         }
-        self.take_over_records(&records);
+        self.apply_records(&records);
         if own_changed {
             self.mirror_changed.notify_waiters();
         }
@@ -269,7 +269,7 @@
             }
             Change::Removed { key, .. } if self.is_operators_configuration(&key) => {
                 self.state.borrow_mut().configurations.operators = 0;
-                self.put_back.notify_one();
+                self.republish.notify_one();
             }
             Change::Put(_) | Change::Removed { .. } => {}
         }
@@ -291,7 +291,7 @@
         let mut state = self.state.borrow_mut();
         let is_operators = self.is_operators_configuration(&item.key);
         if state.configurations.note(catalog.version, &item.value, is_operators) {
-            self.put_back.notify_one();
+            self.republish.notify_one();
         }
         if catalog.version <= state.catalog.version {
             return;
@@ -309,13 +309,13 @@
         match self.format.decode_server(&item.key, &item.value) {
             Ok(entry) => {
                 let mut state = self.state.borrow_mut();
-                if state.doubts(item, &entry, self.lapse_grace()) {
+                if state.contradicts_known_server(item, &entry, self.lapse_grace()) {
                     return;
                 }
                 let (server, leaving, leads) =
                     (entry.server.clone(), entry.leaving, entry.claims_lead);
-                let (service, life) = (entry.service.clone(), entry.life);
-                let before = state.servers.life_at(&item.key);
+                let (service, incarnation) = (entry.service.clone(), entry.incarnation);
+                let before = state.servers.incarnation_at(&item.key);
                 if state.servers.put(&item.key, entry) {
                     log::info!(
                         event = "server", server = &*server, leaving = leaving,
@@ -323,7 +323,7 @@
                         "a server's entry changed"
                     );
                 }
-                if before.is_some() && before != life {
+                if before.is_some() && before != incarnation {
                     state.forget_incarnation(&service, &server);
                     log::info!(
                         event = "server_reborn", service = &*service, server = &*server,
--- a/crates/proxy/src/serve/holding.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -22,12 +22,12 @@
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         engine::{Engine, Group},
+        error_reporting::Refusal,
         execute::{Denied, ROUND_PAUSE},
-        floor::place_for,
         job::Job,
         outage::{Outlook, Place, outage_of},
-        telling::Refusal,
-        verdict::Next,
+        placement::placement_for,
+        verdict::NextStep,
     },
     statement::{ErrorCode, StatementError},
 };
@@ -66,7 +66,7 @@
     }
 
     /// Returns a time to come back that differs for each caller, where statements are held.
-    pub(crate) fn spread(&self, come_back: Duration) -> Duration {
+    pub(crate) fn with_jitter(&self, come_back: Duration) -> Duration {
         match self.settings.overload.holding {
             true => spread(come_back, rand::random()),
             false => come_back,
@@ -104,7 +104,7 @@
                 place = None;
                 continue;
             }
-            if self.floor_now(group, job, class).is_some() {
+            if self.current_min_point(group, job, class).is_some() {
                 return Err(Denied::Again);
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
@@ -166,7 +166,7 @@
     }
 
     /// Returns the point that a read's server must hold, if it may run at others than the primary by what is known now.
-    pub(crate) fn floor_now(
+    pub(crate) fn current_min_point(
         &self,
         group: &Group<E>,
         job: &Job<'_>,
@@ -180,7 +180,8 @@
         let history = beliefs.leaders.get(service).map(|lead| lead.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
-        place_for(job.route.reads, class, job.own, &samples, &history, Instant::now()).floor()
+        placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
+            .min_point()
     }
 
     /// Returns when a statement goes on, now that there is a primary.
@@ -289,7 +290,7 @@
         let history = self.holding.history.borrow();
         let remaining = history.remaining(ongoing.outage, elapsed);
         let outlook = Outlook { outage: ongoing.outage, elapsed, remaining };
-        let come_back = outlook.come_back(job.come_back(), &history, self.settings.right);
+        let come_back = outlook.come_back(job.come_back(), &history, self.settings.primary_lease);
         self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
         Refusal { come_back, outage: Some(ongoing.outage), remaining, ..refusal }
     }
@@ -299,7 +300,7 @@
         &self,
         rounds: &mut Rounds,
         job: &Job<'_>,
-        next: Next,
+        next: NextStep,
         server: Name,
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.beliefs());
@@ -311,7 +312,7 @@
             return Some(self.no_answer(&group, job, rounds));
         }
         match next {
-            Next::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
+            NextStep::TryElsewhere if !rounds.avoid.contains(&server) && !rounds.needs_primary => {
                 rounds.avoid.push(server);
             }
             _ => {
--- a/crates/proxy/src/serve/in_turn.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -13,21 +13,21 @@
     dialect::EndpointDialect,
     relay::messages::NotSent,
     serve::{
+        connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
         server_queue::{NotBegun, Turn},
         share::{Owned, Share},
         slot::ServerSlot,
-        wish::Wish,
     },
 };
 
 /// How often it is looked again whether a connection may be opened, or has come to rest, after one could not be opened.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns what a server has room for, if statements are to wait for it in a queue of its own.
-    pub(super) fn room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
+    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
         let connections = slot.limit + share.loan;
@@ -40,7 +40,7 @@
     }
 
     /// Whether statements wait in the queues of servers.
-    pub(crate) fn is_queued(&self) -> bool {
+    pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().is_owned
     }
 
@@ -56,10 +56,10 @@
 
     /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
     /// was none after all, and a server has to be chosen again.
-    pub(super) async fn lend_in_turn(
+    pub(super) async fn lend_queued(
         self: &Rc<Self>,
         index: usize,
-        wish: &Wish,
+        request: &ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
@@ -68,11 +68,11 @@
             let slot = &state.servers[index];
             (slot.entry.server.clone(), slot.queue.clone())
         };
-        let turn = match (queue, &wish.principal) {
+        let turn = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
-                let request = request_for(wish, principal, deadline);
-                let waits = queue.await_turn(request);
-                Some(unless_unwanted(wish.is_unwanted.as_ref(), waits).await?)
+                let queue_request = request_for(request, principal, deadline);
+                let waits = queue.await_turn(queue_request);
+                Some(unless_cancelled(request.cancellation.as_ref(), waits).await?)
             }
             // Commands of a daemon, and statements where the server has no queue, wait for nothing but a connection.
             _ => None,
@@ -83,15 +83,15 @@
             state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
         };
         let Some(index) = place else { return Ok(None) };
-        if let Some(principal) = &wish.principal {
+        if let Some(principal) = &request.principal {
             self.state.borrow_mut().servers[index].note_use(principal);
         }
-        if let Some(connection) = self.take_idle(index, values, wish) {
-            return Ok(Some(Offer::Lent(self.lent(connection, wish.yields, turn))));
+        if let Some(connection) = self.take_idle(index, values, request) {
+            return Ok(Some(Offer::Lent(self.lent(connection, request.yields, turn))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
         if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.place(index, wish, turn))));
+            return Ok(Some(Offer::Open(self.place(index, request, turn))));
         }
         drop(turn);
         self.await_opening(&server, deadline).await
@@ -107,32 +107,32 @@
         if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
             return Err(NoConnection::Nowhere);
         }
-        let look_at = Instant::now() + LOOK_AGAIN_AFTER;
-        if look_at >= deadline {
+        let recheck_at = Instant::now() + RECHECK_DELAY;
+        if recheck_at >= deadline {
             return Err(NoConnection::TooLate);
         }
-        tokio::time::sleep_until(look_at.into()).await;
+        tokio::time::sleep_until(recheck_at.into()).await;
         Ok(None)
     }
 }
 
 /// Waits for a turn unless its asker takes back what it asked, or is gone.
-async fn unless_unwanted(
-    is_unwanted: Option<&CancellationToken>,
+async fn unless_cancelled(
+    cancellation: Option<&CancellationToken>,
     waits: impl Future<Output = Result<Turn, NotBegun>>,
 ) -> Result<Turn, NotBegun> {
-    let Some(is_unwanted) = is_unwanted else { return waits.await };
+    let Some(cancellation) = cancellation else { return waits.await };
     tokio::select! {
         biased;
         turn = waits => turn,
-        () = is_unwanted.cancelled() => Err(NotBegun::TooLate),
+        () = cancellation.cancelled() => Err(NotBegun::TooLate),
     }
 }
 
-fn request_for(wish: &Wish, principal: &Principal, until: Instant) -> Request {
-    let stage = if wish.opens_transaction { Stage::Opens } else { Stage::Alone };
+fn request_for(request: &ConnectionRequest, principal: &Principal, until: Instant) -> Request {
+    let stage = if request.opens_transaction { Stage::Opens } else { Stage::Alone };
     let account = principal.told().into();
-    Request { rank: wish.rank(), account, stage, until }
+    Request { rank: request.rank(), account, stage, until }
 }
 
 impl From<NotBegun> for NoConnection {
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -15,13 +15,13 @@
     dialect::{CallerDialect, EndpointDialect},
     serve::{
         connection::refusal,
+        endpoint_task::{EndpointTask, TaskKind},
         engine::{Engine, Group},
-        errand::{Errand, Task},
         execute::{Denied, Granted, ROUND_PAUSE, Sample, refused_as},
-        holding::Rounds,
         job::{Job, Work},
         lent::Lent,
-        verdict::{Next, after_error, transaction_after_loss},
+        primary_wait::Rounds,
+        verdict::{NextStep, after_error, transaction_after_loss},
     },
     statement::{Answer, ErrorCode, Outcome, TransactionState},
 };
@@ -137,7 +137,7 @@
     /// Rolls a transaction back behind the caller's back and gives its connection to others.
     pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
         tokio::task::spawn_local(async move {
-            let rollback = Errand::own(Task::Rollback);
+            let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_WITHIN;
             match lent.run(&rollback, deadline).await {
                 Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
@@ -165,13 +165,14 @@
                 }
                 Err(Denied::Again) => continue,
             };
-            let task = Task::Begin { read_only: transaction.read_only };
-            let begin = Errand { floor: granted.floor, ..Errand::own(task) };
+            let kind = TaskKind::Begin { read_only: transaction.read_only };
+            let begin =
+                EndpointTask { min_point: granted.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             rounds.sent += 1;
             let reached = granted.lent.reached();
             // Where an owner is asked the wait for its connection comes first.
-            let is_queued = group.pool.is_queued();
+            let is_queued = group.pool.has_queues();
             let waits = if reached.is_own { Duration::ZERO } else { job.waits(is_queued) };
             let deadline = job.deadline().min(sent_at + waits + BEGIN_WITHIN);
             let begun = granted.lent.run(&begin, deadline).await;
@@ -180,7 +181,7 @@
                 Ok(answer) => match answer.error_code() {
                     None if !self.may_begin(job, &granted) => {
                         self.roll_back(granted.lent);
-                        Next::AwaitPrimary
+                        NextStep::AwaitPrimary
                     }
                     None => {
                         self.note_served(group, job, granted.lead.is_some());
@@ -194,14 +195,14 @@
                         return None;
                     }
                     Some(code) => {
-                        self.note_refused(group, job, &server, code, granted.floor, &answer);
+                        self.note_refused(group, job, &server, code, granted.min_point, &answer);
                         rounds.last_error = Some(code);
                         match answer.state {
                             TransactionState::Idle => granted.lent.give_back(),
                             _ => self.roll_back(granted.lent),
                         }
                         match after_error(code, StatementClass::Read) {
-                            Next::Tell(_) => Next::TryElsewhere,
+                            NextStep::Report(_) => NextStep::TryElsewhere,
                             next => next,
                         }
                     }
@@ -213,7 +214,7 @@
                     if let Some(error) = self.turned_away(group, job, rounds, &server, &lost) {
                         return Some(refusal(error, TransactionState::Failed));
                     }
-                    Next::TryElsewhere
+                    NextStep::TryElsewhere
                 }
             };
             if let Some(error) = self.prepare_next_round(rounds, job, next, server).await {
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -7,9 +7,9 @@
 
 use model::Name;
 use proxy::control::{
-    looks::Looks,
-    telling::{Told, Untold},
-    witnesses::{MOST_WITNESSES, is_witness, witnesses_of},
+    probe_schedule::ProbeSchedule,
+    reported_suspicions::{PendingSuspicionWrites, ReportedSuspicions},
+    witnesses::{MAX_WITNESSES, is_witness, witnesses_of},
 };
 
 fn hosts(count: usize) -> Vec<String> {
@@ -23,7 +23,7 @@
         let hosts = hosts(count);
         let members = || hosts.iter().map(String::as_str);
         let witnesses: BTreeSet<&str> = witnesses_of("i-1", members()).into_iter().collect();
-        assert_eq!(witnesses.len(), count.min(MOST_WITNESSES), "of {count}");
+        assert_eq!(witnesses.len(), count.min(MAX_WITNESSES), "of {count}");
         for host in members() {
             let expected = witnesses.contains(host);
             assert_eq!(is_witness("i-1", host, members()), expected, "{host} of {count}");
@@ -39,7 +39,7 @@
     let servers: Vec<String> = (0..1_000).map(|number| format!("i-{number}")).collect();
     let of_one = |host| servers.iter().filter(|server| is_witness(server, host, members())).count();
     let most = members().step_by(30).map(of_one).max();
-    let mean = servers.len() * MOST_WITNESSES / hosts.len();
+    let mean = servers.len() * MAX_WITNESSES / hosts.len();
     assert!(most <= Some(2 * mean), "{most:?} where the mean is {mean}");
 }
 
@@ -50,7 +50,7 @@
     let other = (Name::from("s"), Name::from("i-2"));
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut looks = Looks::default();
+    let mut looks = ProbeSchedule::default();
     let now: Vec<bool> = (0..45).map(|word| looks.on_suspected(&pair, at(word * 20))).collect();
     assert_eq!(now.iter().filter(|look| **look).count(), 1);
     assert!(looks.on_suspected(&other, at(500)), "each server by itself");
@@ -69,7 +69,7 @@
 #[test]
 fn many_suspicions_are_told_in_a_few_writes_and_each_once() {
     let (start, wanted) = (Instant::now(), keys(300));
-    let mut told = Told::default();
+    let mut told = ReportedSuspicions::default();
     let mut writes = 0;
     let mut put = BTreeSet::new();
     loop {
@@ -91,9 +91,9 @@
     let at = |ms| start + Duration::from_millis(ms);
     let (wanted, none) = (keys(1), BTreeSet::new());
     let key = wanted.first().unwrap().clone();
-    let put = Untold { puts: vec![key.clone()], removes: Vec::new() };
-    let take_back = Untold { puts: Vec::new(), removes: vec![key.clone()] };
-    let mut told = Told::default();
+    let put = PendingSuspicionWrites { puts: vec![key.clone()], removes: Vec::new() };
+    let take_back = PendingSuspicionWrites { puts: Vec::new(), removes: vec![key.clone()] };
+    let mut told = ReportedSuspicions::default();
     assert_eq!(told.untold(&wanted, at(0), |_| true), put);
     told.on_written(&put, at(0));
     assert!(told.untold(&wanted, at(500), |_| true).is_empty(), "it is on its way back");
@@ -115,7 +115,7 @@
     let start = Instant::now();
     let wanted = keys(3);
     let key = wanted.first().unwrap().clone();
-    let mut told = Told::default();
+    let mut told = ReportedSuspicions::default();
     told.on_shown(&key, true);
     assert!(told.untold(&wanted, start, |_| false).is_empty());
     assert_eq!(told.untold(&BTreeSet::new(), start, |_| false).removes, [key]);
