--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,14 +1,18 @@
-//! Who leads a group, and how that changes when nobody orders it.
+//! Failure detection and change of primary for a replicated group.
 //!
-//! Everything here is a decision without input, output or clock. The daemon's failover duty carries
-//! it out. `docs/FAILOVER.md` explains the design and what was weighed.
+//! Everything here is pure decision logic without I/O or a clock; the daemon carries out the decisions.
+//! `docs/FAILOVER.md` explains the design.
 
 mod driver;
 mod evidence;
 mod record;
 mod suspicion;
 
-pub use driver::{Driver, DriverEvent, DriverGroup, DriverStep, Ending, Stage};
-pub use evidence::{Evidence, SecondStatus, judge_evidence};
+pub use driver::{
+    FailoverDriver, FailoverEvent, FailoverGroup, FailoverOutcome, FailoverStage, FailoverStep,
+};
+pub use evidence::{Evidence, OtherServerStatus, assess_evidence};
 pub use record::{LeadershipRecord, RecordStage};
-pub use suspicion::{Health, OtherView, PrimaryHealth, SuspicionRules, judge_health};
+pub use suspicion::{
+    OwnerView, PrimaryAssessment, PrimaryObservation, SuspicionRules, assess_primary,
+};
