--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -20,7 +20,7 @@
             self, HeldPrimaryLease, KnownLeader, LeaderByEvidence, may_grant_primary_lease,
         },
         peers::Evidence,
-        runner::{Ask, CommandAsk, Control},
+        runner::{CommandRequest, Control, ServingRequest},
     },
     metadata::MetadataStore,
     statement::{EndpointStatus, EndpointText},
@@ -85,7 +85,7 @@
         let is_left_open = |(service, known): (&Name, &Arc<VersionedRecord>)| {
             !state.is_confirmed(&known.record) && state.catalog.services.contains_key(service)
         };
-        state.is_store_silent(self.patience())
+        state.is_store_silent(self.store_silence_timeout())
             || self.store.era() > state.mirror.era()
             || state.records.iter().any(is_left_open)
     }
@@ -94,7 +94,7 @@
         for evidence in found {
             self.accept_evidence(&evidence);
         }
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
         self.publish();
     }
 
@@ -103,7 +103,7 @@
     /// that asked each for itself took a good part of the servers' time for nothing but that. Groups that no
     /// caller of this daemon asks for are left out where there are many.
     fn services_to_ask(&self, now: Instant) -> Vec<Name> {
-        let follows = self.zone_reader().is_some();
+        let follows = self.upstream().is_some();
         // In a large fleet unused ones are left to whoever is followed: hundreds that each ask for them fill the links
         // between regions, and by that keep the store out of reach.
         let most_unused = match follows && self.is_fleet_large() {
@@ -167,7 +167,7 @@
         KnownLeader {
             term: lead.map_or(Term(0), |lead| lead.term),
             changing: lead.is_some_and(|lead| lead.changing),
-            is_store_silent: state.is_store_silent(self.patience()),
+            is_store_silent: state.is_store_silent(self.store_silence_timeout()),
         }
     }
 
@@ -220,7 +220,7 @@
         let mut waiting = FuturesUnordered::new();
         for server in servers {
             let (answer, answered) = oneshot::channel();
-            let ask = CommandAsk {
+            let ask = CommandRequest {
                 service: service.clone(),
                 server: server.clone(),
                 text: EndpointText::Status,
@@ -228,7 +228,7 @@
                 answer,
             };
             // A full ring means that the serving thread is behind; this round goes without it.
-            if self.asks.try_send(Ask::Command(ask)).is_ok() {
+            if self.serving_requests.try_send(ServingRequest::Command(ask)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
             }
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -20,18 +20,18 @@
     /// Removals up to here may be forgotten.
     forgotten_to: Revision,
     /// Every change up to here is known.
-    followed_to: Revision,
+    applied_revision: Revision,
 }
 
 /// What another daemon has not heard of yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct StoreUpdates {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
     /// Whether these are all keys that there are, so that every other key is gone.
     pub is_whole: bool,
     /// Every change up to here is among them.
-    pub followed_to: Revision,
+    pub applied_revision: Revision,
 }
 
 impl Mirror {
@@ -74,13 +74,13 @@
     }
 
     /// Notes that every change up to a revision is known.
-    pub fn note_followed(&mut self, revision: Revision) {
-        self.followed_to = self.followed_to.max(revision);
+    pub fn note_applied(&mut self, revision: Revision) {
+        self.applied_revision = self.applied_revision.max(revision);
     }
 
     /// Returns the revision up to which every change is known; [`Revision::ABSENT`] before the first whole reading.
-    pub fn followed_to(&self) -> Revision {
-        self.followed_to
+    pub fn applied_revision(&self) -> Revision {
+        self.applied_revision
     }
 
     /// Returns the revision of the latest change that is known.
@@ -89,12 +89,12 @@
     }
 
     /// Whether something was heard that somebody who knows everything up to `after` has not.
-    pub fn has_news(&self, after: Revision) -> bool {
+    pub fn has_updates(&self, after: Revision) -> bool {
         self.last_revision() > after
     }
 
     /// Returns what somebody has not heard who knows everything up to `after`.
-    pub fn news_since(&self, after: Revision) -> News {
+    pub fn updates_since(&self, after: Revision) -> StoreUpdates {
         let is_whole = after < self.forgotten_to;
         let from = if is_whole { Revision::ABSENT } else { after.next() };
         let changes = self.by_revision.range((from, String::new())..).filter_map(
@@ -104,7 +104,11 @@
                 None => Some(Change::Removed { key: key.clone(), revision: *revision }),
             },
         );
-        News { changes: changes.collect(), is_whole, followed_to: self.followed_to }
+        StoreUpdates {
+            changes: changes.collect(),
+            is_whole,
+            applied_revision: self.applied_revision,
+        }
     }
 
     /// Returns an item.
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -10,7 +10,7 @@
         evidence::{
             HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge, may_grant_primary_lease,
         },
-        mirror::{Mirror, News},
+        mirror::{Mirror, StoreUpdates},
         move_times::MoveTimes,
         record::{
             ChosenServer, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations, RecordSource,
@@ -365,7 +365,7 @@
     ] {
         mirror.apply(change);
     }
-    mirror.note_followed(at(7));
+    mirror.note_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
         ("what it was told last", 6, vec![removed("p/b", 7)]),
@@ -373,9 +373,13 @@
         ("nothing, as it knows more", 9, Vec::new()),
     ];
     for (name, after, expected) in cases {
-        let news = mirror.news_since(at(after));
-        assert_eq!(news, News { changes: expected, is_whole: false, followed_to: at(7) }, "{name}");
-        assert_eq!(mirror.has_news(at(after)), !news.changes.is_empty(), "{name}");
+        let news = mirror.updates_since(at(after));
+        assert_eq!(
+            news,
+            StoreUpdates { changes: expected, is_whole: false, applied_revision: at(7) },
+            "{name}"
+        );
+        assert_eq!(mirror.has_updates(at(after)), !news.changes.is_empty(), "{name}");
     }
 }
 
@@ -388,10 +392,10 @@
         mirror.apply(Change::Put(item(&key, 2 + 2 * number)));
         mirror.apply(Change::Removed { key, revision: at(3 + 2 * number) });
     }
-    let news = mirror.news_since(at(5));
+    let news = mirror.updates_since(at(5));
     assert!(news.is_whole);
     assert_eq!(news.changes, [Change::Put(item("kept", 1))]);
-    let late = mirror.news_since(at(3_999));
+    let late = mirror.updates_since(at(3_999));
     assert!(!late.is_whole);
     assert_eq!(late.changes.len(), 1);
 }
@@ -408,7 +412,7 @@
         mirror.apply(put(key, at(9)));
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
-    mirror.note_followed(at(10));
+    mirror.note_applied(at(10));
     assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era not begun");
     mirror.enter(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
@@ -416,8 +420,8 @@
     for change in changes {
         assert!(mirror.apply(change));
     }
-    mirror.note_followed(restored(5));
-    assert_eq!(mirror.followed_to(), restored(5));
+    mirror.note_applied(restored(5));
+    assert_eq!(mirror.applied_revision(), restored(5));
     assert_eq!(mirror.last_revision(), restored(5));
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
     assert!(mirror.get("p/lost").is_none());
@@ -425,9 +429,9 @@
     assert!(!mirror.apply(put("p/kept", at(11))), "a write that was late");
     assert!(!mirror.apply(Change::Removed { key: "p/kept".to_owned(), revision: at(12) }));
     // Who knows only of the era before is told everything, whatever number it stands at.
-    let news = mirror.news_since(at(u64::MAX));
+    let news = mirror.updates_since(at(u64::MAX));
     assert!(news.is_whole && news.changes.len() == 1, "{news:?}");
-    assert!(!mirror.news_since(restored(4)).is_whole);
+    assert!(!mirror.updates_since(restored(4)).is_whole);
 }
 
 fn written(era: u64, edition: u64, term: u64) -> LeadershipRecord {
