--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -20,7 +20,7 @@
             self, HeldPrimaryLease, KnownLeader, LeaderByEvidence, may_grant_primary_lease,
         },
         peers::Evidence,
-        runner::{Ask, CommandAsk, Control},
+        runner::{CommandRequest, Control, ServingRequest},
     },
     metadata::MetadataStore,
     statement::{EndpointStatus, EndpointText},
@@ -86,7 +86,7 @@
         let is_unconfirmed = |(service, known): (&Name, &Arc<VersionedRecord>)| {
             !state.is_confirmed(&known.record) && state.catalog.services.contains_key(service)
         };
-        state.is_store_silent(self.patience())
+        state.is_store_silent(self.store_silence_timeout())
             || self.store.era() > state.mirror.era()
             || state.records.iter().any(is_unconfirmed)
     }
@@ -95,14 +95,14 @@
         for evidence in found {
             self.accept_evidence(&evidence);
         }
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
         self.publish();
     }
 
     /// Returns the services whose servers this daemon queries itself. A daemon with an upstream relies on its evidence as
     /// long as its own primary leases last, to limit the load on the servers. Only a few unused services are included.
     fn services_to_query(&self, now: Instant) -> Vec<Name> {
-        let follows = self.zone_reader().is_some();
+        let follows = self.upstream().is_some();
         // In a large fleet the upstream queries the unused ones; queries by every daemon would saturate the links between
         // regions.
         let max_unused = match follows && self.is_fleet_large() {
@@ -171,7 +171,7 @@
         KnownLeader {
             term: leader.map_or(Term(0), |leader| leader.term),
             changing: leader.is_some_and(|leader| leader.changing),
-            is_store_silent: state.is_store_silent(self.patience()),
+            is_store_silent: state.is_store_silent(self.store_silence_timeout()),
         }
     }
 
@@ -224,7 +224,7 @@
         let mut waiting = FuturesUnordered::new();
         for server in servers {
             let (answer, answered) = oneshot::channel();
-            let ask = CommandAsk {
+            let ask = CommandRequest {
                 service: service.clone(),
                 server: server.clone(),
                 text: EndpointText::Status,
@@ -232,7 +232,7 @@
                 answer,
             };
             // If the queue is full, the serving thread is overloaded; this round omits the server.
-            if self.asks.try_send(Ask::Command(ask)).is_ok() {
+            if self.serving_requests.try_send(ServingRequest::Command(ask)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
             }
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -119,7 +119,7 @@
         while !self.all_acknowledged(service, run) && Instant::now() < until {
             tokio::select! {
                 () = tokio::time::sleep_until(until.into()) => {}
-                () = self.changed.notified() => {}
+                () = self.mirror_changed.notified() => {}
             }
         }
     }
@@ -157,7 +157,7 @@
             let check_at = complete_at.min(now + LEASE_CHECK_INTERVAL);
             tokio::select! {
                 () = tokio::time::sleep_until(check_at.into()) => {}
-                () = self.changed.notified() => {}
+                () = self.mirror_changed.notified() => {}
             }
         }
     }
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -17,14 +17,14 @@
 use crate::{
     control::{
         adapter::Adapter,
-        mirror::News,
+        mirror::StoreUpdates,
         peer_link::{SplitAnswer, answer_askers},
         peers::{
-            ClockMessage, DetourRequest, FollowAnswer, FollowRequest, OwnKeys, SharedReading,
-            StoreReading, judge_reading,
+            ClockMessage, FollowAnswer, FollowRequest, OwnKeys, SharedRead, StoreRead,
+            TunnelRequest, evaluate_read,
         },
-        runner::{Ask, Control},
-        tree::{TreeMember, daemon_to_follow},
+        runner::{Control, ServingRequest},
+        tree::{TreeMember, select_upstream},
     },
     metadata::{Change, MetadataStore, Revision, Snapshot},
 };
@@ -40,10 +40,10 @@
 
 /// How far this daemon has heard what another one tells.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HeardOf {
+pub(crate) struct UpstreamProgress {
     pub(crate) reader: Option<SocketAddr>,
-    pub(crate) heard_to: Revision,
-    pub(crate) reading_number: u64,
+    pub(crate) received_revision: Revision,
+    pub(crate) read_number: u64,
     pub(crate) evidence_number: u64,
     /// When the last reading that it told of was asked for.
     pub(crate) reading_at: Option<Instant>,
@@ -57,7 +57,7 @@
 impl<P: Adapter> Control<P> {
     /// Returns the daemon of this zone that this one follows the store through; `None` if it follows the
     /// store itself, as the first of the zone does and the holder of the duty to promote.
-    pub(crate) fn zone_reader(&self) -> Option<SocketAddr> {
+    pub(crate) fn upstream(&self) -> Option<SocketAddr> {
         if self.held_promoter_lease().is_some() {
             return None;
         }
@@ -65,7 +65,7 @@
         let state = self.state.borrow();
         // What a region hears through another one, it hears through the link between them, which a start of either
         // may fill; the store itself may be near.
-        let crosses_regions = state.is_store_silent(self.patience());
+        let crosses_regions = state.is_store_silent(self.store_silence_timeout());
         let askable: Vec<TreeMember<'_>> = state
             .members
             .iter()
@@ -74,141 +74,142 @@
                 let availability_zone = &member.availability_zone;
                 let reach = self.settings.layout.reach(availability_zone);
                 let is_near = reach < Reach::OtherRegion || crosses_regions;
-                let is_silent = self.asker.is_silent(address, now);
+                let is_silent = self.requester.is_silent(address, now);
                 (is_near && !is_silent).then_some(TreeMember { host, availability_zone, address })
             })
             .collect();
-        daemon_to_follow(&askable, &self.settings.host, &self.settings.availability_zone)
+        select_upstream(&askable, &self.settings.host, &self.settings.availability_zone)
     }
 
     /// Whether another daemon's reading of the store is young enough to need none of one's own.
-    pub(crate) fn is_reading_shared(&self) -> bool {
+    pub(crate) fn has_fresh_shared_read(&self) -> bool {
         let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
         let state = self.state.borrow();
-        state.shared_reading_at.is_some_and(|at| at.elapsed() < lasts)
+        state.shared_read_at.is_some_and(|at| at.elapsed() < lasts)
     }
 
     /// Returns how old what is known of the store may be, in milliseconds; 0 before the first reading, when nothing
     /// is served.
     pub(crate) fn knowledge_age_ms(&self) -> u64 {
-        let age = self.state.borrow().knowledge.age(Instant::now());
+        let age = self.state.borrow().freshness.age(Instant::now());
         age.map_or(0, |age| age.as_millis() as u64)
     }
 
     /// Says whom this daemon follows now, so that a change that did not come can be traced from its log.
-    pub(crate) fn tell_followed(&self, before: Option<SocketAddr>, now: Option<SocketAddr>) {
+    pub(crate) fn log_upstream(&self, before: Option<SocketAddr>, now: Option<SocketAddr>) {
         let name =
             |reader: Option<SocketAddr>| reader.map_or("store".to_owned(), |it| it.to_string());
         log::info!(
             event = "following", peer = name(now).as_str(), before = name(before).as_str(),
-            knowledge_age_ms = self.knowledge_age_ms(), revision = self.state.borrow().mirror.followed_to().number();
+            knowledge_age_ms = self.knowledge_age_ms(), revision = self.state.borrow().mirror.applied_revision().number();
             "changes are heard from somebody else now"
         );
     }
 
     /// Passes the zone's reader over if its readings are old although the store answers this daemon.
-    pub(crate) fn doubt_reader(&self) {
-        let heard_of = self.state.borrow().heard_of;
+    pub(crate) fn drop_stale_upstream(&self) {
+        let upstream_progress = self.state.borrow().upstream_progress;
         let lasts = self.primary_lease_duration().mul_f64(SHARED_LASTS_PART);
-        let is_old = heard_of.reading_at.is_none_or(|at| at.elapsed() > lasts);
+        let is_old = upstream_progress.reading_at.is_none_or(|at| at.elapsed() > lasts);
         // Readings wait behind changes that are on their way.
-        let is_old = is_old && self.asker.receives_for(Instant::now()).is_none();
-        if let Some(reader) = heard_of.reader.filter(|_| is_old) {
+        let is_old = is_old && self.requester.receives_for(Instant::now()).is_none();
+        if let Some(reader) = upstream_progress.reader.filter(|_| is_old) {
             log::info!(
                 event = "peer_behind", peer = reader.to_string().as_str();
                 "the zone's reader does not reach the store and is passed over"
             );
-            self.asker.pass_over(reader, Instant::now());
-            self.state.borrow_mut().heard_of = HeardOf::default();
+            self.requester.pass_over(reader, Instant::now());
+            self.state.borrow_mut().upstream_progress = UpstreamProgress::default();
         }
     }
 
     /// Asks the zone's reader once what has changed, and takes that over.
-    pub(crate) async fn follow_reader(&self, reader: SocketAddr) {
-        let heard_of = {
+    pub(crate) async fn follow_upstream(&self, reader: SocketAddr) {
+        let upstream_progress = {
             let mut state = self.state.borrow_mut();
-            if state.heard_of.reader != Some(reader) {
-                state.heard_of = HeardOf { reader: Some(reader), ..HeardOf::default() };
+            if state.upstream_progress.reader != Some(reader) {
+                state.upstream_progress =
+                    UpstreamProgress { reader: Some(reader), ..UpstreamProgress::default() };
             }
-            state.heard_of
+            state.upstream_progress
         };
-        let followed_to = self.state.borrow().mirror.followed_to();
+        let applied_revision = self.state.borrow().mirror.applied_revision();
         let request = FollowRequest {
             host: self.settings.host.to_string(),
-            followed_to: followed_to.number(),
-            era: followed_to.era().0,
-            heard_to: heard_of.heard_to.number(),
-            heard_era: heard_of.heard_to.era().0,
-            reading_number: heard_of.reading_number,
-            evidence_number: heard_of.evidence_number,
+            applied_revision: applied_revision.number(),
+            era: applied_revision.era().0,
+            received_revision: upstream_progress.received_revision.number(),
+            received_era: upstream_progress.received_revision.era().0,
+            read_number: upstream_progress.read_number,
+            evidence_number: upstream_progress.evidence_number,
             wait_ms: NEWS_WAIT.as_millis() as u64,
-            heard: heard_of.clock.map(|(clock, _)| clock),
-            samples: self.samples_since(heard_of.clock.map(|(_, heard_at)| heard_at)),
+            last_clock: upstream_progress.clock.map(|(clock, _)| clock),
+            samples: self.samples_since(upstream_progress.clock.map(|(_, heard_at)| heard_at)),
             behind: Vec::new(),
-            takes_packed: true,
+            accepts_compressed: true,
         };
         let sent_at = Instant::now();
         let is_starting = !self.state.borrow().servers_known;
-        match self.asker.ask(reader, &request, is_starting).await {
-            Some(answer) => self.take_answer(answer, sent_at),
+        match self.requester.ask(reader, &request, is_starting).await {
+            Some(answer) => self.apply_answer(answer, sent_at),
             None => {
                 log::info!(
                     event = "peer_silent", peer = reader.to_string().as_str();
                     "the zone's reader did not answer and is passed over"
                 );
-                self.state.borrow_mut().heard_of = HeardOf::default();
+                self.state.borrow_mut().upstream_progress = UpstreamProgress::default();
             }
         }
     }
 
-    fn take_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
-        let told = answer.take_told(sent_at);
+    fn apply_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
+        let contents = answer.take_contents(sent_at);
         self.store.note_era(answer.era());
-        let reading = answer.reading.take();
+        let reading = answer.store_read.take();
         {
             let mut state = self.state.borrow_mut();
-            state.heard_of.heard_to = answer.revision(answer.heard_to);
-            state.heard_of.evidence_number = answer.evidence_number;
-            state.heard_of.clock = answer.clock.map(|clock| (clock, Instant::now()));
+            state.upstream_progress.received_revision = answer.revision(answer.received_revision);
+            state.upstream_progress.evidence_number = answer.evidence_number;
+            state.upstream_progress.clock = answer.clock.map(|clock| (clock, Instant::now()));
         }
-        self.take_over_news(told.news);
+        self.apply_updates(contents.updates);
         {
             let mut state = self.state.borrow_mut();
-            let own_followed_to = answer.revision(answer.own_followed_to);
-            state.own_followed_to = state.own_followed_to.max(own_followed_to);
+            let own_applied_revision = answer.revision(answer.own_applied_revision);
+            state.own_applied_revision = state.own_applied_revision.max(own_applied_revision);
         }
         if let Some(told) = reading
             && let Some(reading) = told.reading(answer.made_at(sent_at), answer.era())
         {
             {
                 let mut state = self.state.borrow_mut();
-                state.heard_of.reading_number = told.number;
-                state.heard_of.reading_at = Some(reading.asked_at);
+                state.upstream_progress.read_number = told.number;
+                state.upstream_progress.reading_at = Some(reading.asked_at);
             }
-            self.take_reading(reading);
+            self.apply_shared_read(reading);
             self.report_and_probe_suspicions();
         }
-        for evidence in told.evidence {
+        for evidence in contents.evidence {
             self.accept_evidence(&evidence);
         }
-        self.take_samples(told.samples);
-        self.news.notify_waiters();
+        self.merge_samples(contents.samples);
+        self.updates_available.notify_waiters();
         self.note_members(Instant::now());
         self.publish();
     }
 
     /// Takes over a reading by another daemon, for what it is worth here.
-    fn take_reading(&self, reading: StoreReading) {
+    fn apply_shared_read(&self, reading: StoreRead) {
         let now = Instant::now();
-        self.state.borrow_mut().note_sighting(&reading);
+        self.state.borrow_mut().note_observed_revision(&reading);
         let useful_for = self.primary_lease_duration().mul_f64(USEFUL_PART);
-        let judged = judge_reading(&reading, now, useful_for, &self.own_keys());
-        let SharedReading::Renews(services) = judged else { return };
+        let judged = evaluate_read(&reading, now, useful_for, &self.own_keys());
+        let SharedRead::Renews(services) = judged else { return };
         let is_back = {
             let mut state = self.state.borrow_mut();
-            state.shared_reading_at = Some(reading.asked_at);
-            state.keep_reading(reading);
-            state.note_read(now, self.patience())
+            state.shared_read_at = Some(reading.asked_at);
+            state.keep_latest_read(reading);
+            state.note_read(now, self.store_silence_timeout())
         };
         if is_back {
             self.reprobe_suspected_servers();
@@ -220,7 +221,7 @@
     pub(crate) fn own_keys(&self) -> OwnKeys {
         let state = self.state.borrow();
         OwnKeys {
-            followed_to: state.own_followed_to,
+            applied_revision: state.own_applied_revision,
             member: state.mirror.get(&self.member_key()).map(|item| item.revision),
             records: state
                 .records
@@ -230,40 +231,40 @@
         }
     }
 
-    fn take_over_news(&self, news: News) {
-        let News { changes, is_whole, followed_to } = news;
+    fn apply_updates(&self, news: StoreUpdates) {
+        let StoreUpdates { changes, is_whole, applied_revision } = news;
         let changes = if is_whole {
             let items = changes.into_iter().filter_map(|change| match change {
                 Change::Put(item) => Some(item),
                 Change::Removed { .. } => None,
             });
-            let snapshot = Snapshot { items: items.collect(), revision: followed_to };
-            self.enter_era(followed_to);
+            let snapshot = Snapshot { items: items.collect(), revision: applied_revision };
+            self.enter_era(applied_revision);
             self.state.borrow().mirror.changes_to("", snapshot)
         } else {
             changes
         };
-        self.take_over(changes);
-        self.state.borrow_mut().note_followed(followed_to);
+        self.apply_changes(changes);
+        self.state.borrow_mut().note_applied(applied_revision);
     }
 
     /// Answers a daemon that follows the store through this one, as soon as there is news for it.
     pub(crate) async fn answer_follower(&self, request: FollowRequest) -> SplitAnswer {
         let received_at = Instant::now();
         // An asker that was in another zone's reach may have heard of a restore first.
-        self.store.note_era(request.followed_revision().era());
-        self.take_samples(request.samples_here(self.life, self.epoch, received_at));
+        self.store.note_era(request.applied().era());
+        self.merge_samples(request.samples_here(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
-            self.note_behind(Name::from(service.as_str()));
+            self.note_replicas_behind(Name::from(service.as_str()));
         }
         let until = received_at + Duration::from_millis(request.wait_ms).min(NEWS_WAIT);
         loop {
-            let news = self.news.notified();
+            let news = self.updates_available.notified();
             tokio::pin!(news);
             // From here on nothing is missed between the look and the wait.
             news.as_mut().enable();
-            if self.has_news_for(&request) || Instant::now() >= until {
-                return self.tell_follower(&request, received_at);
+            if self.has_updates_for(&request) || Instant::now() >= until {
+                return self.build_answer(&request, received_at);
             }
             tokio::select! {
                 () = tokio::time::sleep_until(until.into()) => {}
@@ -272,71 +273,71 @@
         }
     }
 
-    fn has_news_for(&self, request: &FollowRequest) -> bool {
+    fn has_updates_for(&self, request: &FollowRequest) -> bool {
         let state = self.state.borrow();
-        state.urgent_to > request.followed_revision().max(request.heard_revision())
-            || state.reading_number != request.reading_number
+        state.urgent_revision > request.applied().max(request.received())
+            || state.read_number != request.read_number
             || state.evidence_number != request.evidence_number
     }
 
-    fn tell_follower(&self, request: &FollowRequest, received_at: Instant) -> SplitAnswer {
+    fn build_answer(&self, request: &FollowRequest, received_at: Instant) -> SplitAnswer {
         let now = Instant::now();
         let state = self.state.borrow();
-        let reading = state.reading.filter(|_| state.reading_number != request.reading_number);
+        let reading = state.latest_read.filter(|_| state.read_number != request.read_number);
         // Only whoever changes a primary asks who has stopped, and that one reads the store itself.
         let stopped = self.key("stopped/");
         let is_wanted = |change: &Change| !change.key().starts_with(&stopped);
-        let is_starting = request.takes_packed && request.followed_to == 0;
-        let whole = (is_starting && state.mirror.followed_to() > Revision::ABSENT)
-            .then(|| self.packer.whole(&state.mirror, now, is_wanted))
+        let is_starting = request.accepts_compressed && request.applied_revision == 0;
+        let whole = (is_starting && state.mirror.applied_revision() > Revision::ABSENT)
+            .then(|| self.compressor.whole(&state.mirror, now, is_wanted))
             // Where removals since then are forgotten, what is known now is told in the usual way.
-            .filter(|whole| !state.mirror.news_since(whole.followed_to).is_whole);
-        let known_to =
-            whole.as_ref().map_or(request.followed_revision(), |whole| whole.followed_to);
-        let news = state.mirror.news_since(known_to);
+            .filter(|whole| !state.mirror.updates_since(whole.applied_revision).is_whole);
+        let known_to = whole.as_ref().map_or(request.applied(), |whole| whole.applied_revision);
+        let news = state.mirror.updates_since(known_to);
         let changes: Vec<_> = news.changes.into_iter().filter(is_wanted).collect();
-        let span = (known_to, news.followed_to);
-        let changes: Vec<_> = changes.into_iter().map(|change| self.packer.pack(change)).collect();
-        let (changes, packed) = match whole {
-            Some(whole) => (changes, whole.packed),
-            None if request.takes_packed => self.packer.pack_together(span, changes),
+        let span = (known_to, news.applied_revision);
+        let changes: Vec<_> =
+            changes.into_iter().map(|change| self.compressor.compress(change)).collect();
+        let (changes, compressed) = match whole {
+            Some(whole) => (changes, whole.compressed),
+            None if request.accepts_compressed => self.compressor.compress_together(span, changes),
             None => (changes, Bytes::new()),
         };
         let answer = FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
-            reading: reading.map(|reading| reading.told_at(state.reading_number, now)),
+            store_read: reading.map(|reading| reading.to_message(state.read_number, now)),
             changes,
             is_whole: news.is_whole,
-            followed_to: news.followed_to.number(),
-            heard_to: state.mirror.last_revision().number(),
+            applied_revision: news.applied_revision.number(),
+            received_revision: state.mirror.last_revision().number(),
             era: state.mirror.era().0,
             // Set as the changes are split off.
             changes_follow: false,
-            own_followed_to: state.own_followed_to.number(),
+            own_applied_revision: state.own_applied_revision.number(),
             evidence: state
                 .evidence
                 .iter()
                 .filter(|it| now.duration_since(it.asked_at) < self.evidence_duration())
-                .map(|it| it.told_at(now))
+                .map(|it| it.to_message(now))
                 .collect(),
             evidence_number: state.evidence_number,
             clock: Some(ClockMessage {
-                life: self.life,
+                incarnation: self.incarnation,
                 at_ms: now.duration_since(self.epoch).as_millis() as u64,
             }),
             samples: state
                 .samples
                 .iter()
                 .filter(|(_, sample)| now.duration_since(sample.asked_at) < SAMPLES_TOLD_FOR)
-                .map(|(service, sample)| sample.told_at(service, now))
+                .map(|(service, sample)| sample.to_message(service, now))
                 .collect(),
         };
-        answer.split(packed)
+        answer.split(compressed)
     }
 
     /// Returns where a server listens that another daemon wants a detour to; nothing once this daemon
     /// stops, since its connections end soon.
-    fn address_for(&self, request: &DetourRequest) -> Option<SocketAddr> {
+    fn address_for(&self, request: &TunnelRequest) -> Option<SocketAddr> {
         if self.stopping.borrow().is_some() {
             return None;
         }
@@ -354,11 +355,11 @@
                 let control = self.clone();
                 let answer = async move |request| control.answer_follower(request).await;
                 let control = self.clone();
-                let find_server = move |request: &DetourRequest| control.address_for(request);
-                let asks = self.asks.clone();
+                let find_server = move |request: &TunnelRequest| control.address_for(request);
+                let serving_requests = self.serving_requests.clone();
                 let hand_over = move |link| {
                     // A full ring means that the serving thread is behind; the link ends and is made again.
-                    if asks.try_send(Ask::Relay(link)).is_err() {
+                    if serving_requests.try_send(ServingRequest::Relay(link)).is_err() {
                         log::info!(event = "relay_refused"; "a link of another daemon was not taken");
                     }
                 };
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -18,7 +18,7 @@
     control::{
         adapter::Adapter,
         change::VersionedRecord,
-        peers::StoreReading,
+        peers::StoreRead,
         record::{EraView, LeadershipRecord},
         runner::Control,
         state::State,
@@ -78,11 +78,11 @@
 
     /// Counts what this daemon wrote and the watch did not tell of before the era ended as known, so that it is put back:
     /// nobody else may have heard of it, and an order may have followed.
-    fn keep_unheard_records(&mut self, heard_to: Revision) {
+    fn keep_unheard_records(&mut self, received_revision: Revision) {
         for (service, written) in std::mem::take(&mut self.written) {
             let known = self.records.get(&service);
             let is_later = known.is_none_or(|known| written.record.is_later_than(&known.record));
-            if written.revision > heard_to && is_later {
+            if written.revision > received_revision && is_later {
                 self.records.insert(service, Arc::new(written));
             }
         }
@@ -160,8 +160,8 @@
         if era <= before {
             return;
         }
-        let knew_earlier_era = state.mirror.followed_to() != Revision::ABSENT;
-        let lost_from = state.mirror.followed_to();
+        let knew_earlier_era = state.mirror.applied_revision() != Revision::ABSENT;
+        let lost_from = state.mirror.applied_revision();
         state.mirror.enter(era);
         state.keep_unheard_records(lost_from);
         let now = Instant::now();
@@ -174,7 +174,7 @@
         // The duty ended with its lease, and what was missing while nothing was heard can't be known.
         state.promoter_lease = None;
         state.watching_since = Some(now);
-        state.reading = None;
+        state.latest_read = None;
         state.acknowledged.clear();
         drop(state);
         self.metrics.now.with_label_values(&["store_era"]).set(era.0 as i64);
@@ -194,14 +194,11 @@
 
     /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
     /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
-    pub(crate) async fn handle_newer_era(
-        &self,
-        reading: StoreReading,
-    ) -> Result<(), MetadataError> {
-        if self.zone_reader().is_none() {
-            return self.read_everything().await;
+    pub(crate) async fn handle_newer_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
+        if self.upstream().is_none() {
+            return self.load_from_store().await;
         }
-        self.state.borrow_mut().note_sighting(&reading);
+        self.state.borrow_mut().note_observed_revision(&reading);
         Ok(())
     }
 
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -9,10 +9,10 @@
 use prost::Message;
 use proxy::{
     control::{
-        packing::unpack,
+        compression::decompress,
         peers::{
             ChangeMessage, ChangesMessage, ClockMessage, Evidence, FollowAnswer, FollowRequest,
-            OwnKeys, PrimarySample, SharedReading, StoreReading, judge_reading,
+            OwnKeys, PrimarySample, SharedRead, StoreRead, evaluate_read,
         },
     },
     metadata::{Change, Era, Item, Revision},
@@ -36,26 +36,26 @@
 #[test]
 fn a_reading_renews_what_it_showed_to_whoever_knows_all_of_it() {
     let base = Instant::now() + ms(10_000);
-    let reading = StoreReading { asked_at: base, revision: at(20) };
-    let keys = |followed_to, member: Option<u64>, records: &[(&str, u64)]| OwnKeys {
-        followed_to: at(followed_to),
+    let reading = StoreRead { asked_at: base, revision: at(20) };
+    let keys = |applied_revision, member: Option<u64>, records: &[(&str, u64)]| OwnKeys {
+        applied_revision: at(applied_revision),
         member: member.map(at),
         records: known(records),
     };
     let renews = |services: &[&str]| {
-        SharedReading::Renews(services.iter().map(|service| Name::from(*service)).collect())
+        SharedRead::Renews(services.iter().map(|service| Name::from(*service)).collect())
     };
     let cases = [
         ("all that it showed", keys(20, Some(3), &[("a", 5)]), 300, renews(&["a"])),
         ("a record as old as it", keys(20, Some(3), &[("a", 20)]), 300, renews(&["a"])),
         ("a later change is known", keys(30, Some(3), &[("a", 21)]), 300, renews(&[])),
-        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, SharedReading::Useless),
-        ("no member", keys(20, None, &[("a", 5)]), 300, SharedReading::Useless),
-        ("a member since", keys(30, Some(21), &[("a", 5)]), 300, SharedReading::Useless),
-        ("too old", keys(20, Some(3), &[("a", 5)]), 701, SharedReading::Useless),
+        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, SharedRead::Useless),
+        ("no member", keys(20, None, &[("a", 5)]), 300, SharedRead::Useless),
+        ("a member since", keys(30, Some(21), &[("a", 5)]), 300, SharedRead::Useless),
+        ("too old", keys(20, Some(3), &[("a", 5)]), 701, SharedRead::Useless),
     ];
     for (name, keys, age_ms, expected) in cases {
-        assert_eq!(judge_reading(&reading, base + ms(age_ms), USEFUL, &keys), expected, "{name}");
+        assert_eq!(evaluate_read(&reading, base + ms(age_ms), USEFUL, &keys), expected, "{name}");
     }
 }
 
@@ -64,12 +64,13 @@
 fn a_reading_of_another_era_renews_nothing() {
     let base = Instant::now() + ms(10_000);
     let restored = |number| Revision::new(Era(2), number);
-    let keys = OwnKeys { followed_to: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
-    let later = StoreReading { asked_at: base, revision: restored(10) };
-    assert_eq!(judge_reading(&later, base, USEFUL, &keys), SharedReading::Useless);
-    let keys = OwnKeys { followed_to: restored(10), member: Some(restored(3)), ..keys };
-    let earlier = StoreReading { asked_at: base, revision: at(20) };
-    assert_eq!(judge_reading(&earlier, base, USEFUL, &keys), SharedReading::Useless);
+    let keys =
+        OwnKeys { applied_revision: at(20), member: Some(at(3)), records: known(&[("a", 5)]) };
+    let later = StoreRead { asked_at: base, revision: restored(10) };
+    assert_eq!(evaluate_read(&later, base, USEFUL, &keys), SharedRead::Useless);
+    let keys = OwnKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
+    let earlier = StoreRead { asked_at: base, revision: at(20) };
+    assert_eq!(evaluate_read(&earlier, base, USEFUL, &keys), SharedRead::Useless);
 }
 
 #[test]
@@ -84,20 +85,20 @@
         term: Term(3),
         asked_at: servers_asked_at,
     };
-    let reading = StoreReading { asked_at: base + ms(300), revision: at(20) };
+    let reading = StoreRead { asked_at: base + ms(300), revision: at(20) };
     let mut answer = FollowAnswer {
         held_ms: made_at.duration_since(received_at).as_millis() as u64,
-        reading: Some(reading.told_at(4, made_at)),
-        evidence: vec![own.told_at(made_at)],
+        store_read: Some(reading.to_message(4, made_at)),
+        evidence: vec![own.to_message(made_at)],
         ..FollowAnswer::default()
     };
-    let told = answer.take_told(sent_at);
+    let told = answer.take_contents(sent_at);
     assert_eq!(told.evidence.len(), 1);
     let heard = &told.evidence[0];
     assert_eq!((&*heard.server, heard.term), ("s1", Term(3)));
     assert!(heard.asked_at <= servers_asked_at, "evidence seems older than it is, never younger");
     assert!(heard.asked_at >= servers_asked_at - ms(42), "by the way of the question at the most");
-    let heard = answer.reading.unwrap().reading(answer.made_at(sent_at), Era::NONE).unwrap();
+    let heard = answer.store_read.unwrap().reading(answer.made_at(sent_at), Era::NONE).unwrap();
     assert_eq!(heard.revision, at(20));
     assert!(heard.asked_at <= reading.asked_at && heard.asked_at >= reading.asked_at - ms(42));
 }
@@ -120,7 +121,7 @@
     let sent = vec![put, empty, removed];
     let message = FollowAnswer {
         changes: sent.iter().cloned().map(Into::into).collect(),
-        followed_to: 11,
+        applied_revision: 11,
         ..FollowAnswer::default()
     };
     // The changes travel behind the answer, so that it is small whatever they are.
@@ -128,14 +129,14 @@
     assert!(head.changes_follow && head.changes.is_empty());
     let mut received = FollowAnswer::decode(&*head.encode_to_vec()).unwrap();
     received.changes = ChangesMessage::decode(&*changes.unwrap().encode_to_vec()).unwrap().changes;
-    assert_eq!(received.take_told(Instant::now()).news.changes, sent);
+    assert_eq!(received.take_contents(Instant::now()).updates.changes, sent);
     // All revisions of an answer are of the era that it tells.
     let mut restored = FollowAnswer {
         changes: sent.iter().cloned().map(Into::into).collect(),
         era: 3,
         ..FollowAnswer::default()
     };
-    let told = restored.take_told(Instant::now()).news.changes;
+    let told = restored.take_contents(Instant::now()).updates.changes;
     assert!(told.iter().all(|change| change.revision().era() == Era(3)));
     let (head, changes) = FollowAnswer::default().split(bytes::Bytes::new());
     assert!(!head.changes_follow && changes.is_none());
@@ -152,10 +153,11 @@
     let (epoch, made_at, heard_at) = (base, base + ms(1_000), base + ms(1_070));
     let taken_at = base + ms(1_200);
     let sample = PrimarySample { asked_at: taken_at, point };
-    let clock = ClockMessage { life: 9, at_ms: made_at.duration_since(epoch).as_millis() as u64 };
+    let clock =
+        ClockMessage { incarnation: 9, at_ms: made_at.duration_since(epoch).as_millis() as u64 };
     let request = FollowRequest {
-        heard: Some(clock),
-        samples: sample.told_since(&service, heard_at).into_iter().collect(),
+        last_clock: Some(clock),
+        samples: sample.to_message_since(&service, heard_at).into_iter().collect(),
         ..FollowRequest::default()
     };
     // Up: the question is on its way for any time.
@@ -167,10 +169,10 @@
     // Down again, to a third daemon whose question was sent at 2400 and waited for 200 ms.
     let mut answer = FollowAnswer {
         held_ms: 200,
-        samples: vec![here[0].1.told_at(&service, base + ms(2_650))],
+        samples: vec![here[0].1.to_message(&service, base + ms(2_650))],
         ..FollowAnswer::default()
     };
-    let told = answer.take_told(base + ms(2_400));
+    let told = answer.take_contents(base + ms(2_400));
     assert_eq!(told.samples.len(), 1);
     assert!(told.samples[0].1.asked_at <= taken_at);
     assert!(told.samples[0].1.asked_at >= taken_at - ms(125));
@@ -181,15 +183,26 @@
     let base = Instant::now() + ms(10_000);
     let sample = PrimarySample { asked_at: base + ms(100), point: LogPoint::new(1, 1) };
     let service = Name::from("a");
-    assert_eq!(sample.told_since(&service, base + ms(101)), None, "taken before the answer came");
-    let told = sample.told_since(&service, base).unwrap();
-    let request =
-        |heard| FollowRequest { heard, samples: vec![told.clone()], ..FollowRequest::default() };
+    assert_eq!(
+        sample.to_message_since(&service, base + ms(101)),
+        None,
+        "taken before the answer came"
+    );
+    let told = sample.to_message_since(&service, base).unwrap();
+    let request = |heard| FollowRequest {
+        last_clock: heard,
+        samples: vec![told.clone()],
+        ..FollowRequest::default()
+    };
     let now = base + ms(500);
     let here = |heard| request(heard).samples_here(7, base, now).len();
-    assert_eq!(here(Some(ClockMessage { life: 7, at_ms: 0 })), 1);
-    assert_eq!(here(Some(ClockMessage { life: 8, at_ms: 0 })), 0, "another life");
-    assert_eq!(here(Some(ClockMessage { life: 7, at_ms: 450 })), 0, "a time that has not come");
+    assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 0 })), 1);
+    assert_eq!(here(Some(ClockMessage { incarnation: 8, at_ms: 0 })), 0, "another life");
+    assert_eq!(
+        here(Some(ClockMessage { incarnation: 7, at_ms: 450 })),
+        0,
+        "a time that has not come"
+    );
     assert_eq!(here(None), 0);
 }
 
@@ -198,12 +211,12 @@
     let message = |value: &[u8]| ChangeMessage {
         key: "k".to_owned(),
         value: Some(value.to_vec().into()),
-        is_packed: true,
+        is_compressed: true,
         ..ChangeMessage::default()
     };
-    assert!(unpack(&mut message(b"\xff\xff plain text")).is_err());
+    assert!(decompress(&mut message(b"\xff\xff plain text")).is_err());
     // A value that is not packed stays as it is.
-    let mut plain = ChangeMessage { is_packed: false, ..message(b"plain text") };
-    unpack(&mut plain).unwrap();
+    let mut plain = ChangeMessage { is_compressed: false, ..message(b"plain text") };
+    decompress(&mut plain).unwrap();
     assert_eq!(plain.value.as_deref(), Some(&b"plain text"[..]));
 }
