--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -1,4 +1,4 @@
-//! What all sessions of a daemon share.
+//! State shared by all sessions of a daemon.
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,56 +40,57 @@
     statement::ErrorCode,
 };
 
-/// Samples of a primary's position that are kept for each group; they span the longest bound.
+/// Samples of a primary's log position kept per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
-/// Reads in a hundred that may be tried at a second server while the first may still answer; more
-/// would multiply the load on servers that are slow because they are overloaded.
+/// Percentage of reads that may be sent to a second server while the first may still answer. The limit
+/// keeps retries from amplifying an overload.
 const RETRY_PERCENT: u32 = 10;
-/// How often resting connections are looked at where connections are scarce.
+/// How often idle connections are checked while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often it is looked at whether they are.
+/// How often the daemon checks whether connections have become scarce.
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the control thread is told that callers ask for a service; a fraction of the time for which it counts.
+/// How often the use of a service is reported to the control thread. Shorter than the time for which a
+/// report counts.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a new connection may take: a handshake, and a server that is busy.
+/// Timeout for opening a connection to a server, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// One service as this daemon serves it.
+/// State that this daemon keeps for one service.
 pub struct Group<E: EndpointDialect> {
-    /// Its connections.
+    /// Connections to the servers of the group.
     pub pool: Rc<GroupPool<E>>,
-    /// Where its primary's log stood when.
+    /// Recent log positions of the primary, with the times at which they were taken.
     pub samples: RefCell<StalenessSamples>,
-    /// Reads that may be sent to a second server although the first may still answer.
+    /// Budget for reads that are sent to a second server while the first may still answer.
     pub retries: RefCell<RetryBudget>,
-    /// Since when, and when last, reads were refused because every replica is behind.
+    /// When reads were first and last refused because every replica was behind.
     pub(crate) lagging_refusals: Cell<Option<(Instant, Instant)>>,
-    /// Wakes reads that wait for a server which was found to be out of reach.
+    /// Wakes reads that wait for a server which has become unreachable.
     pub server_unreachable: Notify,
-    /// Has servers that were found to be out of reach tried again at once.
+    /// Triggers an immediate probe of the servers that are unreachable.
     pub(crate) probe_now: Notify,
-    /// Servers that are being asked whether they are alive, and those that did not answer.
+    /// Servers that are being probed or that did not answer their probe.
     pub(crate) probes: RefCell<HashMap<Name, ProbeState>>,
-    /// When other daemons were last told where the primary's log stands.
+    /// When a sample of the primary's log position was last shared with other daemons.
     pub(crate) sample_shared_at: Cell<Option<Instant>>,
-    /// Wakes whoever waits for a sample.
+    /// Wakes requests that wait for a sample.
     pub(crate) sample_added: Notify,
-    /// Until when somebody who was sent to the primary is expected to show where its log stands.
+    /// Until when a request already sent to the primary is expected to yield a sample.
     pub(crate) sampling_until: Cell<Option<Instant>>,
-    /// When a read last wanted a sample that nobody here has.
+    /// When a read last asked the control thread for a sample.
     pub(crate) sample_requested_at: Cell<Option<Instant>>,
-    /// When the control thread was last told that callers ask for this service.
+    /// When the use of this service was last reported to the control thread.
     usage_reported_at: Cell<Option<Instant>>,
-    /// Why its primary can't be used, and who waits for that to end.
+    /// The ongoing outage of the primary, if any, and the statements that wait for its end.
     pub(crate) outage: GroupOutage,
     pool_inputs: RefCell<PoolInputs>,
 }
 
-/// What a pool was last told.
+/// The inputs with which a pool was last updated.
 #[derive(Default)]
 struct PoolInputs {
     servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
-    detours: Arc<TunnelPeers>,
+    tunnel_peers: Arc<TunnelPeers>,
     owners: Arc<Owners>,
     share: Share,
 }
@@ -97,7 +98,7 @@
 impl PoolInputs {
     fn is_same(&self, other: &PoolInputs) -> bool {
         Arc::ptr_eq(&self.servers, &other.servers)
-            && Arc::ptr_eq(&self.detours, &other.detours)
+            && Arc::ptr_eq(&self.tunnel_peers, &other.tunnel_peers)
             && Arc::ptr_eq(&self.owners, &other.owners)
             && self.share == other.share
     }
@@ -123,100 +124,100 @@
         }
     }
 
-    /// Whether the daemons have fewer connections to its servers than they could use, so that one may have them for others.
+    /// Whether connections to the servers are scarce, so that owner daemons hold them on behalf of others.
     pub(crate) fn is_contended(&self) -> bool {
         self.pool_inputs.borrow().share.owned.is_some()
     }
 }
 
-/// The settings that sessions go by.
+/// Settings of the serving thread.
 #[derive(Clone, Debug)]
 pub struct ServeSettings {
-    /// This daemon's host.
+    /// Host of this daemon.
     pub host: Name,
-    /// Its availability zone.
+    /// Availability zone of this daemon.
     pub availability_zone: Name,
-    /// How long a server must be silent before it is asked whether it is alive.
+    /// How long a server may be silent before it is probed.
     pub suspect_after: Duration,
-    /// How long a reading gives the right to use a primary, at every daemon.
+    /// How long a store read grants the primary lease; the same at every daemon.
     pub primary_lease: Duration,
-    /// How long an open transaction may go on after the signal to stop.
+    /// How long an open transaction may continue after the signal to stop.
     pub stop_transactions_after: Duration,
-    /// How long a session at rest stays open after the signal to stop.
+    /// How long an idle session stays open after the signal to stop.
     pub stop_idle_after: Duration,
-    /// Callers at a time; one more is refused.
+    /// Maximum number of concurrent callers; further ones are refused.
     pub max_callers: u64,
-    /// By which windows the limits of client accounts are judged.
+    /// Time windows over which the limits of client accounts are enforced.
     pub window_rule: WindowRule,
-    /// The region of each availability zone; empty where all are of one.
+    /// The region of each availability zone; empty if all zones belong to one region.
     pub regions: HashMap<Name, Name>,
-    /// Which decisions under load are made.
+    /// Which overload controls are enabled.
     pub overload: OverloadSettings,
 }
 
 /// The shared state of the serving thread.
 pub struct Engine<C, E: EndpointDialect> {
-    /// How callers speak.
+    /// Wire dialect of the callers.
     pub caller_dialect: C,
-    /// How servers speak.
+    /// Wire dialect of the servers.
     pub endpoint_dialect: E,
-    /// The settings.
+    /// Settings of the serving thread.
     pub settings: ServeSettings,
-    /// What is believed now.
+    /// Current view published by the control thread.
     pub control_view: watch::Receiver<Arc<ControlView>>,
-    /// When the stop began; `None` while the daemon runs.
+    /// When the daemon began to stop; `None` while it runs.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// What is counted.
+    /// Metrics of this daemon.
     pub metrics: ProxyMetrics,
-    /// Callers connected now.
+    /// Number of connected callers.
     pub callers: Cell<u64>,
     pub(crate) observations: flume::Sender<Observation>,
     pub(crate) relays: Rc<RelayLinks>,
     pub(crate) limits: Limits,
     pub(crate) hold_state: HoldState,
-    /// Where this daemon's clock begins, by which others tell it until when it may begin with their statements.
+    /// Origin of this daemon's monotonic clock, in which other daemons state the deadlines of their statements.
     epoch: Instant,
-    /// How far the servers' zones are.
+    /// Distances between availability zones.
     layout: Rc<Layout>,
     groups: RefCell<HashMap<Name, Rc<Group<E>>>>,
 }
 
-/// The pieces from which an engine is made.
+/// The parts from which an engine is built.
 pub struct EngineParts<C, E> {
-    /// How callers speak.
+    /// Wire dialect of the callers.
     pub caller_dialect: C,
-    /// How servers speak.
+    /// Wire dialect of the servers.
     pub endpoint_dialect: E,
-    /// The settings.
+    /// Settings of the serving thread.
     pub settings: ServeSettings,
-    /// What is believed now.
+    /// Current view published by the control thread.
     pub control_view: watch::Receiver<Arc<ControlView>>,
-    /// When the stop began.
+    /// When the daemon began to stop; `None` while it runs.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// What is counted.
+    /// Metrics of this daemon.
     pub metrics: ProxyMetrics,
-    /// Where it is told which servers answer.
+    /// Channel to the control thread for what was observed of servers.
     pub observations: flume::Sender<Observation>,
 }
 
-/// Why a statement got no connection.
+/// Why no connection was acquired for a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// No server can run it.
+    /// No server can run the statement.
     NoServer,
-    /// Too much waits already.
+    /// Too many statements are already waiting.
     QueueFull,
-    /// None was free in time.
+    /// No connection became free in time.
     TooLate,
-    /// More urgent work and that of others leave no room in time.
+    /// The server's queue has no room in time, given the statements ahead of this one.
     Overloaded {
-        /// When asking again may help.
+        /// After which delay a retry may succeed.
         retry_delay: Duration,
     },
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Joins the pieces.
+    /// Builds an engine from its parts.
     pub fn new(parts: EngineParts<C, E>) -> Engine<C, E> {
         let limits = Limits::new(parts.settings.window_rule);
         let zone = parts.settings.availability_zone.clone();
@@ -240,22 +241,22 @@
         }
     }
 
-    /// Returns what is believed now.
+    /// Returns the current control view.
     pub fn control_view(&self) -> Arc<ControlView> {
         self.control_view.borrow().clone()
     }
 
-    /// Returns the milliseconds since this daemon began, rounded down.
+    /// Returns the milliseconds since this daemon started, rounded down.
     pub(crate) fn clock_ms(&self) -> u64 {
         self.epoch.elapsed().as_millis() as u64
     }
 
-    /// Whether a stop has begun.
+    /// Whether the daemon has begun to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.borrow().is_some()
     }
 
-    /// Returns a service's group, brought up to what is believed now.
+    /// Returns the group of a service, updated from the given control view.
     pub fn group(&self, service: &Name, view: &ControlView) -> Rc<Group<E>> {
         let group = self
             .groups
@@ -273,19 +274,19 @@
         let share = share_of(granted, slots, view.sharers, by_account);
         let inputs = PoolInputs {
             servers: view.servers.clone(),
-            detours: view.tunnel_peers.clone(),
+            tunnel_peers: view.tunnel_peers.clone(),
             owners: view.owners.clone(),
             share,
         };
         if !group.pool_inputs.borrow().is_same(&inputs) {
-            group.pool.update(entries, share, &inputs.detours, &inputs.owners);
+            group.pool.update(entries, share, &inputs.tunnel_peers, &inputs.owners);
             *group.pool_inputs.borrow_mut() = inputs;
         }
         group
     }
 
-    /// Tells the control thread that callers ask for a service, now and then: while the store is silent it looks
-    /// after the groups that are used.
+    /// Reports to the control thread, at a limited rate, that a service is in use. While the store is
+    /// unreachable, the control thread manages only the groups that are in use.
     pub(crate) fn report_usage(&self, group: &Group<E>, service: &Name) {
         let now = Instant::now();
         if group
@@ -296,13 +297,13 @@
             return;
         }
         let used = Observation::Used { service: service.clone() };
-        // A full ring means that the control thread is behind; the next statement tells it again.
+        // The channel is full if the control thread is behind; the next statement reports again.
         if self.observations.try_send(used).is_ok() {
             group.usage_reported_at.set(Some(now));
         }
     }
 
-    /// Ends connections that rest while other daemons have none; runs as long as the daemon does.
+    /// Closes idle connections while other daemons lack any; runs until the daemon stops.
     pub async fn close_idle_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Finds a connection that a statement with these wishes may use.
+    /// Acquires a connection that fits the request, opening one where the pool permits it.
     pub async fn acquire(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -342,8 +343,8 @@
                 Offer::Open(place) => place,
             };
             let server = place.entry.server.clone();
-            let detour = group.pool.tunnel_to(&server);
-            match self.open(&place, detour).await {
+            let tunnel_peer = group.pool.tunnel_to(&server);
+            match self.open(&place, tunnel_peer).await {
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
@@ -355,14 +356,14 @@
                 Err(lost) => {
                     let service = place.entry.service.clone();
                     drop(place);
-                    match detour {
+                    match tunnel_peer {
                         None => self.on_open_failed(group, &service, &server, &lost),
                         Some(peer) => self.on_tunnel_failed(group, &server, peer, &lost),
                     }
                     match open_failure_action(&request, &lost) {
                         _ if Instant::now() >= deadline => return Err(AcquireError::NoServer),
                         OpenFailureAction::GiveUp => return Err(AcquireError::NoServer),
-                        // There is one to wait for, or leave to open one a little later.
+                        // A connection may become free, or the pool may permit opening one later.
                         OpenFailureAction::Wait if self.settings.overload.circuits => continue,
                         OpenFailureAction::Wait => return Err(AcquireError::NoServer),
                         OpenFailureAction::TryElsewhere => {}
@@ -373,7 +374,7 @@
         }
     }
 
-    /// Counts what became of a statement that this daemon runs on connections of its own for others.
+    /// Counts the outcome for a statement that another daemon forwarded to the connections of this one.
     fn count_forwarded(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
         if !request.is_forwarded || request.principal.is_none() {
             return;
@@ -388,20 +389,20 @@
         self.metrics.queued.with_label_values(&[rank.as_str(), outcome]).inc();
     }
 
-    /// Returns what a server is told of who connects.
+    /// Returns the identity that a server is given when a connection is opened.
     pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> Introduction<'a> {
         Introduction { host: &self.settings.host, principal }
     }
 
-    /// Opens a connection, through another daemon where there is a detour.
+    /// Opens a connection, through a tunnel of another daemon if one is in use.
     async fn open(
         &self,
         place: &OpeningPlace<E>,
-        detour: Option<SocketAddr>,
+        tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
         let introduction = self.introduce(&place.principal);
-        let Some(peer) = detour else {
+        let Some(peer) = tunnel_peer else {
             return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
         let opened =
@@ -411,12 +412,12 @@
         log::info!(
             event = "detour_opened", service = &*entry.service, server = &*entry.server,
             peer = peer.to_string().as_str();
-            "a server out of reach is reached through another daemon"
+            "opened a connection to an unreachable server through another daemon"
         );
         Ok(opened)
     }
 
-    /// Whether a server takes a connection through another daemon.
+    /// Tries to open a connection to a server through another daemon.
     pub(crate) async fn try_tunnel(
         &self,
         peer: SocketAddr,
@@ -442,7 +443,7 @@
         log::info!(
             event = "detour_failed", server = &**server, peer = peer.to_string().as_str(),
             why = lost.to_string().as_str();
-            "a server could not be reached through another daemon"
+            "failed to open a connection to a server through another daemon"
         );
     }
 
@@ -459,7 +460,7 @@
         log::info!(
             event = "connection_failed", service = &**service, server = &**server,
             why = lost.to_string().as_str();
-            "a server took no connection"
+            "failed to open a connection to a server"
         );
         if is_server_failure(lost) {
             group.pool.on_failure(server);
@@ -471,15 +472,15 @@
     }
 }
 
-/// What follows when a connection could not be opened for a request.
+/// What to do after a connection could not be opened for a request.
 enum OpenFailureAction {
     TryElsewhere,
     Wait,
     GiveUp,
 }
 
-/// A server that grants no more is there nevertheless: an owner that said it can't be reached would send its askers to open
-/// connections of their own.
+/// Decides what follows a failed open. A server that refuses further connections is reachable: if an owner
+/// reported it as unreachable, other daemons would open connections of their own to it.
 fn open_failure_action(request: &ConnectionRequest, lost: &ConnectionLost) -> OpenFailureAction {
     match lost {
         _ if request.only.is_none() => OpenFailureAction::TryElsewhere,
--- a/crates/proxy/src/serve/mod.rs
+++ b/crates/proxy/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Serving callers: sessions, the choice of a server, shared connections.
+//! Serves callers: sessions, server choice, and connections shared among sessions and daemons.
 
 pub(crate) mod admission;
 pub mod caller_link;
