--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its messages in order, its values and names, its transaction.
+//! The session of one caller: its messages, session values, prepared statements and transaction.
 
 use std::{
     collections::HashMap,
@@ -29,33 +29,33 @@
     },
 };
 
-/// How long a new connection may take to say what it wants.
+/// How long a new connection may take to send its startup message.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a new session waits while the daemon has no configuration; callers give up after 2 s.
+/// How long a new session waits for the daemon's first configuration; callers give up after 2 s.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// What a caller is told to wait whose session is refused; a daemon that starts has read the configuration
-/// by then if the store answers.
+/// Retry delay sent to a caller whose session is refused. A starting daemon has read its configuration by
+/// then if the store answers.
 const SESSION_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Values and prepared names that one session may hold; they are replayed and kept in memory.
+/// Maximum number of values, and of prepared statements, in one session; they are kept in memory and replayed.
 const MAX_SESSION_NAMES: usize = 1_024;
 
 /// Why a session ends.
 enum End {
-    /// The caller left or said that it ends.
-    Left,
-    /// A planned stop closes sessions that are at rest.
+    /// The caller disconnected.
+    Disconnected,
+    /// The daemon stops and closes idle sessions.
     Stopping,
-    /// The caller sent what can't be read on; it is told why.
+    /// The caller sent a message that can't be decoded; it gets the error.
     Unreadable(StatementError),
 }
 
-/// What came next.
+/// The next event of a session.
 enum Event {
     Message(CallerMessage),
     End(End),
-    /// The open transaction has rested for too long.
+    /// The open transaction was idle for too long.
     IdleTimeout,
-    /// An open transaction has no more time, since the daemon stops.
+    /// The daemon stops and the time left for the open transaction is over.
     StopDeadline,
 }
 
@@ -64,7 +64,7 @@
     link: CallerLink<C>,
     database: Name,
     key: AccountKey,
-    /// Whether the session ends with the answer that is under way.
+    /// Whether the session ends after the current answer.
     is_ending: bool,
     values: SessionValues,
     prepared: HashMap<Name, PreparedShape>,
@@ -114,7 +114,7 @@
                     self.fail_transaction("stopping");
                     return;
                 }
-                Event::End(End::Left | End::Stopping) => return,
+                Event::End(End::Disconnected | End::Stopping) => return,
                 Event::End(End::Unreadable(error)) => {
                     let state = self.state();
                     self.link.put_answer(refusal(error, state));
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Reads the first message; `false` if the connection ends with it.
+    /// Handles the startup message; returns `false` if the connection is to be closed.
     async fn start(&mut self) -> bool {
         let first = tokio::time::timeout(STARTUP_TIMEOUT, self.link.read_message()).await;
         let Ok(Ok(CallerMessage::Startup { database, key })) = first else {
@@ -140,7 +140,7 @@
             self.refuse_session(&database, "this daemon has as many callers as it may").await;
             return false;
         }
-        if !self.configuration_is_known().await {
+        if !self.wait_for_configuration().await {
             self.refuse_session(&database, "this daemon has no configuration yet").await;
             return false;
         }
@@ -148,7 +148,7 @@
             log::info!(
                 event = "unknown_database", database = &*database,
                 configuration = self.engine.control_view().catalog.version;
-                "a caller named a database that no route has"
+                "a caller asked for a database without a route"
             );
             let why = "no route has this database";
             self.link.put_error(StatementError::new(ErrorCode::UnknownDatabase, why));
@@ -169,7 +169,7 @@
         self.link.flush().await.is_ok()
     }
 
-    /// Ends a session that has not begun, and tells its caller when to come back.
+    /// Refuses a session at startup and sends its caller a retry delay.
     async fn refuse_session(&mut self, database: &Name, why: &'static str) {
         let retry_after_ms = self.engine.with_jitter(SESSION_RETRY_DELAY).as_millis() as u64;
         log::info!(
@@ -179,12 +179,12 @@
         );
         let error = StatementError::come_back(ErrorCode::Overloaded, why, retry_after_ms);
         self.link.put_error(error);
-        // A caller that has gone need not be told.
+        // A caller that has disconnected needs no answer.
         let _ = self.link.flush().await;
     }
 
-    /// Waits for the first configuration: before it, nothing can be said of any database.
-    async fn configuration_is_known(&self) -> bool {
+    /// Waits for the first configuration, without which no database can be resolved.
+    async fn wait_for_configuration(&self) -> bool {
         let mut view = self.engine.control_view.clone();
         let known = view.wait_for(|view| view.is_ready());
         matches!(tokio::time::timeout(CONFIGURATION_TIMEOUT, known).await, Ok(Ok(_)))
@@ -208,7 +208,7 @@
                 biased;
                 read = self.link.read() => {
                     if read.is_err() {
-                        return Event::End(End::Left);
+                        return Event::End(End::Disconnected);
                     }
                 }
                 () = sleep_until(idle_until) => return Event::IdleTimeout,
@@ -222,8 +222,8 @@
         }
     }
 
-    /// How long after the signal to stop the session may go on: one at rest until the load balancer
-    /// has heard of it and sends its caller elsewhere, a transaction for longer.
+    /// How long the session may continue after the signal to stop. An idle session stays until the load
+    /// balancer has noticed the stop and routes its caller elsewhere; an open transaction gets longer.
     fn stop_grace(&self) -> Duration {
         let settings = &self.engine.settings;
         match self.transaction {
@@ -232,14 +232,14 @@
         }
     }
 
-    /// Until when the open transaction may rest, if it has a connection of its own.
+    /// Until when the open transaction may stay idle, if it holds a connection.
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.lent.as_ref()?;
         Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
     }
 
-    /// Answers a message; `false` if the connection ends with it.
+    /// Answers a message; returns `false` if the connection is to be closed.
     async fn on_message(&mut self, message: CallerMessage) -> bool {
         let arrived = Instant::now();
         let answer = match message {
@@ -287,17 +287,23 @@
             Statement::Commit if self.transaction.is_none() => {
                 self.local_error(ErrorCode::Malformed, "no transaction is open")
             }
-            Statement::Commit => self.on_work(id, Work::Commit, arrived).await,
-            Statement::Read { body } => self.on_work(id, Work::Read(body), arrived).await,
-            Statement::Write { body } => self.on_work(id, Work::Write(body), arrived).await,
+            Statement::Commit => self.on_server_statement(id, Work::Commit, arrived).await,
+            Statement::Read { body } => {
+                self.on_server_statement(id, Work::Read(body), arrived).await
+            }
+            Statement::Write { body } => {
+                self.on_server_statement(id, Work::Write(body), arrived).await
+            }
             Statement::Execute { name, arguments } => match self.prepared.get(&name).cloned() {
-                Some(shape) => self.on_work(id, Work::Execute { shape, arguments }, arrived).await,
+                Some(shape) => {
+                    self.on_server_statement(id, Work::Execute { shape, arguments }, arrived).await
+                }
                 None => self.local_error(ErrorCode::UnknownStatement, "no such prepared name"),
             },
         }
     }
 
-    /// Only the end of a failed transaction is taken; nothing of it is kept.
+    /// Handles a statement in a failed transaction, which accepts only its end and never commits.
     fn on_failed_transaction(&mut self, statement: &Statement) -> Answer {
         match statement {
             Statement::Rollback => self.on_rollback(),
@@ -343,7 +349,7 @@
         self.local_success()
     }
 
-    async fn on_work(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
+    async fn on_server_statement(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
         let route = match &self.transaction {
             Some(transaction) => Some(transaction.route.clone()),
             None => self.route(),
@@ -356,7 +362,7 @@
         };
         let principal = Principal::of(account.as_ref());
         let is_first = match &self.transaction {
-            // What was begun for one account is not carried on for another one.
+            // A transaction may not continue for another account than the one that opened it.
             Some(transaction) if transaction.principal() != principal => {
                 return self.local_error(ErrorCode::Aborted, "the key belongs to another account");
             }
@@ -424,7 +430,7 @@
         account_of(&self.engine.control_view().catalog, &self.key, route)
     }
 
-    /// Ends the session: its key was taken away. Nothing more runs for it, and what is open is rolled back.
+    /// Ends the session because its key was revoked. An open transaction is rolled back.
     fn end_for_unknown_key(&mut self, at: &'static str) -> Answer {
         self.note_unknown_key(at);
         self.fail_if_open();
@@ -438,7 +444,7 @@
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
             configuration = self.engine.control_view().catalog.version;
-            "a caller's key belongs to no client account"
+            "a caller's key does not belong to any client account"
         );
     }
 
@@ -450,7 +456,7 @@
         }
     }
 
-    /// An error that the session gives itself; inside a transaction it fails the transaction.
+    /// Returns an error raised by the session itself; it fails an open transaction.
     fn local_error(&mut self, code: ErrorCode, text: &'static str) -> Answer {
         self.fail_if_open();
         refusal(StatementError::new(code, text), self.state())
@@ -462,7 +468,7 @@
         }
     }
 
-    /// Ends the open transaction at its server; its caller learns of it with its next message.
+    /// Fails the open transaction and rolls it back at its server. The caller is told with its next message.
     fn fail_transaction(&mut self, why: &str) {
         let Some(transaction) = &mut self.transaction else { return };
         transaction.failed = true;
