--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -1,4 +1,4 @@
-//! Running one statement: where, on which connection, how often, and what the caller may be told.
+//! Runs single statements: chooses a server, sends the statement, retries it and evaluates the answer.
 
 use std::{
     rc::Rc,
@@ -29,27 +29,27 @@
     statement::{Answer, ErrorCode, StatementError, TransactionState},
 };
 
-/// How many times a server's average answering time a read waits before a second server is tried.
+/// Multiple of a server's average latency after which a read may be sent to a second server.
 const SLOW_ANSWER_FACTOR: u32 = 6;
-/// How long nothing is tried after every server refused, before they are asked again.
+/// Pause before servers that have all refused a statement are tried again.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(15);
-/// How often other daemons are told, or asked, where a primary's log stands; a fraction of the bounds that routes
-/// name, and of the time between two questions to the zone's reader.
+/// How often samples of a primary's log position are shared with, or requested from, other daemons. Shorter
+/// than the staleness bounds of routes and than the interval at which the zone polls its upstream.
 const SAMPLE_SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a statement is refused for which a server's queue has no room in time.
+/// Refusal text for a statement that a server's queue has no room for in time.
 const OVERLOADED_REASON: &str = "more urgent statements and those of others go first";
 
-/// A connection on which a statement may run now, with what it has to show.
+/// A connection on which a statement may run now, with the conditions that it runs under.
 pub(crate) struct Assignment<E: EndpointDialect> {
     pub(crate) lent: Lent<E>,
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
-    /// The latest point that the primary's log is known to have reached before the statement is sent.
+    /// The latest point that the primary's log had reached, as known before the statement was sent.
     pub(crate) known: Option<LogPoint>,
 }
 
-/// What a primary showed, and what was known of it before it was asked.
+/// A log position returned by a primary, and the latest one known before the request.
 #[derive(Clone, Copy)]
 pub(crate) struct Sample {
     pub(crate) sent_at: Instant,
@@ -57,17 +57,17 @@
     pub(crate) point: Option<LogPoint>,
 }
 
-/// How a server is watched while something runs on it.
+/// How a server is monitored while a task runs on it.
 #[derive(Clone, Copy)]
 pub(crate) struct Watch<'a> {
     pub(crate) service: &'a Name,
-    /// After how long a second server may be tried.
+    /// After how long the task may be sent to a second server.
     pub(crate) slow_after: Duration,
-    /// Whether it may run again elsewhere.
+    /// Whether the task may run again on another server.
     pub(crate) may_run_again: bool,
 }
 
-/// Why nothing was granted.
+/// Why no connection was assigned.
 pub(crate) enum AssignError {
     Refuse(StatementError),
     Retry,
@@ -150,11 +150,12 @@
         }
     }
 
-    /// Whether an answer may be given to the caller as far as the right to read at the primary goes. On the
-    /// way through an owner a read may have waited for longer than the right that it was sent under.
+    /// Whether the primary lease under which a read was sent still holds, so that its answer may be returned.
+    /// A read that was forwarded to an owner may have waited there for longer than the lease lasts.
     fn is_lease_still_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
-        let is_read_there = job.work.class() == StatementClass::Read && assignment.leader.is_some();
-        !is_read_there
+        let is_primary_read =
+            job.work.class() == StatementClass::Read && assignment.leader.is_some();
+        !is_primary_read
             || assignment.lent.reached().is_own
             || self.is_current_leader(
                 &job.route.service,
@@ -173,13 +174,13 @@
     ) -> Result<Assignment<E>, AssignError> {
         let view = self.control_view();
         let service = &job.route.service;
-        let known = view.leaders.get(service);
+        let known_leader = view.leaders.get(service);
         let now = Instant::now();
         let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
         if let Some(bound) = bound.filter(|_| min_point.is_none()) {
             self.request_sample(group, now);
-            if let Some(leader) = known.filter(|_| !attempts.requested_sample) {
+            if let Some(leader) = known_leader.filter(|_| !attempts.requested_sample) {
                 attempts.requested_sample = true;
                 let max_age = max_sample_age(bound, leader.is_valid(now));
                 if self.hear_sample(group, service, &leader.server, max_age).await {
@@ -192,8 +193,8 @@
             Some(_) => view.usable_leader(service, Instant::now()).cloned(),
             None => {
                 let leader = self.await_primary(group, job, class, attempts).await?;
-                if bound.is_some() && known.is_none() {
-                    // Only now is it known whose owner to ask where the log stands.
+                if bound.is_some() && known_leader.is_none() {
+                    // The primary is known only now, so a retry can ask its owner for a sample.
                     return Err(AssignError::Retry);
                 }
                 Some(leader)
@@ -206,7 +207,7 @@
                 .map(|leader| leader.server.clone()),
             min_point,
             avoid: attempts.avoid.clone(),
-            primary: known.map(|leader| leader.server.clone()),
+            primary: known_leader.map(|leader| leader.server.clone()),
             priority: job.route.priority,
             yields: class == StatementClass::Read && job.route.reads != ReadRule::Primary,
             opens_transaction: attempts.opens_transaction,
@@ -215,20 +216,20 @@
             cancellation: None,
             principal: Some(job.principal.clone()),
         };
-        // The wait for a primary is over only now, and the wait for a connection begins.
+        // Computed here because the wait for a connection starts after the wait for a primary.
         let wait_deadline = job.wait_deadline(Instant::now(), group.pool.has_queues());
         let lent = match self.acquire(group, request, job.values, wait_deadline).await {
             Ok(lent) => lent,
             Err(error) => return Err(self.on_acquire_failed(group, job, attempts, error).await),
         };
-        // Time may have passed, and with it the right to use this primary.
+        // The primary lease may have expired while the statement waited for a connection.
         let now = Instant::now();
         if min_point.is_none() && !self.is_current_leader(service, leader.as_ref(), now) {
             lent.give_back();
             return Err(AssignError::Retry);
         }
-        // A read at the primary needs no minimum point while the right to it holds, by what is believed now: the
-        // right may have been given up while the statement waited for its connection.
+        // A read at the primary needs no minimum point while the lease holds. The current view is checked, since
+        // the lease may have been given up while the statement waited for its connection.
         let leader = leader.filter(|leader| {
             leader.server == *lent.server() && self.is_current_leader(service, Some(leader), now)
         });
@@ -238,15 +239,15 @@
         Ok(Assignment { lent, leader, min_point, known })
     }
 
-    /// Tells the control thread that a sample is wanted, now and then: a line for each read would leave a
-    /// busy control thread's ring no room for what is told once, such as a server that can't be reached.
+    /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
+    /// channel and displace messages that are sent only once, such as that a server is unreachable.
     fn request_sample(&self, group: &Group<E>, now: Instant) {
-        let wanted_at = group.sample_requested_at.get();
-        if wanted_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
+        let requested_at = group.sample_requested_at.get();
+        if requested_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
         }
         group.sample_requested_at.set(Some(now));
-        // A full ring means that the control thread is behind; a later read asks again.
+        // The channel is full if the control thread is behind; a later read requests again.
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
 
@@ -265,11 +266,11 @@
 
     pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, is_primary: bool) {
         let role = if is_primary { "primary" } else { "replica" };
-        let near = group
+        let is_same_zone = group
             .pool
             .entry_of(lent.server())
             .is_some_and(|entry| entry.availability_zone == self.settings.availability_zone);
-        let zone = if near { "same" } else { "other" };
+        let zone = if is_same_zone { "same" } else { "other" };
         self.metrics.sent.with_label_values(&[role, zone]).inc();
     }
 
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Sends a statement with all that has to go before it, and reads its answer.
+    /// Sends a statement, preceded by the commands that restore its session state, and reads its answer.
     pub(crate) async fn send(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -334,7 +335,7 @@
         self.run_watched(group, &job.endpoint_task(min_point), lent, job.deadline(), watch).await
     }
 
-    /// Runs something on a connection, and looks meanwhile whether its server still lives.
+    /// Runs a task on a connection while monitoring whether its server is alive.
     pub(crate) async fn run_watched(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -354,9 +355,8 @@
         }
     }
 
-    /// Ends when another server should be tried instead of waiting for this one; a server that is
-    /// silent is asked meanwhile whether it lives, by whoever owns the connection. Whatever may not run twice is
-    /// waited for.
+    /// Completes when the task should be sent to another server instead of waiting for this one; never for a
+    /// task that may not run twice. The daemon that owns the connection probes the server once it is silent.
     async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -415,7 +415,7 @@
         answer
     }
 
-    /// Keeps where the primary's log stood, if it was the primary from the question to the answer.
+    /// Stores a sample of the primary's log position, if the server was the primary from request to answer.
     pub(crate) fn add_sample(
         &self,
         group: &Group<E>,
@@ -434,21 +434,21 @@
         }
     }
 
-    /// Lets the other daemons of the zone have a sample, now and then.
+    /// Shares a sample with the other daemons of the zone, at a limited rate.
     fn share_sample(&self, group: &Group<E>, service: &Name, sample: PrimarySample) {
         let now = Instant::now();
-        let told_at = group.sample_shared_at.get();
-        if told_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
+        let shared_at = group.sample_shared_at.get();
+        if shared_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
         }
         group.sample_shared_at.set(Some(now));
         let observation = Observation::PrimarySampled { service: service.clone(), sample };
-        // A full ring means that the control thread is behind; the next sample serves as well.
+        // The channel is full if the control thread is behind; a later sample is as good.
         let _ = self.observations.try_send(observation);
     }
 
-    /// Whether a write's answer may be given: its server still led when the answer came, or the write
-    /// is known to stand in the history of the server that leads now.
+    /// Whether a write may be acknowledged: its server was still the primary when the answer arrived, or the
+    /// write is known to be kept in the history of the current primary.
     pub(crate) async fn confirm_write(
         &self,
         service: &Name,
@@ -472,8 +472,8 @@
         }
     }
 
-    /// Returns what a caller is told whose work only the primary can do, where others go first there: it is known that asking
-    /// again at once is in vain.
+    /// Returns the error for a statement that only the primary can run and that the primary's queue refused;
+    /// an immediate retry would be refused as well.
     pub(crate) fn overload_refusal(
         &self,
         group: &Rc<Group<E>>,
@@ -489,8 +489,8 @@
     }
 }
 
-/// How old a sample may be that an owner is asked for. Where the primary may be used, half of the bound is left for the read
-/// itself and for others after it; where it may not, an old sample is all that there is.
+/// Maximum age of a sample requested from an owner. While the primary may be used, half of the bound is
+/// reserved for this read and the ones after it; otherwise only an older sample may exist.
 fn max_sample_age(bound: Duration, may_use_primary: bool) -> Duration {
     match may_use_primary {
         true => bound / 2,
@@ -498,7 +498,7 @@
     }
 }
 
-/// Returns the error that an owner's refusal stands for, if it is one for want of room.
+/// Returns the error code for a refusal by an owner, if it refused for lack of capacity.
 pub(crate) fn refusal_code(lost: &ConnectionLost) -> Option<ErrorCode> {
     match lost {
         ConnectionLost::NotGranted(NotSent::TooLate | NotSent::Overloaded) => {
@@ -508,8 +508,9 @@
     }
 }
 
-/// Whether an owner said at once that the server is no use now. It cost a round trip and no server's time, so it is not counted
-/// among the tries of an operation: else the word of a circuit would use up the try that a server which works is there for.
+/// Whether an owner rejected the request at once because the server is unavailable. Such a rejection costs
+/// no server time, so it does not count as an attempt: otherwise an open circuit would use up the attempt
+/// that a working server could serve.
 fn is_free_attempt(lost: &ConnectionLost) -> bool {
     matches!(lost, ConnectionLost::NotGranted(NotSent::Unreachable | NotSent::SetAside))
 }
