--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -1,4 +1,4 @@
-//! Statements inside transactions, which keep one connection from the first to the last.
+//! Runs statements inside transactions; a transaction keeps one connection from its first statement on.
 
 use std::{
     rc::Rc,
@@ -26,29 +26,29 @@
     statement::{Answer, ErrorCode, Outcome, TransactionState},
 };
 
-/// How long a server may take to open or roll back a transaction, which takes none of its slots.
+/// Timeout for opening or rolling back a transaction at a server, which takes no slot there.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A transaction as this daemon knows it.
+/// An open transaction of a session.
 pub struct Transaction<E: EndpointDialect> {
-    /// The route in force when it began.
+    /// The route when the transaction began.
     pub route: Arc<Route>,
-    /// The account that it began for; none for a caller without one.
+    /// The client account that opened it; `None` for a caller without one.
     pub account: Option<Arc<Account>>,
-    /// Whether it only reads.
+    /// Whether it is read-only.
     pub read_only: bool,
-    /// Its connection; none before the first statement that a server has to run.
+    /// Its connection; `None` before the first statement that runs on a server.
     pub lent: Option<Lent<E>>,
-    /// The right under which it began, where it runs at the primary.
+    /// The leader under whose lease it began, if it runs at the primary.
     pub(crate) leader: Option<GroupLeader>,
     /// Whether it may have written.
     pub wrote: bool,
-    /// Whether it failed and waits for its end.
+    /// Whether it has failed, so that only its end is accepted.
     pub failed: bool,
 }
 
 impl<E: EndpointDialect> Transaction<E> {
-    /// A transaction of which no server knows yet.
+    /// Creates a transaction that has not been opened on a server yet.
     pub fn new(
         route: Arc<Route>,
         account: Option<Arc<Account>>,
@@ -65,23 +65,24 @@
         }
     }
 
-    /// Returns for whom it runs.
+    /// Returns the principal for which it runs.
     pub fn principal(&self) -> Principal {
         Principal::of(self.account.as_ref())
     }
 }
 
+/// What to do with the answer to a statement inside a transaction.
 pub(crate) enum TransactionStep {
-    /// The caller gets this answer.
+    /// Return the answer to the caller.
     Deliver,
-    /// The server ran nothing and the transaction still stands: ask again.
+    /// The server ran nothing and the transaction is intact: send the statement again.
     RetryOnConnection,
-    /// Nothing of the transaction has run: open it anew.
+    /// No statement of the transaction has run: open it again.
     Restart,
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Runs a statement inside a transaction, which gets its connection with the first one.
+    /// Runs a statement inside a transaction; the first statement acquires the connection.
     pub async fn run_in_transaction(
         self: &Rc<Self>,
         job: &Job<'_>,
@@ -134,20 +135,20 @@
         }
     }
 
-    /// Rolls a transaction back behind the caller's back and gives its connection to others.
+    /// Rolls a transaction back in the background and returns its connection to the pool.
     pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
         tokio::task::spawn_local(async move {
             let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_TIMEOUT;
             match lent.run(&rollback, deadline).await {
                 Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
-                // Closing the connection rolls back too.
+                // Closing the connection also rolls the transaction back.
                 Ok(_) | Err(_) => drop(lent),
             }
         });
     }
 
-    /// Opens the transaction on a server; an answer is what its first statement is told instead.
+    /// Opens the transaction on a server. Returns an answer for the first statement if that fails.
     pub(crate) async fn open_transaction(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -171,7 +172,7 @@
             let sent_at = Instant::now();
             attempts.sent += 1;
             let reached = assignment.lent.reached();
-            // Where an owner is asked the wait for its connection comes first.
+            // At an owner, the wait for a connection comes first.
             let has_queues = group.pool.has_queues();
             let max_wait = if reached.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
             let deadline = job.deadline().min(sent_at + max_wait + BEGIN_TIMEOUT);
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Whether a transaction that has been opened at the primary may go on there: where an owner opened it, it
-    /// may have waited for longer than the right lasted that it was sent under.
+    /// Whether a transaction opened at the primary may continue there. One that an owner opened may have waited
+    /// for longer than the primary lease under which it was sent.
     fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         assignment.leader.is_none()
             || assignment.lent.reached().is_own
