--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -1,7 +1,7 @@
-//! Statements that wait for a primary, and what those are told that don't.
+//! Holds statements while no primary is usable, and builds the errors for statements that are refused.
 //!
-//! Who waits stands here, at the daemon that took the statement from its caller; with the daemon nothing is lost but its own
-//! callers' tries. [`overload::hold`] decides; `docs/design/hard-load.md` says what was weighed.
+//! Statements are held at the daemon that received them from its caller, so the loss of a daemon affects
+//! only its own callers. [`overload::hold`] makes the decisions; see `docs/design/hard-load.md`.
 
 use std::{
     cell::RefCell,
@@ -32,40 +32,40 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// What a caller is told to wait where nothing better is known.
+/// Default retry delay sent to a caller.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// What a caller is told to wait while a primary is being replaced.
+/// Retry delay sent to a caller while a primary is being replaced.
 const RETRY_DELAY_CHANGING: Duration = Duration::from_millis(400);
 
-/// What a daemon has learned of outages, and the tries that its callers' accounts have left.
+/// The lengths of past outages, and the retry budgets of the client accounts.
 #[derive(Default)]
 pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
     tries: RefCell<TryBudget>,
 }
 
-/// What earlier attempts of one statement have shown.
+/// The attempts made so far to run one statement.
 #[derive(Default)]
 pub(crate) struct Attempts {
     pub(crate) avoid: Vec<Name>,
     pub(crate) last_error: Option<ErrorCode>,
-    /// Whether only the primary will do.
+    /// Whether only the primary can run it.
     pub(crate) needs_primary: bool,
-    /// Whether a transaction is to be opened.
+    /// Whether it opens a transaction.
     pub(crate) opens_transaction: bool,
-    /// Whether an owner was asked where the primary's log stood.
+    /// Whether an owner was asked for a sample of the primary's log position.
     pub(crate) requested_sample: bool,
-    /// How often it was sent to a server or an owner.
+    /// How many times it was sent to a server or an owner.
     pub(crate) sent: u32,
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Whether statements of a group are held by what is known of outages.
+    /// Whether statements of a group are held according to the lengths of past outages.
     pub(crate) fn holds_statements(&self, group: &Group<E>) -> bool {
         self.settings.overload.holding && group.is_contended()
     }
 
-    /// Returns a time to come back that differs for each caller, where statements are held.
+    /// Adds jitter to a retry delay if statements are held.
     pub(crate) fn with_jitter(&self, retry_delay: Duration) -> Duration {
         match self.settings.overload.holding {
             true => spread(retry_delay, rand::random()),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Waits until there is a primary that may be used, or until a read can do without one.
+    /// Waits until a primary is usable, or until a read can run at a replica.
     pub(crate) async fn await_primary(
         &self,
         group: &Rc<Group<E>>,
@@ -133,7 +133,8 @@
         }
     }
 
-    /// The same where daemons have connections enough: a fixed part of the statement's time.
+    /// Waits for a usable primary for a fixed share of the statement's timeout. Used where connections are not
+    /// scarce.
     async fn await_primary_fixed(
         &self,
         group: &Rc<Group<E>>,
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Until when a statement may wait for a server that can run it.
+    /// Until when a statement may wait for a usable server.
     pub(crate) fn hold_until(&self, job: &Job<'_>) -> Instant {
         job.hold_until(self.control_view().is_planned_gap(&job.route.service, Instant::now()))
     }
 
-    /// Returns the point that a read's server must hold, if it may run at others than the primary by what is known now.
+    /// Returns the point that a server's log must hold to run a read; `None` if only the primary may run it now.
     pub(crate) fn current_min_point(
         &self,
         group: &Group<E>,
@@ -184,7 +185,7 @@
             .min_point()
     }
 
-    /// Returns when a statement goes on, now that there is a primary.
+    /// Returns when a held statement may continue after a primary has become usable.
     fn resume_at(
         &self,
         group: &Group<E>,
@@ -204,7 +205,7 @@
         queued.resume_at(interval, job.hold_limits().turn_until(outage, now), now)
     }
 
-    /// Notes that a statement was answered by the primary, which so was in reach.
+    /// Records that a statement was answered; an answer from the primary ends the group's outage.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.told());
         self.hold_state.tries.borrow_mut().on_success(&account, job.rank());
@@ -224,7 +225,7 @@
             took_ms = ongoing.elapsed(now).as_millis() as u64, counts = length.is_some(),
             expected_ms = group.outage.expected.get().as_millis() as u64,
             waiting = group.outage.queue.borrow().len();
-            "a primary can be used again"
+            "the primary is usable again"
         );
     }
 
@@ -248,7 +249,8 @@
         decide(&self.hold_state.history.borrow(), ongoing, &job.hold_limits(), backlog, now)
     }
 
-    /// How long the primary takes for a statement of this daemon's, as one of all that send it theirs.
+    /// Returns the average interval at which the primary completes statements of this daemon, given that all
+    /// daemons share it.
     fn service_interval(&self, group: &Group<E>, service: &Name) -> Duration {
         let view = self.control_view();
         view.leaders
@@ -262,7 +264,7 @@
         group.pool.latency_of(server) * daemons / slots
     }
 
-    /// Returns what a statement is told that finds no primary.
+    /// Returns the error for a statement that found no usable primary.
     fn no_primary_error(
         &self,
         group: &Group<E>,
@@ -286,7 +288,7 @@
         self.refuse_statement(group, job, self.with_forecast(group, job, refusal))
     }
 
-    /// Has a refusal tell what is expected of the group's outage, where there is one.
+    /// Adds the forecast of the group's outage to a refusal, if there is one.
     fn with_forecast(&self, group: &Group<E>, job: &Job<'_>, refusal: Refusal) -> Refusal {
         let ongoing = group.outage.ongoing.get().filter(|_| self.holds_statements(group));
         let Some(ongoing) = ongoing else { return refusal };
@@ -300,7 +302,7 @@
         Refusal { retry_delay, outage: Some(ongoing.outage), remaining, ..refusal }
     }
 
-    /// Sets up another attempt; an error is what the caller is told instead.
+    /// Prepares another attempt, or returns the error for the caller if there is to be none.
     pub(crate) async fn prepare_next_attempt(
         &self,
         attempts: &mut Attempts,
@@ -332,7 +334,7 @@
         None
     }
 
-    /// Whether another attempt would go where it can't be answered, or take room from others.
+    /// Whether another attempt can't succeed or would exceed the retry budget.
     fn is_retry_futile(
         &self,
         group: &Group<E>,
@@ -346,7 +348,7 @@
         let now = Instant::now();
         let view = self.control_view();
         let leader = view.usable_leader(&job.route.service, now);
-        // An empty name: no server was found, so it was the primary that wasn't.
+        // An empty name means that no server was found, which here stands for the primary.
         if needs_primary(job)
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
@@ -393,7 +395,7 @@
         self.refuse_statement(group, job, refusal)
     }
 
-    /// Returns what a statement is told that found no free connection.
+    /// Returns the error for a statement that found no free connection.
     pub(crate) fn no_room_error(
         &self,
         group: &Group<E>,
@@ -414,7 +416,7 @@
     }
 }
 
-/// Whether only the primary can run a statement, whatever is known of where its log stood.
+/// Whether only the primary can run a statement, regardless of samples of its log position.
 fn needs_primary(job: &Job<'_>) -> bool {
     job.work.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
 }
