--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -1,4 +1,4 @@
-//! The outage of one group, as this daemon sees it, and who waits for its end.
+//! The outage of one group as seen by this daemon, and the statements held until its end.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,28 +13,28 @@
 
 use crate::control::control_view::ControlView;
 
-/// The outage of one group, and who waits for its end.
+/// The outage of one group, and the statements held until its end.
 #[derive(Default)]
 pub(crate) struct GroupOutage {
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
-    /// How long it was expected to take when it was found.
+    /// The expected total length of the outage, estimated when it was detected.
     pub(crate) expected: Cell<Duration>,
     pub(crate) queue: RefCell<WaitingLine>,
 }
 
-/// A place in a group's line, which is left when this is dropped.
+/// A held statement in the queue of a group; dropping it removes the statement from the queue.
 pub(crate) struct QueuedStatement<'a> {
     outage: &'a GroupOutage,
     ticket: Ticket,
 }
 
 impl GroupOutage {
-    /// Adds a statement to those that wait.
+    /// Adds a statement to the queue.
     pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
         QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
     }
 
-    /// Notes that an outage of this kind lasts, since `began_at` if it is new.
+    /// Records that an outage of this kind is ongoing; a new one began at `began_at`.
     pub(crate) fn observe(
         &self,
         outage: Outage,
@@ -57,12 +57,12 @@
 }
 
 impl QueuedStatement<'_> {
-    /// Returns how many go before.
+    /// Returns the number of statements ahead in the queue.
     pub(crate) fn ahead(&self) -> u32 {
         self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
 
-    /// Returns when it goes on, now that there is a primary.
+    /// Returns when the statement may continue after a primary has become usable.
     pub(crate) fn resume_at(&self, interval: Duration, latest: Instant, now: Instant) -> Instant {
         self.outage.queue.borrow_mut().turn(self.ticket, interval, latest, now)
     }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Says why no primary may be used, and since when as far as that is known.
+/// Returns why no primary is usable, and since when; `now` if the start is unknown.
 pub(crate) fn outage_of(view: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
     match view.leaders.get(service) {
         Some(leader) if leader.is_valid(now) => (Outage::Unreachable, now),
@@ -85,7 +85,7 @@
     }
 }
 
-/// What is expected of an outage.
+/// The expected course of an ongoing outage.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutageForecast {
     pub(crate) outage: Outage,
@@ -94,7 +94,8 @@
 }
 
 impl OutageForecast {
-    /// What a refused caller is told: when the outage is expected to be over, or when to try another daemon.
+    /// Returns the retry delay for a refused caller: until the expected end of the outage, or until it should
+    /// try another daemon.
     pub(crate) fn retry_delay(
         &self,
         route: ComeBack,
@@ -105,7 +106,7 @@
         if self.outage != Outage::LapsedRight {
             return route.after(self.remaining, draw);
         }
-        // The daemons that can still reach the store and the servers replace the primary once every right has ended.
+        // The daemons that still reach the store and the servers replace the primary once every lease has expired.
         let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
