--- a/crates/proxy/src/serve/error_reporting.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -1,4 +1,4 @@
-//! What callers are told when a statement was refused or its outcome is open, and the log's line on it.
+//! Builds and logs the errors for statements that were refused or whose outcome is unknown.
 
 use std::{
     rc::Rc,
@@ -19,17 +19,17 @@
     statement::{Answer, ErrorCode, StatementError, TransactionState},
 };
 
-/// Why a statement is refused, and when its caller should come back.
+/// Why a statement is refused, and when its caller should retry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
     pub(crate) code: ErrorCode,
     pub(crate) why: &'static str,
     pub(crate) retry_delay: Duration,
-    /// What it would have had to wait for, if that is known.
+    /// The outage that the statement would have had to wait for, if there is one.
     pub(crate) outage: Option<Outage>,
-    /// How much longer that is expected to last.
+    /// The expected remaining length of the outage.
     pub(crate) remaining: Duration,
-    /// How often the statement was sent to a server or an owner.
+    /// How many times the statement was sent to a server or an owner.
     pub(crate) sent: u32,
 }
 
@@ -49,7 +49,7 @@
                 service = &*job.route.service, server = &**server,
                 floor = format!("{min_point:?}").as_str(), own = format!("{:?}", job.own_point).as_str(),
                 shown = format!("{:?}", answer.point).as_str();
-                "a server's log lacks the point that a read must have seen"
+                "a server's log does not hold the minimum point of a read"
             );
         }
         match code {
@@ -118,7 +118,7 @@
             event = "outcome", id = id_text(&job.id).as_str(), service = &*job.route.service,
             server = &*leader.server, term = leader.term.0, code = ErrorCode::InDoubt.as_str(),
             held_ms = job.arrived.elapsed().as_millis() as u64;
-            "a write ran, but its server may not lead any more"
+            "a write ran, but its server may no longer be the primary"
         );
         let error = StatementError::new(ErrorCode::InDoubt, "the primary changed while it ran");
         refusal(error, TransactionState::Idle)
