--- a/crates/proxy/src/serve/caller_link.rs
+++ b/crates/proxy/src/serve/caller_link.rs
@@ -1,4 +1,4 @@
-//! The socket of one caller: its bytes as messages in, answers as bytes out.
+//! The connection of one caller: decodes incoming messages and encodes answers.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
     statement::{Answer, Outcome, StatementError, TransactionState},
 };
 
-/// The room that a read from a caller gets.
+/// Buffer space reserved for each read from a caller, in bytes.
 const READ_RESERVE_BYTES: usize = 2 * 1024;
-/// How long a caller may take to read an answer before its connection is ended.
+/// How long a caller may take to read an answer before its connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The caller is gone, or does not read.
+/// The caller has disconnected or does not read its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// A caller's socket with what was read and not taken, and what is put and not sent.
+/// A caller's socket with its read and write buffers.
 pub struct CallerLink<C> {
     dialect: C,
     stream: TcpStream,
@@ -32,19 +32,19 @@
 }
 
 impl<C: CallerDialect> CallerLink<C> {
-    /// Makes a link over an accepted connection.
+    /// Creates a link over an accepted connection.
     pub fn new(stream: TcpStream, dialect: C) -> CallerLink<C> {
-        // Without it answers only go out a little later.
+        // Failure only delays answers.
         let _ = stream.set_nodelay(true);
         CallerLink { dialect, stream, incoming: BytesMut::new(), outgoing: BytesMut::new() }
     }
 
-    /// Whether nothing that was read waits to be taken.
+    /// Whether the read buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.incoming.is_empty()
     }
 
-    /// Takes a message that was read whole, if there is one.
+    /// Decodes the next complete message from the read buffer, if there is one.
     pub fn take_message(&mut self) -> Result<Option<CallerMessage>, StatementError> {
         if self.incoming.is_empty() {
             return Ok(None);
@@ -52,7 +52,7 @@
         self.dialect.decode(&mut self.incoming).map_err(|error| error.0)
     }
 
-    /// Waits for more bytes; nothing is lost when the wait is given up.
+    /// Reads more bytes into the buffer. Cancel safe.
     pub async fn read(&mut self) -> Result<(), CallerGone> {
         self.incoming.reserve(READ_RESERVE_BYTES);
         match self.stream.read_buf(&mut self.incoming).await {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Waits for a whole message. One that can't be read is answered, and the caller counts as gone.
+    /// Reads a complete message. A message that can't be decoded is answered with an error and returns
+    /// [`CallerGone`].
     pub async fn read_message(&mut self) -> Result<CallerMessage, CallerGone> {
         loop {
             match self.take_message() {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Adds an answer to what the next flush sends.
+    /// Appends an answer to the write buffer.
     pub fn put_answer(&mut self, answer: Answer) {
         for row in answer.rows {
             self.put(&CallerReply::Row(row));
@@ -91,12 +92,12 @@
         self.put_ready(answer.state, answer.point);
     }
 
-    /// Adds an error.
+    /// Appends an error to the write buffer.
     pub fn put_error(&mut self, error: StatementError) {
         self.put(&CallerReply::Error(error));
     }
 
-    /// Adds the word that the session is ready for more.
+    /// Appends the message that the session is ready for the next request.
     pub fn put_ready(&mut self, state: TransactionState, point: Option<LogPoint>) {
         self.put(&CallerReply::Ready { state, point });
     }
@@ -105,7 +106,7 @@
         self.dialect.encode(reply, &mut self.outgoing);
     }
 
-    /// Sends what was put, in one write where the socket takes it.
+    /// Sends the write buffer, in a single write if the socket accepts it.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         let outgoing = self.outgoing.split();
         let written = tokio::time::timeout(WRITE_TIMEOUT, self.stream.write_all(&outgoing)).await;
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Gives the read buffer's memory back while the session rests.
+    /// Frees the memory of an empty read buffer while the session is idle.
     pub fn release_buffer(&mut self) {
         if self.incoming.is_empty() {
             self.incoming = BytesMut::new();
