--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -1,7 +1,7 @@
-//! Questions of the control thread to servers, over the connections that sessions share.
+//! Runs requests of the control thread to servers over the connections that sessions share.
 //!
-//! While the store is silent every daemon asks every server; connections of their own for that would
-//! go beyond what the servers grant.
+//! While the store is unreachable, every daemon queries every server. Separate connections for this would
+//! exceed the connection limits of the servers.
 
 use std::rc::Rc;
 
@@ -18,15 +18,15 @@
     statement::EndpointStatus,
 };
 
-/// Answers questions until the control thread ends.
+/// Answers requests until the control thread ends.
 pub async fn answer_control_requests<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
-    asks: flume::Receiver<ServingRequest>,
+    requests: flume::Receiver<ServingRequest>,
 ) {
-    while let Ok(ask) = asks.recv_async().await {
+    while let Ok(request) = requests.recv_async().await {
         let engine = engine.clone();
-        let ask = match ask {
-            ServingRequest::Command(ask) => ask,
+        let command = match request {
+            ServingRequest::Command(command) => command,
             ServingRequest::Relay(link) => {
                 tokio::task::spawn_local(answer_relay(engine, link));
                 continue;
@@ -38,9 +38,9 @@
             }
         };
         tokio::task::spawn_local(async move {
-            if let Some(status) = run_command(&engine, &ask).await {
-                // The control thread may have given the question up.
-                let _ = ask.answer.send(status);
+            if let Some(status) = run_command(&engine, &command).await {
+                // The control thread may no longer be waiting for the answer.
+                let _ = command.answer.send(status);
             }
         });
     }
@@ -48,12 +48,12 @@
 
 async fn run_command<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
-    ask: &CommandRequest,
+    command: &CommandRequest,
 ) -> Option<EndpointStatus> {
     let view = engine.control_view();
-    let group = engine.group(&ask.service, &view);
+    let group = engine.group(&command.service, &view);
     let request = ConnectionRequest {
-        only: Some(ask.server.clone()),
+        only: Some(command.server.clone()),
         min_point: None,
         avoid: Vec::new(),
         primary: None,
@@ -65,12 +65,12 @@
         cancellation: None,
         principal: None,
     };
-    // Whatever values the connection holds do no harm to a status.
-    let lent = engine.acquire(&group, request, &SessionValues::new(), ask.deadline).await;
+    // Session values on the connection do not affect a status command.
+    let lent = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
     let mut lent = lent.ok()?;
     let reached = lent.reached();
-    let task = EndpointTask::internal(TaskKind::Command(ask.text.clone()));
-    match lent.run(&task, ask.deadline).await {
+    let task = EndpointTask::internal(TaskKind::Command(command.text.clone()));
+    match lent.run(&task, command.deadline).await {
         Ok(answer) => {
             lent.give_back();
             let row = answer.rows.first()?;
@@ -78,7 +78,7 @@
         }
         Err((_, lost)) => {
             drop(lent);
-            engine.note_loss(&group, &ask.service, &reached, &lost);
+            engine.note_loss(&group, &command.service, &reached, &lost);
             None
         }
     }
