--- a/crates/proxy/src/serve/connection_request.rs
+++ b/crates/proxy/src/serve/connection_request.rs
@@ -1,4 +1,4 @@
-//! What a statement that wants a connection asks for.
+//! The requirements of a statement for its connection.
 
 use model::{LogPoint, Name};
 use overload::Rank;
@@ -6,41 +6,43 @@
 
 use crate::accounts::Principal;
 
-/// What a statement that wants a connection asks for.
+/// The requirements of a statement for its connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionRequest {
-    /// Only this server; `None` for any that is fit.
+    /// The only server to use; `None` for any suitable one.
     pub only: Option<Name>,
-    /// The point that the server must hold, to pass over those known to be behind.
+    /// The point that the server's log must hold; servers known to be behind it are skipped.
     pub min_point: Option<LogPoint>,
-    /// Servers that have just failed to run this very statement.
+    /// Servers that have just failed to run this statement.
     pub avoid: Vec<Name>,
-    /// The server that leads, which has work that no other can do.
+    /// The primary of the group.
     pub primary: Option<Name>,
-    /// The most urgent is 0.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it leaves room at the primary for statements that only the primary can run.
+    /// Whether it yields capacity of the primary to statements that only the primary can run.
     pub yields: bool,
-    /// Whether it opens a transaction, which keeps its connection while its caller rests.
+    /// Whether it opens a transaction, which keeps its connection while the caller is idle.
     pub opens_transaction: bool,
-    /// Whether another daemon handed it over; then it runs on a connection of this one, whoever owns them.
+    /// Whether another daemon forwarded it. It then runs on a connection of this daemon, even if another one
+    /// owns the server's connections.
     pub is_forwarded: bool,
-    /// How often the operation was sent before, over all daemons.
+    /// How many times the operation was sent before, by any daemon.
     pub previous_attempts: u32,
-    /// Cancelled when nobody wants it any more; then it is taken out of the server's queue. A connection that is being opened is
-    /// still opened: that it can't be tells others.
+    /// Cancelled when the result is no longer needed; the request then leaves the server's queue. A connection
+    /// that is being opened is still opened, since its failure is useful to other requests.
     pub cancellation: Option<CancellationToken>,
-    /// For whom the connection must work; `None` for a command of the daemon's own, which any will do for.
+    /// The principal for which the connection must be authenticated; `None` for a command of the daemon itself,
+    /// which any connection can run.
     pub principal: Option<Principal>,
 }
 
 impl ConnectionRequest {
-    /// Returns how urgent it is.
+    /// Returns the rank that its priority maps to.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.priority)
     }
 
-    /// Whether a connection that works for `principal` will do.
+    /// Whether a connection of `principal` is suitable.
     pub(crate) fn accepts_principal(&self, principal: &Principal) -> bool {
         self.principal.as_ref().is_none_or(|wanted| wanted == principal)
     }
