--- a/crates/proxy/src/serve/placement.rs
+++ b/crates/proxy/src/serve/placement.rs
@@ -1,4 +1,4 @@
-//! What a read must have seen, and so where it may run.
+//! Decides where a statement may run, by the log point that its server must hold.
 
 use std::time::{Duration, Instant};
 
@@ -7,16 +7,16 @@
 
 use crate::catalog::ReadRule;
 
-/// A sample is given up this much before its bound, for the time between the choice and the moment
-/// at which the caller's first byte counts.
+/// Safety margin subtracted from a staleness bound, for the time between the choice of a sample and the
+/// first byte of the answer to the caller.
 pub(crate) const STALENESS_MARGIN: Duration = Duration::from_millis(50);
 
 /// Where a statement may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// At the primary, while the right to use it holds.
+    /// At the primary, while its lease holds.
     Primary,
-    /// At any server whose log holds this point; the server itself checks it.
+    /// At any server whose log holds this point; the server checks it.
     AtLeast(LogPoint),
 }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// Says where a statement or the transaction that it opens may run.
+/// Returns where a statement, or the transaction that it opens, may run.
 ///
-/// `own` is the point up to which the session's own writes reach. A point of an ended term is moved
-/// down to where that term ended: what was rolled back is owed to nobody, and no log holds it.
+/// `own` is the point of the session's latest own write. A point of an ended term is clamped to the end of
+/// that term, since entries beyond it were rolled back and no log holds them.
 pub fn placement_for(
     rule: ReadRule,
     class: StatementClass,
