--- a/crates/proxy/src/serve/verdict.rs
+++ b/crates/proxy/src/serve/verdict.rs
@@ -1,38 +1,38 @@
-//! What became of an attempt, and so what may be done next and what a caller may be told.
+//! Verdicts on failed attempts: whether a statement may be retried, and which error its caller gets.
 //!
-//! The table in `docs/PLATFORM.md`, "Verdicts", lists every case; `tests/verdict.rs` compares them.
+//! The table in `docs/PLATFORM.md`, "Verdicts", lists every case; `tests/verdict.rs` tests them.
 
 use model::{LogPoint, StatementClass, Term};
 use session::{TermHistory, WriteStatus};
 
 use crate::{serve::connection::ConnectionLost, statement::ErrorCode};
 
-/// How far an attempt had come when it ended without a usable answer.
+/// How far an attempt had progressed when it ended without a usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// No byte of the statement was sent.
     NotSent,
-    /// Some or all of it was sent, and no answer came.
+    /// Some or all of the statement was sent, and no answer arrived.
     Sent,
 }
 
-/// What to do next.
+/// The step that follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// No server ran it: try another one while there is time.
+    /// No server ran the statement: try another server while there is time.
     TryElsewhere,
-    /// The server does not lead any more: wait for the one that does.
+    /// The server is not the primary: wait for the current one.
     AwaitPrimary,
-    /// Tell the caller this; it is final.
+    /// Return this error to the caller.
     Report(ErrorCode),
 }
 
-/// What follows when a server answered a single statement with an error.
+/// Returns the next step after a server answered a single statement with an error.
 pub fn after_error(code: ErrorCode, class: StatementClass) -> NextStep {
     match code {
         ErrorCode::NotPrimary | ErrorCode::WrongServer => NextStep::AwaitPrimary,
         code if code.was_not_run() => NextStep::TryElsewhere,
-        // It ran and failed; a read may run again, since it changes nothing.
+        // The statement ran and failed; a read may run again, since it changes nothing.
         ErrorCode::Failed | ErrorCode::TimedOut if class == StatementClass::Read => {
             NextStep::TryElsewhere
         }
@@ -40,7 +40,7 @@
     }
 }
 
-/// What follows when a single statement's connection was lost.
+/// Returns the next step after the connection of a single statement was lost.
 pub fn after_loss(progress: Progress, class: StatementClass) -> NextStep {
     match (progress, class) {
         (Progress::NotSent, _) | (Progress::Sent, StatementClass::Read) => NextStep::TryElsewhere,
@@ -48,10 +48,10 @@
     }
 }
 
-/// What a caller is told when the connection of its open transaction was lost.
+/// Returns the error for a caller whose open transaction lost its connection.
 ///
-/// A server rolls a transaction back when its connection ends, so before the commit was sent nothing
-/// is kept; after it, only a transaction that wrote nothing has surely kept nothing.
+/// A server rolls a transaction back when its connection ends, so nothing is kept before the commit is sent.
+/// After that, the outcome is certain only for a transaction without writes.
 pub fn transaction_after_loss(is_commit: bool, wrote: bool, progress: Progress) -> ErrorCode {
     if is_commit && wrote && progress == Progress::Sent {
         ErrorCode::InDoubt
@@ -60,16 +60,16 @@
     }
 }
 
-/// Whether a write at `point` is known to stand in the history of the server that leads in `term`.
+/// Whether a write at `point` is known to be kept in the history of the primary of `term`.
 ///
-/// A history that does not reach up to that term, as after a promotion that only the servers told of,
-/// says nothing of where the write's own term ended.
+/// A history that does not include that term, as after a promotion known only from the servers, does not
+/// tell where the write's own term ended.
 pub fn is_write_kept(point: Option<LogPoint>, term: Term, history: &TermHistory) -> bool {
     history.latest() == Some(term)
         && point.is_some_and(|point| history.write_status(point) == WriteStatus::Kept)
 }
 
-/// Whether a lost connection speaks against the server itself.
+/// Whether a lost connection counts as a failure of the server.
 pub fn is_server_failure(lost: &ConnectionLost) -> bool {
     !matches!(lost, ConnectionLost::Refused(ErrorCode::TooManyConnections))
 }
