--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -1,4 +1,4 @@
-//! A statement with what it needs to be run, and how long it may wait.
+//! A statement to be run on a server, with its context and its time limits.
 
 use std::{
     sync::Arc,
@@ -19,21 +19,20 @@
     statement::PreparedShape,
 };
 
-/// The part of a statement's time after which it is refused if it could not be sent, also while a primary
-/// that failed is being replaced. A caller that is told early, and when to come back, has time left for
-/// another attempt; a larger part holds statements in vain until their callers have gone.
+/// Share of a statement's timeout after which it is refused if it could not be sent, also while a failed
+/// primary is being replaced. An early refusal with a retry delay leaves the caller time for another attempt.
 const HOLD_SHARE: f64 = 0.1;
-/// The same while a primary is replaced as planned: the gap is known to be short, so most of those that wait
-/// never learn of it. Under half, so that a caller whose own deadline is nearer can still go elsewhere.
+/// The same during a planned change of the primary, which is short. Less than half, so that a caller with a
+/// shorter deadline of its own can still try another daemon.
 const HOLD_SHARE_PLANNED: f64 = 0.45;
-/// The part of its target latency that a statement waits for a connection. Under a lasting overload
-/// every statement waits for as long as it may; with more, all of them would be late.
+/// Share of its target latency that a statement may wait for a connection. During a sustained overload every
+/// statement waits for all of it, and the rest must suffice to run the statement.
 const WAIT_SHARE: f64 = 0.35;
-/// The same where an owner's queue refuses on arrival what would wait in vain: then nothing waits inside the server, and a
-/// statement that has begun needs little more than its own work.
+/// The same where an owner's queue rejects on arrival what it can't serve in time. Nothing queues inside the
+/// server then, so a statement that has started needs less time to complete.
 const QUEUED_WAIT_SHARE: f64 = 0.6;
 
-/// A statement that only a server can run.
+/// A statement that has to run on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
     /// A read.
@@ -42,17 +41,17 @@
     Write(Bytes),
     /// A prepared statement.
     Execute {
-        /// What was prepared.
+        /// The prepared shape.
         shape: PreparedShape,
         /// The caller's arguments.
         arguments: Bytes,
     },
-    /// The end of a transaction that keeps what it wrote.
+    /// The commit of a transaction.
     Commit,
 }
 
 impl Work {
-    /// Whether it may write.
+    /// Returns whether it is a read or a write.
     pub fn class(&self) -> StatementClass {
         match self {
             Work::Read(_) => StatementClass::Read,
@@ -70,26 +69,26 @@
     }
 }
 
-/// A statement with what it needs to be run.
+/// A statement with the context in which it runs.
 pub struct Job<'a> {
-    /// The caller's identifier.
+    /// The caller's identifier for the request.
     pub id: Bytes,
-    /// What is to be run.
+    /// The statement.
     pub work: Work,
-    /// The route in force for it.
+    /// The route that applies to it.
     pub route: &'a Arc<Route>,
     /// The values of its session.
     pub values: &'a SessionValues,
-    /// The point up to which the session's own writes reach.
+    /// The point of the session's latest own write.
     pub own_point: Option<LogPoint>,
     /// When it arrived.
     pub arrived: Instant,
-    /// For whom it runs.
+    /// The principal for which it runs.
     pub principal: Principal,
 }
 
 impl Job<'_> {
-    /// Returns what is to run on a connection.
+    /// Returns the task that runs it on a connection.
     pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
@@ -103,25 +102,26 @@
         self.arrived + self.route.timeout
     }
 
-    /// How long the statement may wait for a connection; `has_queues` says that servers have queues of their own.
+    /// Returns how long the statement may wait for a connection; `has_queues` tells whether owners queue
+    /// statements per server.
     pub(crate) fn max_wait(&self, has_queues: bool) -> Duration {
         let share = if has_queues { QUEUED_WAIT_SHARE } else { WAIT_SHARE };
         self.route.target_latency.mul_f64(share)
     }
 
-    /// Until when the statement may wait for a connection while all of them are in use.
-    /// One that waited for a primary before has as long again, since all of them come at once then.
+    /// Returns until when the statement may wait for a connection while all are in use. A statement that has
+    /// waited for a primary gets the full time again, since all held statements arrive at once.
     pub(crate) fn wait_deadline(&self, now: Instant, has_queues: bool) -> Instant {
         let max_wait = self.max_wait(has_queues);
         if now < self.arrived + max_wait { self.arrived + max_wait } else { now + max_wait }
     }
 
-    /// How urgent it is.
+    /// Returns the rank that its priority maps to.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.route.priority)
     }
 
-    /// Returns what it bears.
+    /// Returns the time limits within which it may be held.
     pub(crate) fn hold_limits(&self) -> Patience {
         Patience {
             arrived: self.arrived,
@@ -130,19 +130,19 @@
         }
     }
 
-    /// Returns what its caller is told by if it is refused.
+    /// Returns the time limits from which its retry delay is computed if it is refused.
     pub(crate) fn retry_delay(&self) -> ComeBack {
         ComeBack { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
-    /// Until when the statement may wait for a server that can run it.
+    /// Returns until when the statement may wait for a usable server.
     pub(crate) fn hold_until(&self, is_planned_gap: bool) -> Instant {
         let share = if is_planned_gap { HOLD_SHARE_PLANNED } else { HOLD_SHARE };
         self.arrived + self.route.timeout.mul_f64(share)
     }
 }
 
-/// Returns a request's identifier as text for the log.
+/// Returns the identifier of a request as text for the log.
 pub fn id_text(id: &[u8]) -> String {
     String::from_utf8_lossy(id).into_owned()
 }
