--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -1,4 +1,4 @@
-//! What is to run on a connection, whoever's connection that is.
+//! Tasks that run on a connection to a server, owned by this daemon or by another one.
 
 use std::time::Instant;
 
@@ -16,28 +16,28 @@
     statement::{Answer, EndpointCommand, EndpointText},
 };
 
-/// What is to be done.
+/// The kind of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskKind {
-    /// A transaction is opened.
+    /// Open a transaction.
     Begin {
-        /// Whether it only reads.
+        /// Whether it is read-only.
         read_only: bool,
     },
-    /// The transaction is rolled back.
+    /// Roll the transaction back.
     Rollback,
-    /// A caller's statement.
+    /// Run a caller's statement.
     Work(Work),
-    /// A question or command of the daemon's own.
+    /// Run a query or command of the daemon itself.
     Command(EndpointText),
 }
 
-/// A task with all that it needs on whichever connection runs it.
+/// A task with the context that any connection needs to run it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointTask {
-    /// The caller's identifier; `None` for what the daemon itself asks.
+    /// The caller's identifier for the request; `None` for a task of the daemon itself.
     pub id: Option<Bytes>,
-    /// What is to be done.
+    /// The kind of the task.
     pub kind: TaskKind,
     /// The values of the caller's session.
     pub values: SessionValues,
@@ -46,12 +46,13 @@
 }
 
 impl EndpointTask {
-    /// Something that needs neither a caller nor values.
+    /// Creates a task without a caller and without session values.
     pub fn internal(kind: TaskKind) -> EndpointTask {
         EndpointTask { id: None, kind, values: SessionValues::new(), min_point: None }
     }
 
-    /// Runs it on a connection: all that has to go before it and the statement go out in one write.
+    /// Runs the task on a connection. The commands that restore the session state and the task itself are sent
+    /// in one write.
     pub async fn run<E: EndpointDialect>(
         &self,
         connection: &mut EndpointConnection<E>,
@@ -82,7 +83,7 @@
         connection.read_answer(deadline).await.map_err(sent)
     }
 
-    /// Returns the command's text; a prepared statement is named by the connection's own number.
+    /// Returns the text of the command; `None` if it executes a shape that was not prepared on the connection.
     fn text<E>(&self, connection: &EndpointConnection<E>) -> Option<EndpointText> {
         Some(match &self.kind {
             TaskKind::Begin { read_only } => EndpointText::Begin { read_only: *read_only },
