--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -1,66 +1,66 @@
-//! Which server of a group a statement goes to.
+//! Chooses the server of a group that runs a statement.
 
 use std::time::Duration;
 
 use overload::Reach;
 
-/// What is known of a server that may run the statement.
+/// A server that may run the statement.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Its place in the group's list.
+    /// Index of the server in the group's list.
     pub index: usize,
-    /// How far it is.
+    /// Distance to the server.
     pub reach: Reach,
-    /// Whether it leads, and so has work that no other can do.
+    /// Whether it is the primary.
     pub is_primary: bool,
-    /// Idle connections to it.
+    /// Number of idle connections to it.
     pub idle: u32,
-    /// Connections in use by this daemon.
+    /// Number of connections in use by this daemon.
     pub in_use: u32,
-    /// Connections that this daemon may have to it.
+    /// Maximum number of connections from this daemon to it.
     pub limit: u32,
-    /// Whether the room that the statement may take is taken.
+    /// Whether the capacity available to the statement is in use.
     pub is_full: bool,
-    /// Whether another replica is more likely to have a connection that works for the same account.
+    /// Whether another replica is preferred for the account, being more likely to have a connection for it.
     pub is_non_preferred: bool,
-    /// Its average answering time, in microseconds; 0 if it is not known.
+    /// Average latency in microseconds; 0 if it is unknown.
     pub latency_us: u32,
-    /// How long the statement would wait there before it begins, as the owner of the connections told it, in microseconds.
+    /// Expected queueing time before the statement starts, as reported by the owner of the connections, in
+    /// microseconds.
     pub wait_us: u64,
 }
 
-/// What to do next.
+/// The result of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Take an idle connection to this server.
+    /// Use an idle connection to the server at this index.
     UseIdle(usize),
-    /// Open a connection to this server.
+    /// Open a connection to the server at this index.
     Open(usize),
-    /// All connections are in use; wait for one.
+    /// Wait for a connection, since all are in use.
     Wait,
-    /// No server may run it.
+    /// No server may run the statement.
     NoServer,
 }
 
-/// What crossing to another availability zone is taken to cost: its round trip, and its price, so that
-/// a far server is chosen only when the near one is busy or slow.
+/// Cost added to a server in another availability zone, for the round trip and the traffic charges. Such a
+/// server is chosen only if those in the same zone are busy or slow.
 const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(60);
-/// What crossing to another region is taken to cost beyond that. The time that it takes shows in the answering time; its link
-/// is narrow and shared with what must cross, as writes do, so a read rather waits for two or three others near by.
+/// Cost added to a server in another region, on top of the cost of crossing zones. The latency is measured
+/// separately; this keeps reads off the limited bandwidth between regions, which writes need.
 const CROSS_REGION_PENALTY: Duration = Duration::from_millis(60);
-/// What reading at the primary is taken to cost, since only the primary can write.
+/// Cost added to the primary, which is the only server for writes.
 const PRIMARY_PENALTY: Duration = Duration::from_millis(10);
-/// The same where there are more daemons than connections: every daemon needs the primary's, and reads that
-/// stay away leave theirs to others. More than crossing to another zone: with less, the daemons of its zone
-/// read at the primary, and two thirds more writes were late.
+/// The same where connections are scarce and all daemons compete for those to the primary. Higher than
+/// `CROSS_ZONE_PENALTY`, so that reads prefer a replica in another zone over a primary in the same zone.
 const SCARCE_PRIMARY_PENALTY: Duration = Duration::from_millis(65);
-/// What a replica is taken to cost that is not the account's own: more than crossing to another zone, since a connection that
-/// is opened there takes a slot for longer. On a quiet day 5,353 connections are opened instead of 7,202.
+/// Cost added to a replica that is not the preferred one of the account. Higher than `CROSS_ZONE_PENALTY`,
+/// since a connection that is opened there takes a slot for longer.
 const NON_PREFERRED_PENALTY: Duration = Duration::from_millis(90);
-/// What a new connection is taken to cost: its handshake takes a slot of the server.
+/// Cost of opening a connection, whose handshake takes a slot of the server.
 const OPEN_PENALTY: Duration = Duration::from_millis(15);
 
-/// Chooses among the servers that may run a statement; `scarce` says that there are more daemons than
+/// Chooses among the servers that may run a statement; `scarce` tells that there are more daemons than
 /// connections to a server.
 pub fn choose(candidates: &[Candidate], scarce: bool) -> Choice {
     let primary_penalty = if scarce { SCARCE_PRIMARY_PENALTY } else { PRIMARY_PENALTY };
@@ -77,11 +77,10 @@
     !candidate.is_full && (candidate.idle > 0 || candidate.in_use < candidate.limit)
 }
 
-/// Estimates the time until the answer: the average for each statement that goes before, and what the
-/// detours cost.
+/// Estimates the cost of a server as the time until its answer in microseconds, plus the added costs.
 fn cost_us(candidate: &Candidate, primary_penalty: Duration) -> u64 {
-    let rounds = 1 + u64::from(candidate.in_use);
-    let mut cost = u64::from(candidate.latency_us) * rounds + candidate.wait_us;
+    let outstanding = 1 + u64::from(candidate.in_use);
+    let mut cost = u64::from(candidate.latency_us) * outstanding + candidate.wait_us;
     cost += micros(match candidate.reach {
         Reach::SameZone => Duration::ZERO,
         Reach::SameRegion => CROSS_ZONE_PENALTY,
@@ -103,8 +102,8 @@
     duration.as_micros() as u64
 }
 
-/// Marks the replicas that are not the account's own in this group: of those that may run its read, the one that scores
-/// highest for it. An account's reads then meet its connection again, instead of having one opened at each replica.
+/// Marks every replica except the preferred one of the account, which has the highest rendezvous score. The
+/// reads of an account then reuse its connections instead of opening one at each replica.
 pub(crate) fn mark_non_preferred<'a>(
     candidates: &mut [Candidate],
     account: &str,
