--- a/crates/proxy/src/serve/contradiction.rs
+++ b/crates/proxy/src/serve/contradiction.rs
@@ -1,7 +1,7 @@
-//! Answers that contradict the permission that a statement was sent under.
+//! Detects answers that contradict the primary lease under which a statement was sent.
 //!
-//! None may ever be seen. If one is, something that was heard of another daemon, or of the store, was believed
-//! for too long; it is logged with both sides, counted, and whatever the permission rested on is dropped.
+//! None is expected. One means that information from another daemon or from the store was trusted for too
+//! long. It is logged, counted, and the information that the lease was based on is dropped.
 //! `docs/PLATFORM.md`, "What is passed on", lists what that can be.
 
 use model::{LogPoint, Name};
@@ -12,17 +12,17 @@
     serve::engine::{Engine, Group},
 };
 
-/// How an answer contradicts a permission.
+/// How an answer contradicts a primary lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contradiction {
-    /// The primary's log is of a later term than the one that it was used in.
+    /// The primary's log is in a later term than the lease.
     LaterTerm,
-    /// The primary's log stands before a point that it was known to have reached.
+    /// The primary's log is behind a point that it had already reached.
     BehindSample,
 }
 
 impl Contradiction {
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Contradiction::LaterTerm => "later_term",
@@ -31,8 +31,8 @@
     }
 }
 
-/// Compares what a primary showed with what it was used by: the right, and the latest sample of its log that was
-/// known when the statement was sent.
+/// Compares the log point returned by a primary with its lease and with the latest sample known when the
+/// statement was sent.
 pub fn find_contradiction(
     leader: &GroupLeader,
     known: Option<LogPoint>,
@@ -48,7 +48,7 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Looks whether an answer of a primary contradicts the right it was used by, which still holds.
+    /// Checks an answer of a primary against the lease it was used under, which still holds.
     pub(crate) fn check_primary_answer(
         &self,
         group: &Group<E>,
@@ -63,11 +63,11 @@
             event = "permission_contradicted", service = &**service, server = &*leader.server,
             how = found.as_str(), term = leader.term.0, basis = leader.basis.as_str(),
             known = format!("{known:?}").as_str(), shown = format!("{shown:?}").as_str();
-            "a primary's answer contradicts the right that it was used by"
+            "a primary's answer contradicts the lease under which it was used"
         );
         group.samples.borrow_mut().clear();
         let observation = Observation::Contradicted { service: service.clone(), term: leader.term };
-        // A full ring means that the control thread is behind; the next such answer tells it again.
+        // The channel is full if the control thread is behind; the next such answer reports again.
         let _ = self.observations.try_send(observation);
     }
 }
