--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -1,4 +1,5 @@
-//! Connections to servers that have a queue of their own here: a statement has its turn first, and then its connection.
+//! Acquires connections to servers that have a statement queue at this daemon: a statement first waits for
+//! its turn in the queue, then gets a connection.
 
 use std::{
     rc::Rc,
@@ -22,40 +23,40 @@
     },
 };
 
-/// How often it is looked again whether a connection may be opened, or has come to rest, after one could not be opened.
+/// Delay after which the pool is checked again for a connection if none may be opened now.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Returns what a server has room for, if statements are to wait for it in a queue of its own.
+    /// Returns the capacity for the queue of a server, if its statements are to be queued.
     pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
         let connections = slot.limit + share.loan;
         let owners = match owned {
             Owned::Once { .. } => 1,
-            // The owners of all zones share the slots as they share the connections.
+            // The owners of all zones share the slots in the same way as the connections.
             Owned::InEachZone(count) => slots.div_ceil(count.max(1)),
         };
         Some(Room { slots, connections, owners })
     }
 
-    /// Whether statements wait in the queues of servers.
+    /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().is_owned
     }
 
-    /// Whether accounts compete for the connections to a server: none can do another's work.
+    /// Whether accounts compete for the connections to a server, since each connection serves one account.
     pub(super) fn do_accounts_compete(&self, share: &Share) -> bool {
         self.overload.reuse && matches!(share.owned, Some(Owned::Once { .. }))
     }
 
-    /// Returns the load of a server that has a queue here.
+    /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
         self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
     }
 
-    /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
-    /// was none after all, and a server has to be chosen again.
+    /// Waits for the statement's turn in the queue of the server at `index`, then returns a connection or the
+    /// permission to open one. Returns `None` if there was no connection and a server must be chosen again.
     pub(super) async fn lend_queued(
         self: &Rc<Self>,
         index: usize,
@@ -71,18 +72,18 @@
         let turn = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
                 let queue_request = request_for(request, principal, deadline);
-                let waits = queue.await_turn(queue_request);
-                Some(unless_cancelled(request.cancellation.as_ref(), waits).await?)
+                let wait = queue.await_turn(queue_request);
+                Some(unless_cancelled(request.cancellation.as_ref(), wait).await?)
             }
-            // Commands of a daemon, and statements where the server has no queue, wait for nothing but a connection.
+            // Commands of the daemon itself, and statements for a server without a queue, wait only for a connection.
             _ => None,
         };
-        // Servers may have come and gone meanwhile.
-        let place = {
+        // The list of servers may have changed during the wait.
+        let found = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
         };
-        let Some(index) = place else { return Ok(None) };
+        let Some(index) = found else { return Ok(None) };
         if let Some(principal) = &request.principal {
             self.state.borrow_mut().servers[index].note_use(principal);
         }
@@ -97,8 +98,8 @@
         self.await_opening(&server, deadline).await
     }
 
-    /// Waits for a connection where none may be opened now. One that has none and will not open any in time is no server to
-    /// wait for.
+    /// Waits before a server is chosen again if no connection to this one may be opened now. Fails if the server
+    /// stays unreachable until the deadline.
     async fn await_opening(
         &self,
         server: &str,
@@ -116,15 +117,15 @@
     }
 }
 
-/// Waits for a turn unless its asker takes back what it asked, or is gone.
+/// Waits for a turn, unless the requesting daemon cancels the request or disconnects.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
-    waits: impl Future<Output = Result<Turn, NotBegun>>,
+    wait: impl Future<Output = Result<Turn, NotBegun>>,
 ) -> Result<Turn, NotBegun> {
-    let Some(cancellation) = cancellation else { return waits.await };
+    let Some(cancellation) = cancellation else { return wait.await };
     tokio::select! {
         biased;
-        turn = waits => turn,
+        turn = wait => turn,
         () = cancellation.cancelled() => Err(NotBegun::TooLate),
     }
 }
