--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -1,4 +1,4 @@
-//! Statements that wait for a connection of a pool whose servers have no queues of their own.
+//! Statements that wait for a connection of a pool whose servers have no statement queues.
 
 use std::{collections::VecDeque, rc::Rc, time::Instant};
 
@@ -13,7 +13,7 @@
     },
 };
 
-/// Statements that may wait for the connections of one service; more are refused at once.
+/// Maximum number of statements that wait for the connections of one service; more are refused at once.
 const MAX_WAITERS: usize = 256;
 
 impl<E: EndpointDialect> GroupPool<E> {
@@ -31,8 +31,8 @@
             if state.waiters.iter().map(VecDeque::len).sum::<usize>() >= MAX_WAITERS {
                 return Err(NoConnection::QueueFull);
             }
-            let queue = usize::from(request.priority).min(PRIORITIES - 1);
-            state.waiters[queue].push_back(Waiter { request, grant });
+            let queue_index = usize::from(request.priority).min(PRIORITIES - 1);
+            state.waiters[queue_index].push_back(Waiter { request, grant });
         }
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(offer)) => Ok(offer),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Hands free places to those that wait.
+    /// Offers free connections, or permissions to open one, to waiting statements.
     pub(super) fn serve_waiters(self: &Rc<Self>) {
         loop {
             let free = {
