--- a/crates/proxy/src/serve/replay.rs
+++ b/crates/proxy/src/serve/replay.rs
@@ -1,8 +1,8 @@
-//! What a session has set and prepared, brought onto whichever connection runs its next statement.
+//! Replays the values and prepared statements of a session on the connection that runs its next statement.
 //!
-//! Sessions outnumber the connections to a server, so none is tied to one. Values must be exactly the
-//! session's own; prepared statements are shared by shape, under numbers of the connection's own, so
-//! that the names of two sessions never meet. See `docs/PLATFORM.md`, "Sessions".
+//! Sessions outnumber the connections to a server, so no session is bound to one. The values on a connection
+//! must match the session exactly. Prepared statements are shared by shape and numbered per connection, so
+//! that names of different sessions can't collide. See `docs/PLATFORM.md`, "Sessions".
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,13 +10,14 @@
 
 use crate::statement::{EndpointText, PreparedShape};
 
-/// Shapes that one connection keeps; beyond, it is reset, so that a server's memory stays bounded.
+/// Maximum number of shapes prepared on one connection. It is reset beyond that, to bound the memory use of
+/// the server.
 pub const MAX_PREPARED: usize = 256;
 
 /// The values of a session, by name.
 pub type SessionValues = BTreeMap<Name, Name>;
 
-/// What a server's side of a connection holds.
+/// The session state that a server holds for a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     values: SessionValues,
@@ -25,23 +26,23 @@
 }
 
 impl Environment {
-    /// Whether the values are exactly these, so that nothing need be sent for them.
+    /// Whether the values match exactly, so that nothing needs to be sent for them.
     pub fn has_values(&self, wanted: &SessionValues) -> bool {
         self.values == *wanted
     }
 
-    /// Whether the values can become these without a reset.
+    /// Whether the values can be changed to the wanted ones without a reset.
     pub fn can_become(&self, wanted: &SessionValues) -> bool {
         self.values.keys().all(|name| wanted.contains_key(name))
     }
 
-    /// Returns the number of a shape; `None` if it has not been prepared here.
+    /// Returns the number of a shape; `None` if it is not prepared on this connection.
     pub fn number_of(&self, shape: &PreparedShape) -> Option<u32> {
         self.prepared.get(shape).copied()
     }
 
-    /// Lists what has to be sent before a statement with these values and this shape can run, and
-    /// takes it as done: a connection on which part of it fails must be given up.
+    /// Returns the commands to send before a statement with these values and this shape, and records them as
+    /// applied. The connection must be closed if any of them fails.
     pub fn prepare_for(
         &mut self,
         wanted: &SessionValues,
