--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -1,4 +1,4 @@
-//! What a pool is told of its servers, and what it tells of them.
+//! Feedback to a pool on its servers, and queries of the state that results from it.
 
 use std::{
     collections::VecDeque,
@@ -19,29 +19,29 @@
 };
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Notes that a server answered, with its point and, if it did what it was asked, how long it took.
+    /// Records an answer of a server, with its log point and, if it succeeded, its latency.
     pub fn on_answer(&self, server: &str, point: Option<LogPoint>, took: Option<Duration>) {
         self.with_slot(server, |slot| slot.note_answer(point, took));
     }
 
-    /// Notes that a server's log lacked the point that was asked for.
+    /// Records that a server's log did not hold the required point.
     pub fn on_lagging(&self, server: &str) {
         self.with_slot(server, ServerSlot::note_lagging);
     }
 
-    /// Notes that a server could not be reached or failed; it is passed over for a while.
+    /// Records that a server could not be reached or failed; it is skipped for a while.
     pub fn on_failure(&self, server: &str) {
         self.with_slot(server, ServerSlot::note_failure);
     }
 
-    /// Ends the resting connections to a server on one of which nothing came: connections fall silent
-    /// together, and each would cost another statement its time.
+    /// Closes the idle connections to a server after one of its connections fell silent: usually all of them
+    /// did, and each would make another statement time out.
     pub fn on_silence(&self, server: &str) {
         self.with_slot(server, |slot| slot.idle.clear());
     }
 
-    /// Notes that a connection could not be opened: nobody tries again for a while, so that a server
-    /// which grants no more is not flooded, and statements wait for the connections there are.
+    /// Records that a connection could not be opened. No further one is opened during a backoff, so that a
+    /// server which refuses connections is not flooded; statements wait for the existing ones.
     pub fn on_open_failed(self: &Rc<Self>, server: &str, refused: bool) {
         let Some(backoff) = self.with_slot(server, |slot| slot.note_open_failed(refused)) else {
             return;
@@ -53,16 +53,16 @@
         });
     }
 
-    /// Returns how long a statement would wait at a server by what the owner of its connections told last; by what waits here if
-    /// nothing was told.
+    /// Returns the expected wait of a statement at a server as last reported by the owner of its connections;
+    /// without an owner, as estimated from the statements that wait here.
     pub fn expected_wait_at(&self, server: &str, rank: Rank) -> Duration {
         let now = Instant::now();
-        let told =
+        let reported =
             self.owner_link(server).map(|owner| self.reported_wait(&owner, server, rank, now));
-        told.unwrap_or_else(|| self.expected_wait())
+        reported.unwrap_or_else(|| self.expected_wait())
     }
 
-    /// Returns how long a statement would wait by what an owner told last; nothing if it told nothing.
+    /// Returns the expected wait of a statement as last reported by an owner; zero without a report.
     pub(super) fn reported_wait(
         &self,
         owner: &RelayLink,
@@ -74,29 +74,29 @@
         report.map_or(Duration::ZERO, |report| report.expected_wait(rank, now))
     }
 
-    /// Returns how long a new statement would wait, for callers that are told when to come back.
+    /// Estimates how long a new statement would wait for a connection; used for retry delays.
     pub fn expected_wait(&self) -> Duration {
         let state = self.state.borrow();
         let waiting: usize = state.waiters.iter().map(VecDeque::len).sum();
         let connections: u32 = state.servers.iter().map(|slot| slot.limit).sum();
         let latency_us = state.servers.iter().map(|slot| slot.latency.get_us()).max().unwrap_or(0);
-        let rounds = 1 + waiting as u64 / u64::from(connections.max(1));
-        Duration::from_micros(u64::from(latency_us) * rounds)
+        let outstanding = 1 + waiting as u64 / u64::from(connections.max(1));
+        Duration::from_micros(u64::from(latency_us) * outstanding)
     }
 
-    /// Returns a daemon through which a server is to be reached; `None` if it is reached directly, or not
-    /// at all.
+    /// Returns the daemon whose tunnel is to be used for a server; `None` if the server is reached directly or
+    /// not at all.
     pub fn tunnel_to(&self, server: &str) -> Option<SocketAddr> {
         let now = Instant::now();
         self.with_slot(server, |slot| slot.detour(now))?
     }
 
-    /// Notes that no connection to a server came about through another daemon.
+    /// Records that a connection to a server through another daemon failed.
     pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
         self.with_slot(server, |slot| slot.note_detour_failed(peer));
     }
 
-    /// Whether every listed server but this one lagged behind a moment ago.
+    /// Whether every listed server except the given one was lagging recently.
     pub fn are_others_lagging(&self, primary: &str) -> bool {
         let now = Instant::now();
         let state = self.state.borrow();
@@ -105,13 +105,13 @@
         others.clone().next().is_some() && others.all(|slot| slot.has_lagged(now))
     }
 
-    /// Returns a server's average answering time; zero if it is not known.
+    /// Returns the average latency of a server; zero if it is unknown.
     pub fn latency_of(&self, server: &str) -> Duration {
         let us = self.with_slot(server, |slot| slot.latency.get_us()).unwrap_or(0);
         Duration::from_micros(u64::from(us))
     }
 
-    /// Returns a server's entry by its identity.
+    /// Returns the entry of a server by its identity.
     pub fn entry_of(&self, server: &str) -> Option<Arc<ServerEntry>> {
         self.with_slot(server, |slot| slot.entry.clone())
     }
