--- a/crates/proxy/tests/contradiction.rs
+++ b/crates/proxy/tests/contradiction.rs
@@ -1,4 +1,4 @@
-//! Answers that contradict the permission that a statement was sent under.
+//! Detection of answers that contradict the primary lease under which a statement was sent.
 
 use std::{sync::Arc, time::Instant};
 
@@ -10,10 +10,10 @@
 use session::TermHistory;
 
 #[test]
-fn a_primary_shows_no_later_term_and_nothing_before_what_it_had_reached() {
-    // Term 2 began with twenty entries.
+fn a_later_term_and_a_position_behind_the_known_one_are_contradictions() {
+    // Term 2 started at position 20.
     let history = TermHistory::new(vec![TermStart { term: Term(2), start: Position(20) }]);
-    let lead = GroupLeader {
+    let leader = GroupLeader {
         server: Name::from("i-1"),
         term: Term(2),
         valid_until: Instant::now(),
@@ -24,22 +24,22 @@
     };
     let point = |term, position| Some(LogPoint::new(term, position));
     let cases = [
-        ("nothing is shown", point(2, 30), None, None),
-        ("nothing was known", None, point(2, 30), None),
-        ("as far as known", point(2, 30), point(2, 30), None),
-        ("farther", point(2, 30), point(2, 31), None),
-        ("before it", point(2, 30), point(2, 29), Some(Contradiction::BehindSample)),
+        ("no point is returned", point(2, 30), None, None),
+        ("no point was known", None, point(2, 30), None),
+        ("the known point", point(2, 30), point(2, 30), None),
+        ("beyond the known point", point(2, 30), point(2, 31), None),
+        ("behind the known point", point(2, 30), point(2, 29), Some(Contradiction::BehindSample)),
         ("a later term", point(2, 30), point(3, 31), Some(Contradiction::LaterTerm)),
-        ("what a promotion took back", point(1, 25), point(2, 21), None),
+        ("the known point was rolled back by a promotion", point(1, 25), point(2, 21), None),
+        ("the end of the previous term, without later writes", point(1, 25), point(1, 20), None),
         (
-            "the end of the term before, written to by nobody since",
+            "behind the end of the previous term",
             point(1, 25),
-            point(1, 20),
-            None,
+            point(1, 19),
+            Some(Contradiction::BehindSample),
         ),
-        ("not even that", point(1, 25), point(1, 19), Some(Contradiction::BehindSample)),
     ];
     for (name, known, shown, expected) in cases {
-        assert_eq!(find_contradiction(&lead, known, shown), expected, "{name}");
+        assert_eq!(find_contradiction(&leader, known, shown), expected, "{name}");
     }
 }
