--- a/crates/proxy/tests/replay.rs
+++ b/crates/proxy/tests/replay.rs
@@ -1,4 +1,4 @@
-//! What is sent before a statement so that it runs among its session's values and names.
+//! The commands sent before a statement to restore the values and prepared statements of its session.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -31,7 +31,7 @@
     assert_eq!(environment.prepare_for(&one, None), [set("a", "1")]);
     assert_eq!(environment.prepare_for(&one, None), []);
     assert_eq!(environment.prepare_for(&two, None), [set("b", "2")]);
-    // A value that the session does not have can only be taken away with all others.
+    // A single value can't be unset, so the connection is reset.
     assert_eq!(environment.prepare_for(&one, None), [EndpointText::Reset, set("a", "1")]);
     assert_eq!(environment.prepare_for(&other, None), [set("a", "9")]);
     assert_eq!(environment.prepare_for(&values(&[]), None), [EndpointText::Reset]);
@@ -49,15 +49,15 @@
     assert_eq!(environment.number_of(&shape("q0")), None);
 }
 
-/// A server's side of a connection, by what it is sent.
+/// Model of the state that a server holds for a connection.
 #[derive(Default)]
-struct Side {
+struct ServerSide {
     values: BTreeMap<Name, Name>,
     prepared: HashMap<u32, PreparedShape>,
 }
 
-impl Side {
-    fn take(&mut self, text: EndpointText) {
+impl ServerSide {
+    fn apply(&mut self, text: EndpointText) {
         match text {
             EndpointText::Reset => {
                 self.values.clear();
@@ -67,36 +67,39 @@
                 self.values.insert(name, value);
             }
             EndpointText::Prepare { number, shape } => {
-                assert!(self.prepared.insert(number, shape).is_none(), "a number is used once");
+                assert!(
+                    self.prepared.insert(number, shape).is_none(),
+                    "number {number} was reused"
+                );
             }
-            other => panic!("not a part of a session: {other:?}"),
+            other => panic!("unexpected command: {other:?}"),
         }
     }
 }
 
 proptest! {
     #[test]
-    fn whatever_sessions_take_turns_each_finds_its_own(
-        turns in prop::collection::vec(
+    fn sessions_on_a_shared_connection_see_only_their_own_state(
+        statements in prop::collection::vec(
             (prop::collection::btree_map(0_u8..4, 0_u8..3, 0..4), prop::option::of(0_u8..5)),
             1..60,
         )
     ) {
         let mut environment = Environment::default();
-        let mut side = Side::default();
-        for (session, wanted_shape) in turns {
+        let mut server = ServerSide::default();
+        for (session, wanted_shape) in statements {
             let wanted: SessionValues = session
                 .iter()
                 .map(|(name, value)| (Name::from(name.to_string()), Name::from(value.to_string())))
                 .collect();
             let wanted_shape = wanted_shape.map(|number| shape(&number.to_string()));
             for text in environment.prepare_for(&wanted, wanted_shape.as_ref()) {
-                side.take(text);
+                server.apply(text);
             }
-            prop_assert_eq!(&side.values, &wanted);
+            prop_assert_eq!(&server.values, &wanted);
             if let Some(shape) = wanted_shape {
                 let number = environment.number_of(&shape).unwrap();
-                prop_assert_eq!(side.prepared.get(&number), Some(&shape));
+                prop_assert_eq!(server.prepared.get(&number), Some(&shape));
             }
         }
     }
