--- a/crates/proxy/tests/verdict.rs
+++ b/crates/proxy/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What may be done and said after each way in which an attempt ends.
+//! The verdicts on attempts: whether a statement is retried and which error its caller gets.
 
 use model::{
     LogPoint, Position,
@@ -18,7 +18,7 @@
 use session::TermHistory;
 
 #[test]
-fn errors_of_servers() {
+fn server_errors_lead_to_the_expected_next_step() {
     let cases: [(ErrorCode, StatementClass, NextStep); 14] = [
         (ErrorCode::Overloaded, Write, NextStep::TryElsewhere),
         (ErrorCode::NotFresh, Read, NextStep::TryElsewhere),
@@ -66,26 +66,26 @@
 }
 
 #[test]
-fn a_server_without_connections_left_is_alive() {
+fn a_server_without_free_connections_is_not_a_failure() {
     assert!(!is_server_failure(&ConnectionLost::Refused(ErrorCode::TooManyConnections)));
     assert!(is_server_failure(&ConnectionLost::Silent));
     assert!(is_server_failure(&ConnectionLost::Broken("reset".to_owned())));
 }
 
 #[test]
-fn a_write_of_an_ended_term_is_acknowledged_only_by_a_history_that_knows_its_end() {
+fn a_write_of_an_ended_term_is_kept_only_if_the_history_includes_the_end_of_the_term() {
     let start = |term, position| TermStart { term: Term(term), start: Position(position) };
     let known = TermHistory::new(vec![start(2, 5), start(3, 20)]);
-    // What a daemon knows that was told of term 3 by the servers alone.
+    // The history at a daemon that learned of term 3 only from the servers.
     let behind = TermHistory::new(vec![start(2, 5)]);
     let none = TermHistory::default();
     let at = |term, position| Some(LogPoint::new(term, position));
     let cases = [
         ("kept", at(2, 20), &known, true),
         ("rolled back", at(2, 21), &known, false),
-        ("the end of its term is not known", at(2, 20), &behind, false),
-        ("nothing is known", at(2, 20), &none, false),
-        ("no point was told", None, &known, false),
+        ("the end of its term is unknown", at(2, 20), &behind, false),
+        ("no history is known", at(2, 20), &none, false),
+        ("no point was returned", None, &known, false),
     ];
     for (name, point, history, expected) in cases {
         assert_eq!(is_write_kept(point, Term(3), history), expected, "{name}");
