--- a/crates/proxy/tests/history_model.rs
+++ b/crates/proxy/tests/history_model.rs
@@ -1,11 +1,7 @@
-//! What the servers of a group hold, over many changes of primary.
+//! Model test of the logs of a group over many changes of primary.
 //!
-//! The engine's own choice of a successor and its record run over a model of logs: servers that are cut off
-//! through a promotion, come back with what it took back, follow late or never, or are lost for good. What must
-//! hold: what a promotion took back never counts again, since reads have been run without it. The model had not
-//! been there when a day showed the opposite; the leadership model ends with the order and knows no logs.
-//!
-//! Left out: synchronous replicas, orders that take effect late, servers that are lost together.
+//! Guards against writes that a promotion rolled back and a later one restores, after reads have run without
+//! them. Not modelled: synchronous replicas, delayed orders, servers that fail together.
 
 use model::{LogPoint, Term};
 use proptest::{
@@ -19,18 +15,18 @@
 
 const SERVERS: usize = 3;
 
-/// What happens next.
+/// An event of the model.
 #[derive(Clone, Debug)]
 enum Event {
-    /// The primary keeps a write.
+    /// The primary appends a write.
     Write,
-    /// A server is cut off from the others, and stays as it is.
-    CutOff(usize),
-    /// A server is reached by the others again.
-    Return(usize),
-    /// Every server that is not cut off receives what the newest primary holds.
+    /// A server is partitioned from the others and keeps its state.
+    Partition(usize),
+    /// The partition of a server ends.
+    Heal(usize),
+    /// Every server that is not partitioned receives the log of the primary with the latest term.
     Replicate,
-    /// The primary is replaced; these servers answer whoever does it.
+    /// The primary is replaced; the flags tell which servers answer the promoter.
     Replace([bool; SERVERS]),
 }
 
@@ -38,24 +34,24 @@
 struct Server {
     leads: bool,
     term: u64,
-    /// The identities of the writes that it holds, in order, with their terms.
+    /// The entries of its log in order, each with its term and the identity of the write.
     log: Vec<(u64, u64)>,
-    is_cut_off: bool,
+    is_partitioned: bool,
 }
 
 struct Group {
     servers: Vec<Server>,
     record: LeadershipRecord,
     writes: u64,
-    taken_back: Vec<u64>,
+    rolled_back: Vec<u64>,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let server = 0..SERVERS;
     prop_oneof![
         4 => Just(Event::Write),
-        2 => server.clone().prop_map(Event::CutOff),
-        2 => server.prop_map(Event::Return),
+        2 => server.clone().prop_map(Event::Partition),
+        2 => server.prop_map(Event::Heal),
         3 => Just(Event::Replicate),
         3 => prop::array::uniform3(prop::bool::weighted(0.7)).prop_map(Event::Replace),
     ]
@@ -63,14 +59,14 @@
 
 impl Group {
     fn new() -> Group {
-        let server = |leads| Server { leads, term: 1, log: Vec::new(), is_cut_off: false };
+        let server = |leads| Server { leads, term: 1, log: Vec::new(), is_partitioned: false };
         let record =
             LeadershipRecord { term: 1, primary: "0".to_owned(), ..LeadershipRecord::default() };
         Group {
-            servers: (0..SERVERS).map(|place| server(place == 0)).collect(),
+            servers: (0..SERVERS).map(|index| server(index == 0)).collect(),
             record,
             writes: 0,
-            taken_back: Vec::new(),
+            rolled_back: Vec::new(),
         }
     }
 
@@ -78,13 +74,13 @@
         self.record.primary.parse().unwrap()
     }
 
-    fn play(&mut self, event: &Event, any_branch: bool) {
+    fn apply(&mut self, event: &Event, ignore_record: bool) {
         match event {
             Event::Write => self.write(),
-            Event::CutOff(server) => self.servers[*server].is_cut_off = true,
-            Event::Return(server) => self.servers[*server].is_cut_off = false,
+            Event::Partition(server) => self.servers[*server].is_partitioned = true,
+            Event::Heal(server) => self.servers[*server].is_partitioned = false,
             Event::Replicate => self.replicate(),
-            Event::Replace(answers) => self.replace(*answers, any_branch),
+            Event::Replace(answers) => self.replace(*answers, ignore_record),
         }
     }
 
@@ -98,9 +94,9 @@
     }
 
     fn replicate(&mut self) {
-        let leading = self.servers.iter().filter(|server| server.leads && !server.is_cut_off);
+        let leading = self.servers.iter().filter(|server| server.leads && !server.is_partitioned);
         let Some(leader) = leading.max_by_key(|server| server.term).cloned() else { return };
-        for server in self.servers.iter_mut().filter(|server| !server.is_cut_off) {
+        for server in self.servers.iter_mut().filter(|server| !server.is_partitioned) {
             if server.term <= leader.term {
                 server.leads = server.term == leader.term && server.leads;
                 server.term = leader.term;
@@ -109,8 +105,8 @@
         }
     }
 
-    fn status(&self, place: usize) -> EndpointStatus {
-        let server = &self.servers[place];
+    fn status(&self, index: usize) -> EndpointStatus {
+        let server = &self.servers[index];
         let last_term = server.log.last().map_or(server.term, |(term, _)| *term);
         EndpointStatus {
             leads: server.leads,
@@ -122,22 +118,22 @@
         }
     }
 
-    fn replace(&mut self, answers: [bool; SERVERS], any_branch: bool) {
+    fn replace(&mut self, answers: [bool; SERVERS], ignore_record: bool) {
         let primary = self.primary();
         if answers[primary] {
             self.servers[primary].leads = false;
         }
-        let answering = (0..SERVERS).filter(|place| answers[*place]);
+        let answering = (0..SERVERS).filter(|index| answers[*index]);
         let stopped: Vec<StoppedServer> = answering
-            .map(|place| StoppedServer {
-                server: place.to_string(),
-                status: self.status(place),
+            .map(|index| StoppedServer {
+                server: index.to_string(),
+                status: self.status(index),
                 leaving: false,
-                is_old_primary: place == primary,
+                is_old_primary: index == primary,
             })
             .collect();
         let before = self.record.clone();
-        let record = if any_branch { &LeadershipRecord::default() } else { &before };
+        let record = if ignore_record { &LeadershipRecord::default() } else { &before };
         let succession = SuccessorSelection {
             record,
             servers: SERVERS,
@@ -151,13 +147,13 @@
     }
 
     fn promote(&mut self, chosen: &ChosenServer) {
-        let place: usize = chosen.server.parse().unwrap();
-        let kept = self.servers[place].log.clone();
+        let index: usize = chosen.server.parse().unwrap();
+        let kept = self.servers[index].log.clone();
         let term = self.servers.iter().map(|server| server.term).max().unwrap() + 1;
         let others = self.servers.iter().flat_map(|server| &server.log);
         let lost = others.filter(|entry| !kept.contains(entry)).map(|(_, write)| *write);
-        self.taken_back.extend(lost);
-        let new = &mut self.servers[place];
+        self.rolled_back.extend(lost);
+        let new = &mut self.servers[index];
         new.leads = true;
         new.term = term;
         self.record = self.record.with_new_primary(chosen, None, term);
@@ -167,8 +163,8 @@
         let primary = &self.servers[self.primary()];
         for (_, write) in &primary.log {
             prop_assert!(
-                !self.taken_back.contains(write),
-                "write {write} counts again in term {}",
+                !self.rolled_back.contains(write),
+                "write {write} is restored in term {}",
                 primary.term
             );
         }
@@ -176,28 +172,28 @@
     }
 }
 
-fn run(any_branch: bool) -> Result<(), String> {
+fn run(ignore_record: bool) -> Result<(), String> {
     let config = Config { cases: 20_000, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let events = prop::collection::vec(event(), 0..24);
-    let played = runner.run(&events, |events| {
+    let result = runner.run(&events, |events| {
         let mut group = Group::new();
         for event in &events {
-            group.play(event, any_branch);
+            group.apply(event, ignore_record);
             group.check()?;
         }
         Ok(())
     });
-    played.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 #[test]
-fn what_a_promotion_took_back_never_counts_again() {
+fn a_rolled_back_write_is_never_restored() {
     run(false).unwrap();
 }
 
 #[test]
-fn a_choice_by_the_longest_log_alone_is_noticed() {
+fn the_model_detects_a_choice_that_ignores_the_record() {
     assert!(run(true).is_err());
 }
