--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -6,7 +6,7 @@
 use failover::Evidence;
 use model::{LogPoint, Priority, Refusal, RefusalReason, ServerId, ServerStatus};
 use routing::{ReadQuestion, ReadRoute, route_read};
-use session::{ReadRequirement, Shown, judge};
+use session::{ReadCheck, ReadRequirement, check_read};
 
 use crate::{
     endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
@@ -178,10 +178,10 @@
             Err(refusal) => return Err(refusal),
         };
         let known = self.group.board.read().history.clone();
-        let mut shown = Shown::Behind;
+        let mut shown = ReadCheck::Behind;
         let prove = |status: &ServerStatus| {
-            shown = judge(requirement, status, &known);
-            if shown == Shown::Enough { Proof::Accept } else { Proof::Reject }
+            shown = check_read(requirement, status, &known);
+            if shown == ReadCheck::Sufficient { Proof::Accept } else { Proof::Reject }
         };
         let confirm = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
@@ -233,7 +233,7 @@
     fn rejected(
         &self,
         server: ServerId,
-        shown: Shown,
+        shown: ReadCheck,
         connection: PooledConnection,
         answer: &JobAnswer,
     ) -> Result<ReadAttempt, Refusal> {
@@ -241,7 +241,7 @@
         if answer.transaction == b'I' {
             connection.give_back();
         }
-        if shown == Shown::Lost {
+        if shown == ReadCheck::Lost {
             return Err(self.write_lost());
         }
         Ok(ReadAttempt::Behind(server))
--- a/crates/session/src/requirement.rs
+++ b/crates/session/src/requirement.rs
@@ -1,51 +1,56 @@
-//! Whether what a server shows is enough for a read.
+//! Checks whether a server's data is recent enough for a read.
 
 use model::{LogPoint, ServerStatus};
 
 use crate::{TermHistory, WriteStatus};
 
-/// What a read has to see.
+/// The points that a read must see.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadRequirement {
-    /// The session's own writes reach up to here.
+    /// The highest point of the session's own writes; `None` if there are none.
     pub session: Option<LogPoint>,
-    /// A server at or past this point is fresh enough for the kind of read.
+    /// The point that a server must have reached to be fresh enough for the kind of read; `None` if any
+    /// staleness is allowed.
     pub freshness: Option<LogPoint>,
 }
 
-/// The judgement on a server's proof.
+/// The result of checking a server's status against a read's requirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
-    /// The answer may be given to the caller.
-    Enough,
-    /// The server has not got there yet; another one, or the same one later, may have.
+pub enum ReadCheck {
+    /// The answer may be returned to the caller.
+    Sufficient,
+    /// The server has not reached a required point; another server, or the same one later, may have.
     Behind,
-    /// A write of the session did not survive a promotion, so no server will ever show it.
+    /// A write of the session was lost in a promotion, so no server will ever have it.
     Lost,
 }
 
-/// Judges the status that came with a read's answer, on the same connection and before it.
+/// Checks the status that a server sent before a read's answer, on the same connection.
 ///
-/// `known` is what the daemon knows of the group's terms; the server's own history counts too, since
-/// either of them may be ahead. A server that follows an old branch is told by its term: it can't
-/// show a point of a newer one, however long its log is.
-pub fn judge(requirement: ReadRequirement, status: &ServerStatus, known: &TermHistory) -> Shown {
+/// `known` is the daemon's copy of the term history. The server's own history is checked as well, since
+/// either can be newer. A server with a log of an older term never satisfies a point of a newer term,
+/// whatever its position.
+pub fn check_read(
+    requirement: ReadRequirement,
+    status: &ServerStatus,
+    known: &TermHistory,
+) -> ReadCheck {
     let history = TermHistory::new(status.term_starts.clone());
     if let Some(point) = requirement.session {
         if known.write_status(point) == WriteStatus::Lost
             || history.write_status(point) == WriteStatus::Lost
         {
-            return Shown::Lost;
+            return ReadCheck::Lost;
         }
         if !reaches(point, status, &history) {
-            return Shown::Behind;
+            return ReadCheck::Behind;
         }
     }
-    // A sample may cover writes that nobody was told of and that a promotion dropped; what was kept
-    // of everything before it ends where the later term began.
+    // A sample may include unacknowledged writes that a promotion dropped, which no server will ever
+    // have. The start of the later term is the end of what was kept.
     match requirement.freshness.map(|point| history.clamp(point)) {
-        Some(point) if !reaches(point, status, &history) => Shown::Behind,
-        _ => Shown::Enough,
+        Some(point) if !reaches(point, status, &history) => ReadCheck::Behind,
+        _ => ReadCheck::Sufficient,
     }
 }
 
--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -1,11 +1,12 @@
-//! Tokens, term histories, and what a read must have seen.
+//! Session tokens, term histories and the requirements of reads.
 
 use std::time::{Duration, Instant};
 
 use model::{LogPoint, Name, Position, ServerRole, ServerStatus, Term, TermStart};
 use proptest::prelude::*;
 use session::{
-    ReadRequirement, SessionToken, Shown, StalenessSamples, TermHistory, WriteStatus, judge,
+    ReadCheck, ReadRequirement, SessionToken, StalenessSamples, TermHistory, WriteStatus,
+    check_read,
 };
 
 fn history(starts: &[(u64, u64)]) -> TermHistory {
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_token_survives_being_written_and_read() {
+fn a_token_is_unchanged_by_formatting_and_parsing() {
     let mut token = SessionToken::default();
     assert_eq!(token.to_string().parse(), Ok(token.clone()));
     token.advance(&Name::from("north"), LogPoint::new(3, 105));
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_token_is_refused() {
+fn malformed_tokens_are_rejected() {
     let bad =
         ["x", "w2", "w1;north", "w1;north@", "w1;@1:2", "w1;north@1:-2", "w1;north@+1:2", "w1;;"];
     for text in bad {
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_write_stands_by_the_starts_of_later_terms() {
+fn the_status_of_a_write_depends_on_the_starts_of_later_terms() {
     let history = history(&[(1, 0), (2, 100), (4, 150)]);
     let rows = [
         (LogPoint::new(1, 100), WriteStatus::Kept),
@@ -69,83 +70,106 @@
 }
 
 #[test]
-fn a_server_is_judged_by_what_it_shows() {
+fn a_read_is_checked_against_the_session_and_both_histories() {
     let old = [(1, 0)];
     let new = [(1, 0), (2, 100)];
     let rows = [
-        ("at the position", LogPoint::new(1, 50), server(&old, 50), history(&old), Shown::Enough),
-        ("one short", LogPoint::new(1, 51), server(&old, 50), history(&old), Shown::Behind),
         (
-            "an old primary past the position",
+            "at the position",
+            LogPoint::new(1, 50),
+            server(&old, 50),
+            history(&old),
+            ReadCheck::Sufficient,
+        ),
+        (
+            "one position short",
+            LogPoint::new(1, 51),
+            server(&old, 50),
+            history(&old),
+            ReadCheck::Behind,
+        ),
+        (
+            "a primary of an older term past the position",
             LogPoint::new(2, 101),
             server(&old, 500),
             history(&old),
-            Shown::Behind,
+            ReadCheck::Behind,
         ),
         (
-            "a token that the daemon is behind of",
+            "a token of a term that the daemon does not know",
             LogPoint::new(2, 101),
             server(&new, 101),
             history(&old),
-            Shown::Enough,
+            ReadCheck::Sufficient,
         ),
         (
-            "an old term's write that was kept",
+            "a kept write of an older term",
             LogPoint::new(1, 100),
             server(&new, 120),
             history(&new),
-            Shown::Enough,
+            ReadCheck::Sufficient,
         ),
         (
-            "an old term's write that was lost",
+            "a lost write of an older term",
             LogPoint::new(1, 101),
             server(&new, 120),
             history(&new),
-            Shown::Lost,
+            ReadCheck::Lost,
         ),
         (
-            "lost, at a server that does not know",
+            "a lost write, unknown to the server",
             LogPoint::new(1, 101),
             server(&old, 120),
             history(&new),
-            Shown::Lost,
+            ReadCheck::Lost,
         ),
         (
-            "lost, at a daemon that does not know",
+            "a lost write, unknown to the daemon",
             LogPoint::new(1, 101),
             server(&new, 120),
             history(&old),
-            Shown::Lost,
+            ReadCheck::Lost,
+        ),
+        (
+            "a write of a term that neither knows",
+            LogPoint::new(9, 1),
+            server(&new, 120),
+            history(&new),
+            ReadCheck::Behind,
         ),
-        ("of the future", LogPoint::new(9, 1), server(&new, 120), history(&new), Shown::Behind),
     ];
     for (name, point, status, known, expected) in rows {
         let requirement = ReadRequirement { session: Some(point), freshness: None };
-        assert_eq!(judge(requirement, &status, &known), expected, "{name}");
+        assert_eq!(check_read(requirement, &status, &known), expected, "{name}");
     }
 }
 
 #[test]
-fn freshness_is_judged_beside_the_session() {
+fn freshness_is_checked_without_a_session() {
     let status = server(&[(1, 0)], 50);
     let known = history(&[(1, 0)]);
     let fresh = |position| Some(LogPoint::new(1, position));
-    let rows = [(fresh(50), Shown::Enough), (fresh(51), Shown::Behind), (None, Shown::Enough)];
+    let rows = [
+        (fresh(50), ReadCheck::Sufficient),
+        (fresh(51), ReadCheck::Behind),
+        (None, ReadCheck::Sufficient),
+    ];
     for (freshness, expected) in rows {
         let requirement = ReadRequirement { session: None, freshness };
-        assert_eq!(judge(requirement, &status, &known), expected, "{freshness:?}");
+        assert_eq!(check_read(requirement, &status, &known), expected, "{freshness:?}");
     }
 }
 
 #[test]
-fn a_sample_of_what_a_promotion_dropped_asks_for_what_was_kept() {
-    // The old primary was sampled at 150; the new term began at 100.
+fn a_sample_of_dropped_writes_requires_only_the_kept_ones() {
+    // The primary of term 1 was sampled at 150, and term 2 began at 100.
     let new = [(1, 0), (2, 100)];
-    let rows = [(99, Shown::Behind), (100, Shown::Enough), (120, Shown::Enough)];
+    let rows =
+        [(99, ReadCheck::Behind), (100, ReadCheck::Sufficient), (120, ReadCheck::Sufficient)];
     for (applied, expected) in rows {
         let requirement = ReadRequirement { session: None, freshness: Some(LogPoint::new(1, 150)) };
-        let judged = judge(requirement, &server(&new, applied), &history(&new));
-        assert_eq!(judged, expected, "at {applied}");
+        let checked = check_read(requirement, &server(&new, applied), &history(&new));
+        assert_eq!(checked, expected, "at {applied}");
     }
     assert_eq!(history(&new).clamp(LogPoint::new(1, 150)), LogPoint::new(1, 100));
     assert_eq!(history(&new).clamp(LogPoint::new(1, 70)), LogPoint::new(1, 70));
@@ -166,22 +190,22 @@
     assert_eq!(samples.point_for(Duration::from_millis(400), now), None);
     assert_eq!(samples.age_of(LogPoint::new(1, 95), now), Some(Duration::from_millis(1_500)));
     assert_eq!(samples.age_of(LogPoint::new(1, 5), now), None);
-    // Cut off from the primary, the same data grows older by itself.
+    // Without new samples, the age of the same data increases with time.
     let later = at(60_500);
     assert_eq!(samples.age_of(LogPoint::new(1, 95), later), Some(Duration::from_millis(51_500)));
 }
 
 proptest! {
     #[test]
-    fn no_text_breaks_the_token(text in ".{0,80}") {
+    fn any_parsed_token_is_unchanged_by_formatting(text in ".{0,80}") {
         if let Ok(token) = text.parse::<SessionToken>() {
             prop_assert_eq!(token.to_string().parse(), Ok(token));
         }
     }
 
-    /// A server that is judged fresh enough has reached every sample older than the bound.
+    /// A server at the point for a bound has reached every sample that is older than the bound.
     #[test]
-    fn samples_never_understate_an_age(
+    fn the_point_for_a_bound_covers_all_older_samples(
         steps in prop::collection::vec((1_u64..500, 0_u64..20), 1..400),
         bound_ms in 1_u64..5_000,
     ) {
