--- a/crates/daemon/src/board.rs
+++ b/crates/daemon/src/board.rs
@@ -60,7 +60,7 @@
         if known.asked_at.is_some_and(|noted| noted > asked_at) {
             return false;
         }
-        self.history.learn(&TermHistory::new(status.term_starts.clone()));
+        self.history.replace_if_newer(&TermHistory::new(status.term_starts.clone()));
         known.status = Some(status);
         known.asked_at = Some(asked_at);
         known.silent_since = None;
--- a/crates/session/src/term_history.rs
+++ b/crates/session/src/term_history.rs
@@ -1,15 +1,15 @@
-//! Where each term of a group began, which decides what survived the promotions.
+//! The start of each term of a group, which shows which writes survived its promotions.
 
 use model::{LogPoint, Position, Term, TermStart};
 
-/// How a write stands to a group's history.
+/// The state of a write in a group's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteStatus {
-    /// The history keeps it, so a server that has reached its position shows it.
+    /// The history contains it, so a server that has reached its position has it.
     Kept,
-    /// A later term began below it: the write did not survive.
+    /// A later term began below its position, so the write was lost in a promotion.
     Lost,
-    /// It is of a term that the history does not know yet.
+    /// Its term is newer than the history.
     UnknownTerm,
 }
 
@@ -19,28 +19,28 @@
     starts: Vec<TermStart>,
 }
 
-/// Older starts are forgotten; a session that has written nothing for so many promotions is rare,
-/// and its old token is then judged against the oldest start that is kept.
-const KEPT_TERMS: usize = 64;
+/// The maximum number of starts that are kept, the newest ones. A write of an older term is checked
+/// against these only.
+const MAX_TERMS: usize = 64;
 
 impl TermHistory {
-    /// Takes the starts as a server reports them.
+    /// Creates a history from the starts that a server reports, in any order.
     pub fn new(mut starts: Vec<TermStart>) -> TermHistory {
         starts.sort_by_key(|start| start.term);
         starts.dedup_by_key(|start| start.term);
-        let surplus = starts.len().saturating_sub(KEPT_TERMS);
+        let surplus = starts.len().saturating_sub(MAX_TERMS);
         starts.drain(..surplus);
         TermHistory { starts }
     }
 
-    /// Returns the newest term that the history knows.
+    /// Returns the newest term of the history; `None` if the history is empty.
     pub fn latest(&self) -> Option<Term> {
         self.starts.last().map(|start| start.term)
     }
 
-    /// Says whether a write at `point` is part of this history.
+    /// Returns whether a write at `point` is part of this history.
     ///
-    /// The write survives exactly when no term after its own began below its position.
+    /// The history keeps the write if and only if no later term began below its position.
     pub fn write_status(&self, point: LogPoint) -> WriteStatus {
         if self.latest().is_none_or(|latest| point.term > latest) {
             return WriteStatus::UnknownTerm;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns a point moved down to where its own term's history ended, if a later term began below
-    /// it. Whatever was kept of what stood at or before the point stands at or before the result.
+    /// Returns the point, limited to the end of its term if a later term began below it. Every write up
+    /// to `point` that the history kept is at or before the result.
     pub fn clamp(&self, point: LogPoint) -> LogPoint {
         match self.end_of(point.term) {
             Some(end) if point.position > end => LogPoint { position: end, ..point },
@@ -68,8 +68,8 @@
         later.map(|start| start.start).min()
     }
 
-    /// Takes over a longer history; returns whether anything changed.
-    pub fn learn(&mut self, other: &TermHistory) -> bool {
+    /// Replaces this history if the other one has a newer term; returns whether it did.
+    pub fn replace_if_newer(&mut self, other: &TermHistory) -> bool {
         if other.latest() <= self.latest() {
             return false;
         }
