--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -1,48 +1,48 @@
-//! The session token that callers carry.
+//! The session token that callers keep.
 
 use std::{collections::BTreeMap, fmt, str::FromStr};
 
 use model::{LogPoint, Name};
 
-/// The first word of every token; a later form of the token would change it.
-const FORM: &str = "w1";
+/// The first part of every token, which identifies the version of the format.
+const VERSION_TAG: &str = "w1";
 
-/// No caller has this many groups; a longer text is not a token of ours.
-const MOST_ENTRIES: usize = 4_096;
+/// The maximum number of entries that are parsed, to limit the memory for a text from a caller.
+const MAX_ENTRIES: usize = 4_096;
 
 /// The highest point that a session's acknowledged writes reached in each group of its service.
 ///
-/// Its text is `w1;group@term:position;…`. The text is not secret and grants nothing: a made-up
-/// token can only make its own reads wait.
+/// Its text is `w1;group@term:position;…`. The text is not secret and grants no permissions: a forged
+/// token can only delay or fail the reads that use it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionToken {
     points: BTreeMap<Name, LogPoint>,
 }
 
 impl SessionToken {
-    /// Returns what the session has to see in a group; `None` when it has written nothing there.
+    /// Returns the point that the session must see in a group; `None` if it has written nothing there.
     pub fn point(&self, group: &str) -> Option<LogPoint> {
         self.points.get(group).copied()
     }
 
-    /// Notes an acknowledged write. A point below the noted one changes nothing.
+    /// Records an acknowledged write. A point below the recorded one is ignored.
     pub fn advance(&mut self, group: &Name, point: LogPoint) {
         match self.points.get_mut(group) {
-            Some(noted) => *noted = (*noted).max(point),
+            Some(recorded) => *recorded = (*recorded).max(point),
             None => {
                 self.points.insert(group.clone(), point);
             }
         }
     }
 
-    /// Joins what another connection of the same session has written.
+    /// Adds the writes of another connection of the same session.
     pub fn merge(&mut self, other: &SessionToken) {
         for (group, point) in &other.points {
             self.advance(group, *point);
         }
     }
 
-    /// Whether the session has written nothing.
+    /// Returns whether the session has written nothing.
     pub fn is_empty(&self) -> bool {
         self.points.is_empty()
     }
@@ -50,7 +50,7 @@
 
 impl fmt::Display for SessionToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(FORM)?;
+        f.write_str(VERSION_TAG)?;
         for (group, point) in &self.points {
             write!(f, ";{group}@{point}")?;
         }
@@ -58,10 +58,10 @@
     }
 }
 
-/// The text is not a session token.
+/// The error for a text that is not a session token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidToken {
-    /// The part that could not be read.
+    /// The part that could not be parsed, shortened.
     pub part: String,
 }
 
@@ -82,13 +82,13 @@
             return Ok(token);
         }
         let mut parts = text.split(';');
-        if parts.next() != Some(FORM) {
+        if parts.next() != Some(VERSION_TAG) {
             return Err(invalid(text));
         }
         for part in parts {
             let (group, point) = part.split_once('@').ok_or_else(|| invalid(part))?;
             let point = point.parse().map_err(|_| invalid(part))?;
-            if group.is_empty() || token.points.len() == MOST_ENTRIES {
+            if group.is_empty() || token.points.len() == MAX_ENTRIES {
                 return Err(invalid(part));
             }
             token.advance(&Name::from(group), point);
@@ -97,9 +97,9 @@
     }
 }
 
-/// How much of an unreadable text is quoted back.
-const QUOTED_CHARACTERS: usize = 60;
+/// The maximum number of characters of the malformed text in an error.
+const MAX_QUOTED_CHARS: usize = 60;
 
 fn invalid(part: &str) -> InvalidToken {
-    InvalidToken { part: part.chars().take(QUOTED_CHARACTERS).collect() }
+    InvalidToken { part: part.chars().take(MAX_QUOTED_CHARS).collect() }
 }
