--- a/crates/session/src/staleness.rs
+++ b/crates/session/src/staleness.rs
@@ -1,4 +1,4 @@
-//! How old a replica's data can be, without a clock that hosts share.
+//! Bounds on the age of a replica's data, without synchronized clocks.
 
 use std::{
     collections::VecDeque,
@@ -7,11 +7,11 @@
 
 use model::LogPoint;
 
-/// Samples of the primary's position, each with the time at which it was asked for.
+/// Samples of the primary's position, each with the time at which it was requested.
 ///
-/// A server at or past a sample shows everything that was acknowledged before the sample was asked
-/// for, so its data is at most as old as the sample. Only this process's own monotonic clock is
-/// read. A sample may be added only if a second server confirmed the primary's term afterwards.
+/// A server that has reached a sample has everything that was acknowledged before the sample was
+/// requested, so its data is at most as old as the sample. All times are of this process's monotonic
+/// clock. A sample may be added only if a second server confirmed the primary's term afterwards.
 #[derive(Clone, Debug)]
 pub struct StalenessSamples {
     samples: VecDeque<Sample>,
@@ -25,12 +25,12 @@
 }
 
 impl StalenessSamples {
-    /// Keeps at most `capacity` samples, at least one.
+    /// Creates an empty collection for at most `capacity` samples, and at least one.
     pub fn new(capacity: usize) -> StalenessSamples {
         StalenessSamples { samples: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// Adds a sample. One that is older, or of an older point, than the last is left out.
+    /// Adds a sample, unless it is not newer than the last one or is of an earlier point.
     pub fn add(&mut self, asked_at: Instant, point: LogPoint) {
         if let Some(last) = self.samples.back()
             && (asked_at <= last.asked_at || point < last.point)
@@ -41,22 +41,23 @@
         self.thin_out();
     }
 
-    /// Returns the latest point that is known.
+    /// Returns the point of the latest sample.
     pub fn latest(&self) -> Option<LogPoint> {
         self.samples.back().map(|sample| sample.point)
     }
 
-    /// Returns the latest sample: when it was asked for, and the point.
+    /// Returns the latest sample: the time at which it was requested, and the point.
     pub fn latest_sample(&self) -> Option<(Instant, LogPoint)> {
         self.samples.back().map(|sample| (sample.asked_at, sample.point))
     }
 
-    /// Forgets every sample.
+    /// Removes all samples.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
 
-    /// Forgets every other old sample when full, so that the span covered grows with the age.
+    /// Removes every other sample of the older half when full, so that old samples are kept at wider
+    /// intervals.
     fn thin_out(&mut self) {
         if self.samples.len() <= self.capacity {
             return;
@@ -69,10 +70,10 @@
         });
     }
 
-    /// Returns the point that a server must have reached for data at most `bound` old.
+    /// Returns the point that a server must have reached for its data to be at most `bound` old.
     ///
-    /// `None` means that no sample is recent enough, as when the primary has been out of reach for
-    /// longer than the bound.
+    /// `None` means that no sample is recent enough, for example when the primary has been unreachable
+    /// for longer than the bound.
     pub fn point_for(&self, bound: Duration, now: Instant) -> Option<LogPoint> {
         let oldest = now.checked_sub(bound);
         let recent = self
@@ -82,7 +83,8 @@
         recent.map(|sample| sample.point)
     }
 
-    /// Returns how old the data of a server at `point` can be; `None` when no sample tells.
+    /// Returns the maximum age of the data of a server at `point`; `None` if the server has reached no
+    /// sample.
     pub fn age_of(&self, point: LogPoint, now: Instant) -> Option<Duration> {
         let reached = self.samples.iter().rev().find(|sample| sample.point <= point);
         reached.map(|sample| now.saturating_duration_since(sample.asked_at))
