--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -5,19 +5,19 @@
 
 mod admission;
 mod connection_share;
+mod latency_average;
 mod ownership;
 mod read_route;
 mod retry_budget;
-mod server_load;
 mod write_route;
 
 pub use admission::{Admission, AdmissionQueue, Next, Request, Ticket};
 pub use connection_share::{Demand, connection_share};
+pub use latency_average::LatencyAverage;
 pub use ownership::{
     OWNERS_PER_ZONE, connections_per_owner, owners_of, rank_hosts, rendezvous_score,
     single_owner_connections,
 };
 pub use read_route::{Candidate, ReadQuestion, ReadRoute, route_read};
 pub use retry_budget::RetryBudget;
-pub use server_load::LatencyAverage;
 pub use write_route::{PrimaryView, WriteRoute, WriteRules, route_write};
