--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,40 +1,45 @@
-//! Keeps retries a fraction of requests, so that they can't multiply an overload.
+//! Limits retries to a fraction of the requests, so that they don't amplify an overload.
 
-/// Tokens saved up at most, so that a short burst of failures can be retried after a calm time.
-const MOST_SAVED: u32 = 10;
+/// The maximum number of saved tokens, which allows the retries of a short burst of failures.
+const MAX_TOKENS: u32 = 10;
 
-/// Tokens are counted in hundredths, since each request adds a percentage of one.
-const TOKEN: u32 = 100;
+/// The token of one retry, in hundredths, since each request adds a percentage of a token.
+const TOKEN_HUNDREDTHS: u32 = 100;
 
-/// A count of retries that are allowed.
+/// A token bucket that each request fills by a percentage and each retry empties by one token.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u32,
-    saved: u32,
+    /// The saved tokens, in hundredths.
+    saved_hundredths: u32,
 }
 
 impl RetryBudget {
-    /// Allows `percent` retries for each 100 requests, after a small initial allowance.
+    /// Creates a full bucket that allows `percent` retries for each 100 requests; empty if `percent` is 0.
     pub fn new(percent: u32) -> RetryBudget {
-        RetryBudget { percent, saved: if percent == 0 { 0 } else { MOST_SAVED * TOKEN } }
+        RetryBudget {
+            percent,
+            saved_hundredths: if percent == 0 { 0 } else { MAX_TOKENS * TOKEN_HUNDREDTHS },
+        }
     }
 
-    /// Changes the percentage; what was saved stays.
+    /// Changes the percentage; saved tokens are kept.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = percent;
     }
 
     /// Counts a request.
     pub fn on_request(&mut self) {
-        self.saved = (self.saved + self.percent).min(MOST_SAVED * TOKEN);
+        self.saved_hundredths =
+            (self.saved_hundredths + self.percent).min(MAX_TOKENS * TOKEN_HUNDREDTHS);
     }
 
-    /// Takes a retry out of the budget; `false` when it is spent.
+    /// Takes the token of a retry; returns `false` if there is none.
     pub fn try_retry(&mut self) -> bool {
-        if self.saved < TOKEN {
+        if self.saved_hundredths < TOKEN_HUNDREDTHS {
             return false;
         }
-        self.saved -= TOKEN;
+        self.saved_hundredths -= TOKEN_HUNDREDTHS;
         true
     }
 }
