--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -221,7 +221,7 @@
                     in_flight: self.pools[index].in_flight(),
                     slots: in_force.group.options.slots,
                     latency_us: self.pools[index].latency().get_us(),
-                    near: server.availability_zone == *own_zone,
+                    same_zone: server.availability_zone == *own_zone,
                 }
             })
             .collect()
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -11,7 +11,7 @@
 
 use model::{Refusal, RefusalReason};
 use parking_lot::Mutex;
-use routing::{Admission, AdmissionQueue, LatencyAverage, Next, Request, Ticket};
+use routing::{Admission, AdmissionQueue, LatencyAverage, NextRequest, Request, Ticket};
 use wire::{EndpointAddress, EndpointError};
 
 use crate::endpoint_connection::EndpointConnection;
@@ -279,7 +279,7 @@
 
     fn give_back(&self, mut connection: EndpointConnection, held: Duration) {
         let mut state = self.state.lock();
-        state.queue.on_served(held);
+        state.queue.record_hold_time(held);
         if state.closed || state.open > state.share {
             state.open -= 1;
             return;
@@ -334,13 +334,13 @@
 fn next_waiter(state: &mut PoolState) -> Option<flume::Sender<Grant>> {
     loop {
         match state.queue.next(Instant::now()) {
-            Next::Idle => return None,
-            Next::Grant(ticket) => {
+            NextRequest::Idle => return None,
+            NextRequest::Grant(ticket) => {
                 if let Some(waiter) = state.waiting.remove(&ticket) {
                     return Some(waiter);
                 }
             }
-            Next::Expire(ticket) => {
+            NextRequest::Expire(ticket) => {
                 if let Some(waiter) = state.waiting.remove(&ticket) {
                     let _ = waiter.send(Grant::Refused(deadline_refusal()));
                 }
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -5,7 +5,7 @@
 use config::{Acknowledge, ReadPolicy, UntrackedReads};
 use failover::Evidence;
 use model::{LogPoint, Priority, Refusal, RefusalReason, ServerId, ServerStatus};
-use routing::{ReadQuestion, ReadRoute, route_read};
+use routing::{ReadCriteria, ReadRoute, route_read};
 use session::{ReadCheck, ReadRequirement, check_read};
 
 use crate::{
@@ -43,7 +43,7 @@
             let route = self.route(requirement, avoid);
             let server = match route {
                 ReadRoute::Replica(server) | ReadRoute::Primary(server) => server,
-                ReadRoute::Nowhere => {
+                ReadRoute::NoServer => {
                     if Instant::now() >= self.deadline {
                         break;
                     }
@@ -141,7 +141,7 @@
         let primary_only = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
             && self.staleness().is_none();
-        let question = ReadQuestion {
+        let question = ReadCriteria {
             point,
             has_written: primary_only || self.job.seen.is_some(),
             policy: if primary_only {
@@ -149,7 +149,7 @@
             } else {
                 self.options().read_policy
             },
-            turn: self.group.next_turn(),
+            sequence: self.group.next_turn(),
             avoid,
         };
         route_read(&question, &candidates)
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -127,7 +127,7 @@
                 Ok(Some(AdmittedWrite { server, term: view.term, rule }))
             }
             WriteRoute::AwaitPrimary | WriteRoute::NoMajority => Ok(None),
-            WriteRoute::TooFarBehind => Err(Refusal::not_run(
+            WriteRoute::ReplicasBehind => Err(Refusal::not_run(
                 RefusalReason::NoEvidence,
                 "the replicas are too far behind to confirm a write in time",
             )
--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions that every request passes: routing a read, admitting a write, queueing.
+//! Benchmarks of the decisions on each request: routing a read, admitting a write, queueing.
 
 use std::{
     hint::black_box,
@@ -9,7 +9,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use model::{LogPoint, Position, Priority, ServerId, Term};
 use routing::{
-    AdmissionQueue, Candidate, PrimaryView, ReadQuestion, Request, WriteRules, route_read,
+    AdmissionQueue, Candidate, PrimaryView, ReadCriteria, Request, WriteRules, route_read,
     route_write,
 };
 
@@ -22,25 +22,25 @@
         in_flight: u32::from(server),
         slots: 3,
         latency_us: 500,
-        near: server == 1,
+        same_zone: server == 1,
     };
     (0..3).map(candidate).collect()
 }
 
 fn decisions(criterion: &mut Criterion) {
     let candidates = candidates();
-    let mut turn = 0;
+    let mut sequence = 0;
     criterion.bench_function("route a read", |bencher| {
         bencher.iter(|| {
-            turn += 1;
-            let question = ReadQuestion {
+            sequence += 1;
+            let criteria = ReadCriteria {
                 point: LogPoint::new(1, 50),
                 has_written: true,
                 policy: ReadPolicy::Cost,
-                turn,
+                sequence,
                 avoid: None,
             };
-            route_read(&question, black_box(&candidates))
+            route_read(&criteria, black_box(&candidates))
         });
     });
     let view = PrimaryView {
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of requests that wait for a connection.
+//! A bounded, prioritized and fair queue of requests that wait for a connection.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,50 +7,51 @@
 
 use model::Priority;
 
-/// Names a waiting request.
+/// The identifier of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// A request that wants a connection.
+/// A request for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Whom fairness is for: requests of one caller wait behind each other, not in front of others.
+    /// The caller, for fairness: the callers with waiting requests take turns.
     pub caller: u64,
-    /// How many requests the caller gets in a turn, at least one.
+    /// How many requests of the caller are granted in a turn; 0 counts as 1.
     pub weight: u32,
-    /// When it goes before others.
+    /// Requests of higher priority are granted first.
     pub priority: Priority,
-    /// When it is of no more use.
+    /// The time at which the request expires.
     pub deadline: Instant,
 }
 
-/// What becomes of an offered request.
+/// The result of offering a request to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits.
+    /// The request was queued.
     Queued(Ticket),
-    /// It waits, and a less urgent request is refused to make room.
+    /// The request was queued in place of a request of lower priority.
     QueuedInsteadOf {
-        /// The request that waits.
+        /// The queued request.
         ticket: Ticket,
-        /// The request that must be refused now, as not run.
+        /// The removed request, which must be refused as not run.
         displaced: Ticket,
     },
-    /// It is refused now, as not run: the queue is full, or it would wait past its deadline.
+    /// The request must be refused as not run: the queue is full, or the expected wait exceeds the
+    /// deadline.
     Refused {
-        /// When asking again may help, in milliseconds from now.
+        /// When a retry may succeed, in milliseconds from now.
         retry_after_ms: u64,
     },
 }
 
-/// What to do with a connection that has become free.
+/// The next request for a free connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// It goes to this request.
+pub enum NextRequest {
+    /// The connection is granted to this request.
     Grant(Ticket),
-    /// This request's deadline has passed; refuse it, as not run, and ask again.
+    /// This request has expired; it must be refused as not run, and the next request requested again.
     Expire(Ticket),
-    /// Nobody waits.
+    /// No request is waiting.
     Idle,
 }
 
@@ -60,28 +61,29 @@
     deadline: Instant,
 }
 
-/// The requests of one caller.
+/// The waiting requests of one caller.
 #[derive(Debug, Default)]
 struct CallerQueue {
     waiters: VecDeque<Waiter>,
     weight: u32,
-    /// How many it has been granted in its present turn.
+    /// The number of requests granted in the caller's current turn.
     granted: u32,
 }
 
-/// The requests of one priority, with callers taking turns.
+/// The waiting requests of one priority; callers are served in weighted round robin.
 #[derive(Debug, Default)]
-struct Lane {
-    turns: VecDeque<u64>,
-    waiting: HashMap<u64, CallerQueue>,
+struct FairQueue {
+    /// The callers with waiting requests, in the order of their turns.
+    rotation: VecDeque<u64>,
+    callers: HashMap<u64, CallerQueue>,
     length: usize,
 }
 
-impl Lane {
+impl FairQueue {
     fn push(&mut self, request: &Request, waiter: Waiter) {
-        let queue = self.waiting.entry(request.caller).or_default();
+        let queue = self.callers.entry(request.caller).or_default();
         if queue.waiters.is_empty() {
-            self.turns.push_back(request.caller);
+            self.rotation.push_back(request.caller);
         }
         queue.weight = request.weight.max(1);
         queue.waiters.push_back(waiter);
@@ -89,33 +91,33 @@
     }
 
     fn pop(&mut self) -> Option<Waiter> {
-        let caller = self.turns.pop_front()?;
-        let queue = self.waiting.get_mut(&caller)?;
+        let caller = self.rotation.pop_front()?;
+        let queue = self.callers.get_mut(&caller)?;
         let waiter = queue.waiters.pop_front()?;
         self.length -= 1;
         queue.granted += 1;
         if queue.waiters.is_empty() {
-            self.waiting.remove(&caller);
+            self.callers.remove(&caller);
         } else if queue.granted < queue.weight {
-            self.turns.push_front(caller);
+            self.rotation.push_front(caller);
         } else {
             queue.granted = 0;
-            self.turns.push_back(caller);
+            self.rotation.push_back(caller);
         }
         Some(waiter)
     }
 
-    /// Removes the newest request of the caller that has the most.
+    /// Removes the newest request of the caller with the most waiting requests.
     fn displace(&mut self) -> Option<Ticket> {
         let (&caller, _) =
-            self.waiting.iter().max_by_key(|(caller, queue)| (queue.waiters.len(), **caller))?;
-        let ticket = self.waiting.get(&caller)?.waiters.back()?.ticket;
+            self.callers.iter().max_by_key(|(caller, queue)| (queue.waiters.len(), **caller))?;
+        let ticket = self.callers.get(&caller)?.waiters.back()?.ticket;
         self.remove(caller, ticket);
         Some(ticket)
     }
 
     fn remove(&mut self, caller: u64, ticket: Ticket) -> bool {
-        let Some(queue) = self.waiting.get_mut(&caller) else { return false };
+        let Some(queue) = self.callers.get_mut(&caller) else { return false };
         let before = queue.waiters.len();
         queue.waiters.retain(|waiter| waiter.ticket != ticket);
         if queue.waiters.len() == before {
@@ -123,60 +125,61 @@
         }
         self.length -= 1;
         if queue.waiters.is_empty() {
-            self.waiting.remove(&caller);
-            self.turns.retain(|turn| *turn != caller);
+            self.callers.remove(&caller);
+            self.rotation.retain(|other| *other != caller);
         }
         true
     }
 }
 
-/// Requests that wait for the connections of one server, bounded in number.
+/// The requests that wait for the connections of one server, bounded in number.
 ///
-/// The most urgent lane goes first; within a lane callers take turns. The weighing against plain
-/// first-in-first-out is in `docs/ROUTING.md`.
+/// Requests of the highest priority are granted first; within a priority, callers take turns.
+/// `docs/ROUTING.md` compares this with a first-in, first-out queue.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     capacity: usize,
-    lanes: [Lane; Priority::ALL.len()],
+    /// The waiting requests, indexed by [`Priority::index`].
+    priorities: [FairQueue; Priority::ALL.len()],
     next_ticket: u64,
-    service_us: u64,
+    mean_hold_us: u64,
 }
 
-/// Each finished request moves the average holding time by one part in this many.
-const SERVICE_WEIGHT: u64 = 16;
+/// The weight of a new hold time in the moving average is one divided by this.
+const HOLD_TIME_SMOOTHING: u64 = 16;
 
 impl AdmissionQueue {
-    /// Makes a queue for at most `capacity` requests.
+    /// Creates a queue for at most `capacity` requests.
     pub fn new(capacity: usize) -> AdmissionQueue {
-        AdmissionQueue { capacity, lanes: Default::default(), next_ticket: 0, service_us: 0 }
+        AdmissionQueue { capacity, priorities: Default::default(), next_ticket: 0, mean_hold_us: 0 }
     }
 
-    /// Changes the bound. Requests that wait already stay.
+    /// Changes the capacity. Requests that are already waiting stay in the queue.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.length).sum()
+        self.priorities.iter().map(|queue| queue.length).sum()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Notes for how long a finished request held its connection.
-    pub fn on_served(&mut self, held: Duration) {
-        let held_us = u64::try_from(held.as_micros()).unwrap_or(u64::MAX / SERVICE_WEIGHT);
-        let average = self.service_us;
-        self.service_us = match average {
+    /// Records for how long a finished request held its connection.
+    pub fn record_hold_time(&mut self, held: Duration) {
+        let held_us = u64::try_from(held.as_micros()).unwrap_or(u64::MAX / HOLD_TIME_SMOOTHING);
+        let average = self.mean_hold_us;
+        self.mean_hold_us = match average {
             0 => held_us,
-            average => average - average / SERVICE_WEIGHT + held_us / SERVICE_WEIGHT,
+            average => average - average / HOLD_TIME_SMOOTHING + held_us / HOLD_TIME_SMOOTHING,
         };
     }
 
-    /// Offers a request that found no free connection among `connections`.
+    /// Offers a request that found none of the server's `connections` free.
     pub fn offer(&mut self, request: Request, connections: u32, now: Instant) -> Admission {
         let wait = self.expected_wait(request.priority, connections);
         if now + wait >= request.deadline {
@@ -185,8 +188,8 @@
         if self.len() < self.capacity {
             return Admission::Queued(self.enqueue(request));
         }
-        let less_urgent = request.priority.index() + 1..self.lanes.len();
-        match less_urgent.rev().find_map(|lane| self.lanes[lane].displace()) {
+        let lower_priorities = request.priority.index() + 1..self.priorities.len();
+        match lower_priorities.rev().find_map(|index| self.priorities[index].displace()) {
             Some(displaced) => {
                 Admission::QueuedInsteadOf { ticket: self.enqueue(request), displaced }
             }
@@ -194,38 +197,40 @@
         }
     }
 
-    /// Says who gets a connection that has become free.
-    pub fn next(&mut self, now: Instant) -> Next {
-        for lane in &mut self.lanes {
-            if let Some(waiter) = lane.pop() {
+    /// Removes and returns the next request for a free connection.
+    pub fn next(&mut self, now: Instant) -> NextRequest {
+        for queue in &mut self.priorities {
+            if let Some(waiter) = queue.pop() {
                 return if waiter.deadline <= now {
-                    Next::Expire(waiter.ticket)
+                    NextRequest::Expire(waiter.ticket)
                 } else {
-                    Next::Grant(waiter.ticket)
+                    NextRequest::Grant(waiter.ticket)
                 };
             }
         }
-        Next::Idle
+        NextRequest::Idle
     }
 
-    /// Takes a request out, as when its caller has gone or its deadline has passed.
+    /// Removes a request, for example when its caller has disconnected or its deadline has passed.
+    /// Returns whether the request was still waiting.
     pub fn withdraw(&mut self, request: &Request, ticket: Ticket) -> bool {
-        self.lanes[request.priority.index()].remove(request.caller, ticket)
+        self.priorities[request.priority.index()].remove(request.caller, ticket)
     }
 
     fn enqueue(&mut self, request: Request) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let waiter = Waiter { ticket, deadline: request.deadline };
-        self.lanes[request.priority.index()].push(&request, waiter);
+        self.priorities[request.priority.index()].push(&request, waiter);
         ticket
     }
 
-    /// Estimates the wait behind everything that is as urgent or more so.
+    /// Estimates the wait behind all requests of the same or a higher priority.
     fn expected_wait(&self, priority: Priority, connections: u32) -> Duration {
-        let ahead: usize = self.lanes[..=priority.index()].iter().map(|lane| lane.length).sum();
+        let ahead: usize =
+            self.priorities[..=priority.index()].iter().map(|queue| queue.length).sum();
         let connections = u64::from(connections.max(1));
-        Duration::from_micros(ahead as u64 * self.service_us / connections)
+        Duration::from_micros(ahead as u64 * self.mean_hold_us / connections)
     }
 
     fn refuse(&self, connections: u32) -> Admission {
--- a/crates/routing/src/write_route.rs
+++ b/crates/routing/src/write_route.rs
@@ -1,56 +1,57 @@
-//! Whether and where a write may run.
+//! Admission and routing of a write.
 
 use config::{Acknowledge, WhenBehind};
 use model::{Position, ServerId, Term};
 
-/// What a daemon knows of a group's primary when a write is admitted.
+/// What a daemon knows about a group's primary when a write is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct PrimaryView {
-    /// The primary of the newest known term; `None` while there is none.
+    /// The primary of the newest known term; `None` if there is none.
     pub primary: Option<ServerId>,
-    /// That term.
+    /// The newest known term.
     pub term: Term,
-    /// Whether it may get new work: it answers, it is not leaving, no switch holds it.
+    /// Whether the primary may get new work: it answers, is not leaving, and no planned change of primary
+    /// holds its writes.
     pub usable: bool,
     /// The last known position of the primary.
     pub primary_position: Position,
     /// The position that a majority of the group's servers is known to hold.
     pub majority_position: Position,
-    /// How many servers, the primary among them, answer in this term.
+    /// The number of servers that answer in this term, including the primary.
     pub answering: usize,
-    /// How many are a majority.
+    /// The number of servers that form a majority.
     pub majority: usize,
 }
 
 /// The operators' rules for writes of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteRules {
-    /// What an acknowledgement waits for.
+    /// The condition for acknowledging a write.
     pub acknowledge: Acknowledge,
-    /// What becomes of writes while the replicas are far behind.
+    /// How writes are handled while the replicas are behind.
     pub when_behind: WhenBehind,
-    /// How many positions that is.
+    /// The lag, in positions, above which the replicas are behind.
     pub behind_positions: u64,
 }
 
-/// Where a write goes.
+/// The decision on a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteRoute {
-    /// To the primary, to be acknowledged under the rule.
+    /// The write runs on the primary and is acknowledged under the rule.
     Primary(ServerId, Acknowledge),
-    /// It waits for a primary, up to its deadline.
+    /// The write waits for a primary until its deadline.
     AwaitPrimary,
-    /// It waits, up to its deadline: too few servers answer to ever acknowledge it.
+    /// The write waits until its deadline: too few servers answer to acknowledge it.
     NoMajority,
-    /// It is refused: the replicas are so far behind that it would not be acknowledged in time.
-    TooFarBehind,
+    /// The write is refused: the replicas are too far behind to acknowledge it in time.
+    ReplicasBehind,
 }
 
-/// Admits a write.
+/// Decides whether a write runs now.
 ///
-/// A write that could not be acknowledged is better not begun, since its outcome would be unknown to
-/// the caller; so it does not run while too few servers answer to give evidence, or, where operators
-/// say so, while replicas are far behind.
+/// A write that runs but can't be acknowledged leaves the caller without knowledge of its effect. So it
+/// does not run while too few servers answer to confirm it or, if operators configure this, while the
+/// replicas are behind.
 pub fn route_write(rules: WriteRules, view: &PrimaryView) -> WriteRoute {
     let Some(primary) = view.primary else { return WriteRoute::AwaitPrimary };
     if !view.usable {
@@ -65,7 +66,7 @@
     }
     match rules.when_behind {
         WhenBehind::Wait => WriteRoute::Primary(primary, rules.acknowledge),
-        WhenBehind::Refuse => WriteRoute::TooFarBehind,
+        WhenBehind::Refuse => WriteRoute::ReplicasBehind,
         WhenBehind::Term => WriteRoute::Primary(primary, Acknowledge::Term),
     }
 }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of server, admission, shares and retries.
+//! Choice of server, admission, connection shares and retries.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,9 @@
 use model::{LogPoint, Position, Priority, ServerId, Term};
 use proptest::prelude::*;
 use routing::{
-    Admission, AdmissionQueue, Candidate, Demand, Next, PrimaryView, ReadQuestion, ReadRoute,
-    Request, RetryBudget, WriteRoute, WriteRules, connection_share, route_read, route_write,
+    Admission, AdmissionQueue, Candidate, Demand, NextRequest, PrimaryView, ReadCriteria,
+    ReadRoute, Request, RetryBudget, WriteRoute, WriteRules, connection_share, route_read,
+    route_write,
 };
 
 fn candidate(server: u16, applied: u64) -> Candidate {
@@ -19,54 +20,54 @@
         in_flight: 0,
         slots: 3,
         latency_us: 500,
-        near: true,
+        same_zone: true,
     }
 }
 
-fn question(position: u64) -> ReadQuestion {
-    ReadQuestion {
+fn criteria(position: u64) -> ReadCriteria {
+    ReadCriteria {
         point: LogPoint::new(1, position),
         has_written: position > 0,
         policy: ReadPolicy::Cost,
-        turn: 0,
+        sequence: 0,
         avoid: None,
     }
 }
 
 #[test]
-fn a_read_goes_to_a_replica_that_is_fresh_enough() {
+fn a_read_goes_to_a_fresh_enough_replica_or_the_primary() {
     let three = |b, c| vec![candidate(0, 100), candidate(1, b), candidate(2, c)];
     let replica = |server| ReadRoute::Replica(ServerId(server));
     let primary = ReadRoute::Primary(ServerId(0));
     let rows = [
-        ("only one is fresh", question(50), three(49, 50), replica(2)),
-        ("none is fresh", question(60), three(49, 50), primary),
+        ("only one replica is fresh", criteria(50), three(49, 50), replica(2)),
+        ("no replica is fresh", criteria(60), three(49, 50), primary),
         (
-            "the fresh one failed before",
-            ReadQuestion { avoid: Some(ServerId(2)), ..question(50) },
+            "the fresh replica failed before",
+            ReadCriteria { avoid: Some(ServerId(2)), ..criteria(50) },
             three(49, 50),
             primary,
         ),
     ];
-    for (name, question, candidates, expected) in rows {
-        assert_eq!(route_read(&question, &candidates), expected, "{name}");
+    for (name, criteria, candidates, expected) in rows {
+        assert_eq!(route_read(&criteria, &candidates), expected, "{name}");
     }
     let mut leaving = three(90, 90);
     leaving[1].usable = false;
-    assert_eq!(route_read(&question(50), &leaving), replica(2), "a leaving replica gets nothing");
+    assert_eq!(route_read(&criteria(50), &leaving), replica(2), "a leaving replica gets no reads");
     leaving[2].usable = false;
     leaving[0].usable = false;
-    assert_eq!(route_read(&question(50), &leaving), ReadRoute::Nowhere);
+    assert_eq!(route_read(&criteria(50), &leaving), ReadRoute::NoServer);
 }
 
 #[test]
-fn each_policy_prefers_what_it_says() {
+fn each_policy_chooses_its_server() {
     let mut candidates = vec![candidate(0, 100), candidate(1, 100), candidate(2, 100)];
     candidates[1].latency_us = 20_000;
     candidates[2].in_flight = 2;
-    let choose = |policy, turn| {
-        let question = ReadQuestion { policy, turn, ..question(50) };
-        route_read(&question, &candidates)
+    let choose = |policy, sequence| {
+        let criteria = ReadCriteria { policy, sequence, ..criteria(50) };
+        route_read(&criteria, &candidates)
     };
     assert_eq!(choose(ReadPolicy::Cost, 0), ReadRoute::Replica(ServerId(2)));
     assert_eq!(choose(ReadPolicy::LeastInFlight, 0), ReadRoute::Replica(ServerId(1)));
@@ -79,9 +80,9 @@
 fn equal_replicas_share_the_reads() {
     let candidates = [candidate(0, 100), candidate(1, 100), candidate(2, 100)];
     let mut counts = [0; 3];
-    for turn in 0..600 {
-        let question = ReadQuestion { turn, ..question(50) };
-        if let ReadRoute::Replica(server) = route_read(&question, &candidates) {
+    for sequence in 0..600 {
+        let criteria = ReadCriteria { sequence, ..criteria(50) };
+        if let ReadRoute::Replica(server) = route_read(&criteria, &candidates) {
             counts[server.index()] += 1;
         }
     }
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_write_is_not_begun_where_it_could_not_be_acknowledged() {
+fn a_write_runs_only_if_it_can_be_acknowledged() {
     let view = PrimaryView {
         primary: Some(ServerId(0)),
         term: Term(1),
@@ -118,7 +119,7 @@
             WriteRoute::AwaitPrimary,
         ),
         (majority, WhenBehind::Wait, behind, WriteRoute::Primary(ServerId(0), majority)),
-        (majority, WhenBehind::Refuse, behind, WriteRoute::TooFarBehind),
+        (majority, WhenBehind::Refuse, behind, WriteRoute::ReplicasBehind),
         (majority, WhenBehind::Refuse, view, WriteRoute::Primary(ServerId(0), majority)),
         (majority, WhenBehind::Term, behind, WriteRoute::Primary(ServerId(0), Acknowledge::Term)),
         (
@@ -135,14 +136,14 @@
 }
 
 #[test]
-fn a_weighty_caller_gets_more_in_its_turn() {
+fn a_caller_with_more_weight_gets_more_grants_per_turn() {
     let now = Instant::now();
     let mut queue = AdmissionQueue::new(20);
     for _ in 0..4 {
         queue.offer(Request { weight: 2, ..request(1, Priority::Normal, now) }, 1, now);
         queue.offer(request(2, Priority::Normal, now), 1, now);
     }
-    // The first caller has the even tickets.
+    // Caller 1 has the even tickets.
     assert_eq!(granted(&mut queue, now), [0, 2, 1, 4, 6, 3, 5, 7]);
 }
 
@@ -152,17 +153,17 @@
 
 fn granted(queue: &mut AdmissionQueue, now: Instant) -> Vec<u64> {
     let mut order = Vec::new();
-    while let Next::Grant(ticket) = queue.next(now) {
+    while let NextRequest::Grant(ticket) = queue.next(now) {
         order.push(ticket.0);
     }
     order
 }
 
 #[test]
-fn the_urgent_go_first_and_callers_take_turns() {
+fn urgent_requests_go_first_and_callers_take_turns() {
     let now = Instant::now();
     let mut queue = AdmissionQueue::new(10);
-    // Tickets are counted from 0 in the order of the offers.
+    // Tickets are numbered from 0 in the order of the offers.
     for (caller, priority) in [
         (1, Priority::Normal),
         (1, Priority::Normal),
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_the_least_urgent() {
+fn a_full_queue_refuses_requests_of_the_lowest_priority() {
     let now = Instant::now();
     let mut queue = AdmissionQueue::new(2);
     queue.offer(request(1, Priority::Relaxed, now), 1, now);
@@ -191,16 +192,16 @@
 }
 
 #[test]
-fn what_would_wait_past_its_deadline_is_refused_at_once() {
+fn a_request_that_would_wait_past_its_deadline_is_refused_immediately() {
     let now = Instant::now();
     let mut queue = AdmissionQueue::new(1_000);
     for _ in 0..200 {
-        queue.on_served(Duration::from_millis(100));
+        queue.record_hold_time(Duration::from_millis(100));
     }
     for _ in 0..100 {
         queue.offer(request(1, Priority::Normal, now), 2, now);
     }
-    // A hundred requests of 100 ms over two connections take five seconds.
+    // 100 requests of 100 ms on two connections take five seconds.
     let late = queue.offer(request(2, Priority::Normal, now), 2, now);
     assert!(
         matches!(late, Admission::Refused { retry_after_ms } if retry_after_ms >= 1_000),
@@ -211,23 +212,25 @@
 }
 
 #[test]
-fn expired_and_withdrawn_requests_get_nothing() {
+fn expired_and_withdrawn_requests_are_not_granted() {
     let now = Instant::now();
     let mut queue = AdmissionQueue::new(10);
     let first = request(1, Priority::Normal, now);
     queue.offer(Request { deadline: now + Duration::from_millis(1), ..first }, 1, now);
-    let Admission::Queued(second) = queue.offer(first, 1, now) else { panic!("there is room") };
+    let Admission::Queued(second) = queue.offer(first, 1, now) else {
+        panic!("the queue has room")
+    };
     queue.offer(request(1, Priority::Normal, now), 1, now);
     assert!(queue.withdraw(&first, second));
     assert!(!queue.withdraw(&first, second));
     let later = now + Duration::from_millis(2);
-    assert!(matches!(queue.next(later), Next::Expire(ticket) if ticket.0 == 0));
-    assert!(matches!(queue.next(later), Next::Grant(ticket) if ticket.0 == 2));
-    assert_eq!(queue.next(later), Next::Idle);
+    assert!(matches!(queue.next(later), NextRequest::Expire(ticket) if ticket.0 == 0));
+    assert!(matches!(queue.next(later), NextRequest::Grant(ticket) if ticket.0 == 2));
+    assert_eq!(queue.next(later), NextRequest::Idle);
 }
 
 #[test]
-fn retries_stay_a_fraction_of_requests() {
+fn retries_are_limited_to_a_fraction_of_requests() {
     let mut budget = RetryBudget::new(20);
     let mut retried = 0;
     for _ in 0..1_000 {
@@ -239,10 +242,10 @@
 }
 
 proptest! {
-    /// Owners that know the same demands never share out more than there is, and each gets its
-    /// floor if it wants it.
+    /// With the same demands, the owners' shares don't exceed the limit, and each owner gets what it
+    /// wants up to its guaranteed part.
     #[test]
-    fn shares_add_up_to_the_limit(
+    fn shares_do_not_exceed_the_limit(
         limit in 1_u32..100,
         wanted in prop::collection::vec(0_u32..60, 1..10),
     ) {
@@ -253,14 +256,14 @@
             .collect();
         let shares: Vec<u32> =
             demands.iter().map(|own| connection_share(limit, *own, &demands)).collect();
-        let floor = limit / demands.len() as u32;
+        let guaranteed = limit / demands.len() as u32;
         prop_assert!(shares.iter().sum::<u32>() <= limit);
         for (demand, share) in demands.iter().zip(&shares) {
-            prop_assert!(*share >= floor.min(demand.wanted));
+            prop_assert!(*share >= guaranteed.min(demand.wanted));
         }
     }
 
-    /// Every request that is offered is refused, granted, displaced or expired, exactly once.
+    /// Every offered request is refused, granted, displaced or expired exactly once.
     #[test]
     fn no_request_is_lost_in_the_queue(
         offers in prop::collection::vec((0_u64..4, 0_usize..3, 1_u64..100), 1..200),
@@ -288,7 +291,7 @@
             prop_assert_eq!(queue.len(), waiting.len());
         }
         let later = now + Duration::from_millis(50);
-        while let Next::Grant(ticket) | Next::Expire(ticket) = queue.next(later) {
+        while let NextRequest::Grant(ticket) | NextRequest::Expire(ticket) = queue.next(later) {
             prop_assert!(waiting.remove(&ticket));
         }
         prop_assert!(waiting.is_empty());
--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -16,7 +16,7 @@
 use model::{GroupId, LogPoint, Name, ServerId};
 use peer::{Body, Envelope, GossipNote, GroupDemand};
 use prost::Message;
-use routing::{Candidate, ReadQuestion, route_read};
+use routing::{Candidate, ReadCriteria, route_read};
 use wardtiller::{
     local_system::{LocalSystem, LocalSystemOptions},
     sizing::{
@@ -115,18 +115,18 @@
         in_flight: u32::from(server),
         slots: 3,
         latency_us: 500,
-        near: server == 1,
+        same_zone: server == 1,
     };
     for servers in [3, 5, 15] {
         let candidates: Vec<Candidate> = (0..servers).map(candidate).collect();
         let mut turn = 0;
         let ns = time_ns(|| {
             turn += 1;
-            let question = ReadQuestion {
+            let question = ReadCriteria {
                 point: LogPoint::new(1, 50),
                 has_written: true,
                 policy: ReadPolicy::Cost,
-                turn,
+                sequence: turn,
                 avoid: None,
             };
             black_box(route_read(&question, black_box(&candidates)));
