--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -18,7 +18,7 @@
 use prost::{Message, Oneof};
 
 use crate::{
-    control::mirror::News,
+    control::mirror::StoreUpdates,
     metadata::{Change, Era, Item, Revision},
 };
 
@@ -36,10 +36,10 @@
     /// What have you heard? Answered by [`FollowAnswer`]; more questions may follow.
     #[prost(message, tag = "1")]
     Follow(FollowRequest),
-    /// Connect me to a server. Answered by [`DetourAnswer`]; if it was reached, what follows is the
+    /// Connect me to a server. Answered by [`TunnelAnswer`]; if it was reached, what follows is the
     /// server's.
     #[prost(message, tag = "2")]
-    Detour(DetourRequest),
+    Tunnel(TunnelRequest),
     /// Run statements for me on your connections. What follows is of [`crate::relay`].
     #[prost(message, tag = "3")]
     Relay(RelayMessage),
@@ -51,7 +51,7 @@
 
 /// Names a server that the asker can't reach itself.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct DetourRequest {
+pub struct TunnelRequest {
     /// The server's service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -62,7 +62,7 @@
 
 /// Whether a server was reached for another daemon.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct DetourAnswer {
+pub struct TunnelAnswer {
     /// Whether the connection stands.
     #[prost(bool, tag = "1")]
     pub reached: bool,
@@ -76,13 +76,13 @@
     pub host: String,
     /// The asker knows every change up to this revision.
     #[prost(uint64, tag = "2")]
-    pub followed_to: u64,
+    pub applied_revision: u64,
     /// The latest change that this daemon told the asker of; what is later is news.
     #[prost(uint64, tag = "3")]
-    pub heard_to: u64,
+    pub received_revision: u64,
     /// The number of the last reading that the asker was told of.
     #[prost(uint64, tag = "4")]
-    pub reading_number: u64,
+    pub read_number: u64,
     /// The number of the last round of evidence that the asker was told of.
     #[prost(uint64, tag = "5")]
     pub evidence_number: u64,
@@ -91,22 +91,22 @@
     pub wait_ms: u64,
     /// The life and the clock of the last answer that the asker had from this daemon.
     #[prost(message, optional, tag = "7")]
-    pub heard: Option<ClockMessage>,
+    pub last_clock: Option<ClockMessage>,
     /// Samples that the asker took since it had that answer, one for each service at the most.
     #[prost(message, repeated, tag = "8")]
     pub samples: Vec<SampleMessage>,
     /// Services whose reads the asker refuses because every replica is behind; for whoever promotes.
     #[prost(string, repeated, tag = "9")]
     pub behind: Vec<String>,
-    /// The store's era that `followed_to` is of.
+    /// The store's era that `applied_revision` is of.
     #[prost(uint64, tag = "10")]
     pub era: u64,
-    /// That of `heard_to`.
+    /// That of `received_revision`.
     #[prost(uint64, tag = "11")]
-    pub heard_era: u64,
+    pub received_era: u64,
     /// Whether the asker, which knows nothing yet, takes what the store holds in one packed piece.
     #[prost(bool, tag = "12")]
-    pub takes_packed: bool,
+    pub accepts_compressed: bool,
 }
 
 /// A daemon's steady clock.
@@ -114,7 +114,7 @@
 pub struct ClockMessage {
     /// A number of this life of the daemon; clocks of two lives have nothing in common.
     #[prost(uint64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Milliseconds since it began, rounded down.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
@@ -149,13 +149,13 @@
 
 impl PrimarySample {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, service: &Name, now: Instant) -> SampleMessage {
+    pub fn to_message(&self, service: &Name, now: Instant) -> SampleMessage {
         self.message(service, age_ms(self.asked_at, now))
     }
 
     /// Returns what the daemon is told whose answer came at `heard_at`; nothing if the sample is from
     /// before, since the other's clock then says nothing of it.
-    pub fn told_since(&self, service: &Name, heard_at: Instant) -> Option<SampleMessage> {
+    pub fn to_message_since(&self, service: &Name, heard_at: Instant) -> Option<SampleMessage> {
         let after = self.asked_at.checked_duration_since(heard_at)?;
         Some(self.message(service, after.as_millis() as u64))
     }
@@ -175,13 +175,13 @@
 
 impl FollowRequest {
     /// Returns the revision up to which the asker knows every change.
-    pub fn followed_revision(&self) -> Revision {
-        Revision::new(Era(self.era), self.followed_to)
+    pub fn applied(&self) -> Revision {
+        Revision::new(Era(self.era), self.applied_revision)
     }
 
     /// Returns the latest change that the asker was told of here.
-    pub fn heard_revision(&self) -> Revision {
-        Revision::new(Era(self.heard_era), self.heard_to)
+    pub fn received(&self) -> Revision {
+        Revision::new(Era(self.received_era), self.received_revision)
     }
 
     /// Returns the samples by this daemon's clock, which counts from `epoch` in this `life`; none if the
@@ -192,7 +192,9 @@
         epoch: Instant,
         now: Instant,
     ) -> Vec<(Name, PrimarySample)> {
-        let Some(heard) = self.heard.filter(|heard| heard.life == life) else { return Vec::new() };
+        let Some(heard) = self.last_clock.filter(|heard| heard.incarnation == life) else {
+            return Vec::new();
+        };
         let heard_at = epoch + Duration::from_millis(heard.at_ms);
         let samples = self.samples.iter();
         let samples = samples.map(|it| it.sample(heard_at + Duration::from_millis(it.ms)));
@@ -208,7 +210,7 @@
     pub held_ms: u64,
     /// The last reading of the store that the answering daemon knows of.
     #[prost(message, optional, tag = "2")]
-    pub reading: Option<ReadingMessage>,
+    pub store_read: Option<StoreReadMessage>,
     /// Changes that the asker may not have heard of, oldest first. They travel in a frame of their own
     /// behind the answer, see [`FollowAnswer::split`].
     #[prost(message, repeated, tag = "3")]
@@ -218,10 +220,10 @@
     pub is_whole: bool,
     /// Every change up to this revision is known to the answering daemon.
     #[prost(uint64, tag = "5")]
-    pub followed_to: u64,
+    pub applied_revision: u64,
     /// The latest change that it knows of.
     #[prost(uint64, tag = "6")]
-    pub heard_to: u64,
+    pub received_revision: u64,
     /// Who leads by the word of a majority of the servers.
     #[prost(message, repeated, tag = "7")]
     pub evidence: Vec<EvidenceMessage>,
@@ -236,7 +238,7 @@
     pub samples: Vec<SampleMessage>,
     /// Every change of the daemons' own keys up to this revision is known to the answering daemon.
     #[prost(uint64, tag = "11")]
-    pub own_followed_to: u64,
+    pub own_applied_revision: u64,
     /// Whether the changes come in a frame of their own.
     #[prost(bool, tag = "12")]
     pub changes_follow: bool,
@@ -251,9 +253,9 @@
     /// The changes, oldest first.
     #[prost(message, repeated, tag = "1")]
     pub changes: Vec<ChangeMessage>,
-    /// What comes before these, packed as a message of this kind; see [`super::packing`].
+    /// What comes before these, packed as a message of this kind; see [`super::compression`].
     #[prost(bytes = "bytes", tag = "2")]
-    pub packed: Bytes,
+    pub compressed: Bytes,
 }
 
 /// A change of one key; the answer that it comes with tells the era of its revisions.
@@ -271,9 +273,9 @@
     /// The value; none if the key was removed.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub value: Option<Bytes>,
-    /// Whether the value is packed; see [`super::packing`].
+    /// Whether the value is packed; see [`super::compression`].
     #[prost(bool, tag = "5")]
-    pub is_packed: bool,
+    pub is_compressed: bool,
 }
 
 impl From<Change> for ChangeMessage {
@@ -284,7 +286,7 @@
                 revision: revision.number(),
                 created: created.number(),
                 value: Some(value),
-                is_packed: false,
+                is_compressed: false,
             },
             Change::Removed { key, revision } => {
                 ChangeMessage { key, revision: revision.number(), ..ChangeMessage::default() }
@@ -338,7 +340,7 @@
 
 impl Evidence {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, now: Instant) -> EvidenceMessage {
+    pub fn to_message(&self, now: Instant) -> EvidenceMessage {
         EvidenceMessage {
             service: self.service.to_string(),
             server: self.server.to_string(),
@@ -349,9 +351,9 @@
 }
 
 /// What an answer tells besides its reading, taken apart.
-pub struct Told {
+pub struct AnswerContents {
     /// Changes, or everything that there is.
-    pub news: News,
+    pub updates: StoreUpdates,
     /// Evidence, each with the latest moment at which the servers can have been asked.
     pub evidence: Vec<Evidence>,
     /// Samples by service.
@@ -363,10 +365,10 @@
     /// that the daemon lives, while a configuration may take seconds over a slow link.
     ///
     /// `packed` goes before the changes, for an asker that knows nothing yet; empty for any other.
-    pub fn split(mut self, packed: Bytes) -> (FollowAnswer, Option<ChangesMessage>) {
+    pub fn split(mut self, compressed: Bytes) -> (FollowAnswer, Option<ChangesMessage>) {
         let changes = std::mem::take(&mut self.changes);
-        self.changes_follow = !changes.is_empty() || !packed.is_empty();
-        let changes = self.changes_follow.then_some(ChangesMessage { changes, packed });
+        self.changes_follow = !changes.is_empty() || !compressed.is_empty();
+        let changes = self.changes_follow.then_some(ChangesMessage { changes, compressed });
         (self, changes)
     }
 
@@ -386,14 +388,14 @@
     }
 
     /// Takes the changes and the evidence out.
-    pub fn take_told(&mut self, sent_at: Instant) -> Told {
+    pub fn take_contents(&mut self, sent_at: Instant) -> AnswerContents {
         let made_at = self.made_at(sent_at);
         let era = Era(self.era);
         let changes = std::mem::take(&mut self.changes).into_iter();
-        let news = News {
+        let updates = StoreUpdates {
             changes: changes.map(|change| change.change(era)).collect(),
             is_whole: self.is_whole,
-            followed_to: Revision::new(era, self.followed_to),
+            applied_revision: Revision::new(era, self.applied_revision),
         };
         let evidence = std::mem::take(&mut self.evidence).into_iter().filter_map(|it| {
             Some(Evidence {
@@ -407,7 +409,7 @@
             .samples
             .iter()
             .filter_map(|it| Some(it.sample(made_at.checked_sub(Duration::from_millis(it.ms))?)));
-        Told { news, evidence: evidence.collect(), samples: samples.collect() }
+        AnswerContents { updates, evidence: evidence.collect(), samples: samples.collect() }
     }
 }
 
@@ -418,7 +420,7 @@
 
 /// A linearizable reading of the daemons' own keys.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct ReadingMessage {
+pub struct StoreReadMessage {
     /// Its number in the life of the answering daemon, from 1 on.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -432,26 +434,26 @@
 
 /// A linearizable reading of the daemons' own keys, by whomever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreReading {
+pub struct StoreRead {
     /// When it was asked for, or before.
     pub asked_at: Instant,
     /// The store's revision as it was made.
     pub revision: Revision,
 }
 
-impl StoreReading {
+impl StoreRead {
     /// Returns what an asker is told at `now`.
-    pub fn told_at(&self, number: u64, now: Instant) -> ReadingMessage {
+    pub fn to_message(&self, number: u64, now: Instant) -> StoreReadMessage {
         let revision = self.revision.number();
-        ReadingMessage { number, age_ms: age_ms(self.asked_at, now), revision }
+        StoreReadMessage { number, age_ms: age_ms(self.asked_at, now), revision }
     }
 }
 
-impl ReadingMessage {
+impl StoreReadMessage {
     /// Returns the reading, of a store in this era, as it was told at `made_at` at the earliest.
-    pub fn reading(&self, made_at: Instant, era: Era) -> Option<StoreReading> {
+    pub fn reading(&self, made_at: Instant, era: Era) -> Option<StoreRead> {
         let asked_at = made_at.checked_sub(Duration::from_millis(self.age_ms))?;
-        Some(StoreReading { asked_at, revision: Revision::new(era, self.revision) })
+        Some(StoreRead { asked_at, revision: Revision::new(era, self.revision) })
     }
 }
 
@@ -459,7 +461,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnKeys {
     /// Every change up to here is known.
-    pub followed_to: Revision,
+    pub applied_revision: Revision,
     /// The revision of this daemon's member key, if there is one.
     pub member: Option<Revision>,
     /// The revisions of the leadership records, by service.
@@ -468,7 +470,7 @@
 
 /// What a reading by another daemon is worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SharedReading {
+pub enum SharedRead {
     /// It renews the rights to these services.
     Renews(Vec<Name>),
     /// The store has to be read.
@@ -477,19 +479,19 @@
 
 /// Judges a reading by what this daemon knows of the keys that it showed: whoever knows every change up
 /// to the reading's revision knows what it showed without being told.
-pub fn judge_reading(
-    reading: &StoreReading,
+pub fn evaluate_read(
+    reading: &StoreRead,
     now: Instant,
     useful_for: Duration,
     known: &OwnKeys,
-) -> SharedReading {
+) -> SharedRead {
     let is_shown = |revision: Revision| revision <= reading.revision;
     let is_old = now.saturating_duration_since(reading.asked_at) > useful_for;
     // Who does not know all that the reading showed may have missed a change of primary.
-    if is_old || !known.member.is_some_and(is_shown) || known.followed_to < reading.revision {
-        return SharedReading::Useless;
+    if is_old || !known.member.is_some_and(is_shown) || known.applied_revision < reading.revision {
+        return SharedRead::Useless;
     }
     // Of a record that has changed since, the reading says nothing.
     let shown = known.records.iter().filter(|(_, revision)| is_shown(**revision));
-    SharedReading::Renews(shown.map(|(service, _)| service.clone()).collect())
+    SharedRead::Renews(shown.map(|(service, _)| service.clone()).collect())
 }
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -12,7 +12,7 @@
         adapter::Adapter,
         backoff::Backoff,
         control_view::Basis,
-        peers::{SharedReading, StoreReading, judge_reading},
+        peers::{SharedRead, StoreRead, evaluate_read},
         runner::Control,
         state::State,
     },
@@ -35,7 +35,7 @@
         let mut backoff = Backoff::default();
         // The first reading is that of everything, which brings what the rights are about.
         while !self.state.borrow().servers_known {
-            self.has_read.notified().await;
+            self.initial_load_done.notified().await;
         }
         loop {
             // Here, since this loop turns also while nothing is heard.
@@ -47,7 +47,7 @@
                     () = self.refresh_now.notified() => {}
                 }
             }
-            if self.is_reading_shared() {
+            if self.has_fresh_shared_read() {
                 tokio::select! {
                     () = tokio::time::sleep(every / LOOKS_PER_READING) => {}
                     () = self.refresh_now.notified() => {}
@@ -58,7 +58,7 @@
             match self.renew_primary_leases(asked_at).await {
                 Ok(()) => {
                     backoff.reset();
-                    self.doubt_reader();
+                    self.drop_stale_upstream();
                     let rest = every.saturating_sub(asked_at.elapsed());
                     tokio::select! {
                         () = tokio::time::sleep(rest) => {}
@@ -71,7 +71,7 @@
                         why = error.to_string().as_str();
                         "the store did not answer"
                     );
-                    match self.zone_reader() {
+                    match self.upstream() {
                         Some(_) => self.await_shared_reading(&mut backoff).await,
                         None => backoff.wait().await,
                     }
@@ -83,8 +83,8 @@
     /// Waits until the store is to be tried again, unless another daemon's reading comes first.
     async fn await_shared_reading(&self, backoff: &mut Backoff) {
         let shared = async {
-            while !self.is_reading_shared() {
-                self.news.notified().await;
+            while !self.has_fresh_shared_read() {
+                self.updates_available.notified().await;
             }
         };
         tokio::select! {
@@ -114,9 +114,9 @@
     ) -> Result<(), MetadataError> {
         let own = self.read_below(&self.member_key()).await?;
         if own.revision.era() > self.state.borrow().mirror.era() {
-            return self.handle_newer_era(StoreReading { asked_at, revision: own.revision }).await;
+            return self.handle_newer_era(StoreRead { asked_at, revision: own.revision }).await;
         }
-        if self.state.borrow().own_followed_to >= own.revision {
+        if self.state.borrow().own_applied_revision >= own.revision {
             self.on_own_reading(own.revision, asked_at);
             return Ok(());
         }
@@ -128,7 +128,7 @@
                 Ok(()) | Err(MetadataError::HistoryGone) => {}
                 Err(error) => return Err(error),
             }
-            if self.state.borrow().own_followed_to >= own.revision {
+            if self.state.borrow().own_applied_revision >= own.revision {
                 self.on_own_reading(own.revision, asked_at);
                 return Ok(());
             }
@@ -137,7 +137,7 @@
         let everything = self.read_below(&self.key("")).await?;
         if everything.revision.era() > self.state.borrow().mirror.era() {
             return self
-                .handle_newer_era(StoreReading { asked_at, revision: everything.revision })
+                .handle_newer_era(StoreRead { asked_at, revision: everything.revision })
                 .await;
         }
         self.on_own_snapshot(everything, asked_at);
@@ -146,9 +146,9 @@
 
     /// Whether so much is missing up to a revision that whoever is followed is waited for: that one sends it packed, and once.
     fn is_told_soon(&self, revision: Revision) -> bool {
-        let known = self.state.borrow().own_followed_to;
+        let known = self.state.borrow().own_applied_revision;
         let missing = revision.number().saturating_sub(known.number());
-        missing > MOST_MISSING_ASKED && self.zone_reader().is_some()
+        missing > MOST_MISSING_ASKED && self.upstream().is_some()
     }
 
     /// Asks the store once what has changed of the daemons' own keys, and takes that over.
@@ -156,13 +156,13 @@
     /// Rights need no more than that. Asked for all changes, a region of 150 daemons that was half a second behind drew a
     /// configuration of a megabyte for each of them over one link, and was behind for as long as that lasted.
     async fn hear_own_changes(&self) -> Result<(), MetadataError> {
-        let after = self.state.borrow().own_followed_to;
+        let after = self.state.borrow().own_applied_revision;
         let changes = self.store.watch(&self.key(""), after, Duration::ZERO).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
-        self.take_over(changes);
+        self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
-        state.own_followed_to = state.own_followed_to.max(revision);
+        state.own_applied_revision = state.own_applied_revision.max(revision);
         Ok(())
     }
 
@@ -175,30 +175,30 @@
 
     /// Takes over a reading at a revision up to which every change of the daemons' own keys is known.
     fn on_own_reading(&self, revision: Revision, asked_at: Instant) {
-        let reading = StoreReading { asked_at, revision };
+        let reading = StoreRead { asked_at, revision };
         let now = Instant::now();
         self.note_own_reading(reading, now);
-        match judge_reading(&reading, now, self.primary_lease_duration(), &self.own_keys()) {
-            SharedReading::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
-            SharedReading::Useless if self.is_key_gone() => self.rejoin.notify_one(),
-            SharedReading::Useless => {}
+        match evaluate_read(&reading, now, self.primary_lease_duration(), &self.own_keys()) {
+            SharedRead::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
+            SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
+            SharedRead::Useless => {}
         }
         self.finish_reading(now);
     }
 
     /// Notes a reading that this daemon asked for itself.
-    fn note_own_reading(&self, reading: StoreReading, now: Instant) {
+    fn note_own_reading(&self, reading: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
-        state.note_sighting(&reading);
+        state.note_observed_revision(&reading);
         let before = state.own_read_at.replace(reading.asked_at);
         if before.is_none_or(|before| now.duration_since(before) > self.primary_lease_duration()) {
             // Members that came and went meanwhile were not seen; another's reading does not tell of
             // them.
             state.watching_since = Some(now);
         }
-        let is_back = state.note_read(now, self.patience());
-        state.own_followed_to = state.own_followed_to.max(reading.revision);
-        state.keep_reading(reading);
+        let is_back = state.note_read(now, self.store_silence_timeout());
+        state.own_applied_revision = state.own_applied_revision.max(reading.revision);
+        state.keep_latest_read(reading);
         drop(state);
         if is_back {
             self.reprobe_suspected_servers();
@@ -210,7 +210,7 @@
         self.note_members(now);
         self.report_and_probe_suspicions();
         self.publish();
-        self.news.notify_waiters();
+        self.updates_available.notify_waiters();
     }
 
     /// Takes over a reading of the daemons' own keys that was asked for at `asked_at`.
@@ -219,11 +219,11 @@
         let revision = snapshot.revision;
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
         let changes = self.state.borrow().mirror.changes_to(&self.key(""), snapshot);
-        self.take_over(changes);
-        self.note_own_reading(StoreReading { asked_at, revision }, now);
+        self.apply_changes(changes);
+        self.note_own_reading(StoreRead { asked_at, revision }, now);
         if is_member {
             self.grant_primary_leases(asked_at, None);
-        } else if self.is_key_gone() {
+        } else if self.is_member_key_missing() {
             self.rejoin.notify_one();
         }
         self.finish_reading(now);
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -8,9 +8,10 @@
     catalog::ServerEntry,
     control::{
         evidence::{
-            HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge, may_grant_primary_lease,
+            HeldPrimaryLease, KnownLeader, LeaderByEvidence, judge_statuses,
+            may_grant_primary_lease,
         },
-        mirror::{Mirror, News},
+        mirror::{Mirror, StoreUpdates},
         move_times::MoveTimes,
         record::{
             ChosenServer, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations, RecordSource,
@@ -45,10 +46,10 @@
     };
     let right = |known: u64, server: &str, term: u64| HeldPrimaryLease {
         known_term: Term(known),
-        in_force: found(server, term),
+        usable_leader: found(server, term),
     };
     // A right that ends while nobody can be asked may have ended for a change of primary.
-    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), in_force: None };
+    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), usable_leader: None };
     let cases = [
         ("primary and a replica", vec![primary(), replica("b")], 3, found("a", 3)),
         ("the primary alone", vec![primary()], 3, None),
@@ -66,11 +67,11 @@
         // What was in force is what the answers are to show again.
         let held = match &expected {
             Some(lead) => {
-                HeldPrimaryLease { known_term: Term(known), in_force: Some(lead.clone()) }
+                HeldPrimaryLease { known_term: Term(known), usable_leader: Some(lead.clone()) }
             }
             None => right(known, "a", 3),
         };
-        assert_eq!(judge(&statuses, 3, &held), expected, "{name}");
+        assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
     }
     let all = || vec![primary(), replica("b"), replica("c")];
     let cases = [
@@ -82,7 +83,7 @@
         ("everybody in a later term", all(), right(2, "b", 2), found("a", 3)),
     ];
     for (name, statuses, held, expected) in cases {
-        assert_eq!(judge(&statuses, 3, &held), expected, "{name}");
+        assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
     }
 }
 
@@ -106,12 +107,12 @@
     }
 }
 
-fn stopped(server: &str, received: u64, leaving: bool, replaced: bool) -> StoppedServer {
+fn stopped(server: &str, received: u64, leaving: bool, is_old_primary: bool) -> StoppedServer {
     StoppedServer {
         server: server.to_owned(),
-        status: status(replaced, 1, received, 2),
+        status: status(is_old_primary, 1, received, 2),
         leaving,
-        replaced,
+        is_old_primary,
     }
 }
 
@@ -120,8 +121,8 @@
     SuccessorSelection {
         record,
         servers: 3,
-        synchronous: 0,
-        may_stay: false,
+        synchronous_replicas: 0,
+        may_keep_primary: false,
         is_primary_listed: true,
     }
 }
@@ -149,8 +150,8 @@
         ("enough of them", vec![behind, ahead], 1, chosen("c", 9)),
     ];
     let record = first_record();
-    for (name, servers, synchronous, expected) in cases {
-        let succession = SuccessorSelection { synchronous, ..succession(&record) };
+    for (name, servers, synchronous_replicas, expected) in cases {
+        let succession = SuccessorSelection { synchronous_replicas, ..succession(&record) };
         assert_eq!(succession.choose(&servers), expected, "{name}");
     }
 }
@@ -161,7 +162,7 @@
     let behind = stopped("b", 8, false, false);
     let level = stopped("c", 9, false, false);
     let record = first_record();
-    let succession = SuccessorSelection { may_stay: true, ..succession(&record) };
+    let succession = SuccessorSelection { may_keep_primary: true, ..succession(&record) };
     let chosen = |servers: &[StoppedServer]| succession.choose(servers).unwrap().server;
     assert_eq!(chosen(&[old.clone(), behind.clone()]), "a");
     assert_eq!(chosen(&[old, behind, level]), "c");
@@ -171,12 +172,12 @@
 fn a_successor_holds_nothing_that_a_promotion_took_back() {
     // Term 2 began with nine entries; its primary `b` is to be replaced.
     let keeps_nine = ChosenServer { server: "b".to_owned(), kept_position: 9 };
-    let record = first_record().settled(&keeps_nine, None, 2);
-    let server = |server: &str, term, received, replaced| StoppedServer {
+    let record = first_record().with_new_primary(&keeps_nine, None, 2);
+    let server = |server: &str, term, received, is_old_primary| StoppedServer {
         server: server.to_owned(),
         status: status(false, term, received, 3),
         leaving: false,
-        replaced,
+        is_old_primary,
     };
     let former = |received| server("a", 1, received, false);
     let follower = |received| server("c", 2, received, false);
@@ -218,15 +219,21 @@
 fn a_settled_record_says_where_the_term_began() {
     let record =
         LeadershipRecord { term: 3, primary: "a".to_owned(), ..LeadershipRecord::default() };
-    let settled =
-        record.settled(&ChosenServer { server: "b".to_owned(), kept_position: 17 }, None, 4);
+    let settled = record.with_new_primary(
+        &ChosenServer { server: "b".to_owned(), kept_position: 17 },
+        None,
+        4,
+    );
     assert_eq!((settled.term, settled.primary.as_str()), (4, "b"));
     assert_eq!(settled.change, None);
     assert_eq!(settled.starts[0].term, Term(4));
     assert_eq!(settled.starts[0].start.0, 17);
     // The primary started anew under another identity: no term began.
-    let renamed =
-        record.settled(&ChosenServer { server: "c".to_owned(), kept_position: 17 }, None, 3);
+    let renamed = record.with_new_primary(
+        &ChosenServer { server: "c".to_owned(), kept_position: 17 },
+        None,
+        3,
+    );
     assert_eq!((renamed.term, renamed.primary.as_str()), (3, "c"));
     assert!(renamed.starts.is_empty());
 }
@@ -239,7 +246,8 @@
         evidence: Duration::from_millis(300),
     };
     let after = |ms| recorded_at + Duration::from_millis(ms);
-    let progress = |fenced_at, all_answered| StopProgress { recorded_at, fenced_at, all_answered };
+    let progress =
+        |fenced_at, all_acknowledged| StopProgress { recorded_at, fenced_at, all_acknowledged };
     let complete = |progress: StopProgress| progress.complete_at(bounds);
     assert_eq!(complete(progress(None, true)), None);
     assert_eq!(complete(progress(Some(after(20)), true)), Some(after(335)));
@@ -365,7 +373,7 @@
     ] {
         mirror.apply(change);
     }
-    mirror.note_followed(at(7));
+    mirror.note_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
         ("what it was told last", 6, vec![removed("p/b", 7)]),
@@ -373,9 +381,13 @@
         ("nothing, as it knows more", 9, Vec::new()),
     ];
     for (name, after, expected) in cases {
-        let news = mirror.news_since(at(after));
-        assert_eq!(news, News { changes: expected, is_whole: false, followed_to: at(7) }, "{name}");
-        assert_eq!(mirror.has_news(at(after)), !news.changes.is_empty(), "{name}");
+        let news = mirror.updates_since(at(after));
+        assert_eq!(
+            news,
+            StoreUpdates { changes: expected, is_whole: false, applied_revision: at(7) },
+            "{name}"
+        );
+        assert_eq!(mirror.has_updates(at(after)), !news.changes.is_empty(), "{name}");
     }
 }
 
@@ -388,10 +400,10 @@
         mirror.apply(Change::Put(item(&key, 2 + 2 * number)));
         mirror.apply(Change::Removed { key, revision: at(3 + 2 * number) });
     }
-    let news = mirror.news_since(at(5));
+    let news = mirror.updates_since(at(5));
     assert!(news.is_whole);
     assert_eq!(news.changes, [Change::Put(item("kept", 1))]);
-    let late = mirror.news_since(at(3_999));
+    let late = mirror.updates_since(at(3_999));
     assert!(!late.is_whole);
     assert_eq!(late.changes.len(), 1);
 }
@@ -408,7 +420,7 @@
         mirror.apply(put(key, at(9)));
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
-    mirror.note_followed(at(10));
+    mirror.note_applied(at(10));
     assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era not begun");
     mirror.enter(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
@@ -416,8 +428,8 @@
     for change in changes {
         assert!(mirror.apply(change));
     }
-    mirror.note_followed(restored(5));
-    assert_eq!(mirror.followed_to(), restored(5));
+    mirror.note_applied(restored(5));
+    assert_eq!(mirror.applied_revision(), restored(5));
     assert_eq!(mirror.last_revision(), restored(5));
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
     assert!(mirror.get("p/lost").is_none());
@@ -425,9 +437,9 @@
     assert!(!mirror.apply(put("p/kept", at(11))), "a write that was late");
     assert!(!mirror.apply(Change::Removed { key: "p/kept".to_owned(), revision: at(12) }));
     // Who knows only of the era before is told everything, whatever number it stands at.
-    let news = mirror.news_since(at(u64::MAX));
+    let news = mirror.updates_since(at(u64::MAX));
     assert!(news.is_whole && news.changes.len() == 1, "{news:?}");
-    assert!(!mirror.news_since(restored(4)).is_whole);
+    assert!(!mirror.updates_since(restored(4)).is_whole);
 }
 
 fn written(era: u64, edition: u64, term: u64) -> LeadershipRecord {
