--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -413,7 +413,7 @@
     };
     let service = Name::from(request.service.as_str());
     let reached = lent.reached();
-    let known = group.samples.borrow().latest();
+    let known_point = group.samples.borrow().latest();
     let sent_at = Instant::now();
     // Whether a second server is tried is for the asker to say.
     let watch = Watch { service: &service, slow_after: request.lasts(), may_run_again: is_read };
@@ -423,7 +423,7 @@
             engine.note_health(group, &reached.server, outcome_of(answer.error_code()));
             engine.note_answer(group, &service, &reached, answer.point, took);
             if request.leads && answer.error_code().is_none() {
-                let sample = Sample { sent_at, known, point: answer.point };
+                let sample = Sample { sent_at, known_point, point: answer.point };
                 engine.note_handed_over(group, &service, &reached.server, sample);
             }
             let state = answer.state;
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -46,14 +46,14 @@
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log had reached, as known before the statement was sent.
-    pub(crate) known: Option<LogPoint>,
+    pub(crate) known_point: Option<LogPoint>,
 }
 
 /// A log position returned by a primary, and the latest one known before the request.
 #[derive(Clone, Copy)]
 pub(crate) struct Sample {
     pub(crate) sent_at: Instant,
-    pub(crate) known: Option<LogPoint>,
+    pub(crate) known_point: Option<LogPoint>,
     pub(crate) point: Option<LogPoint>,
 }
 
@@ -235,8 +235,8 @@
         });
         let min_point = if leader.is_some() { None } else { min_point };
         self.count_sent(&lent, group, leader.is_some());
-        let known = group.samples.borrow().latest();
-        Ok(Assignment { lent, leader, min_point, known })
+        let known_point = group.samples.borrow().latest();
+        Ok(Assignment { lent, leader, min_point, known_point })
     }
 
     /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
@@ -251,6 +251,7 @@
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
 
+    /// Whether the given leader is still the usable leader of the service, in the same term.
     pub(crate) fn is_current_leader(
         &self,
         service: &Name,
@@ -264,6 +265,7 @@
         })
     }
 
+    /// Counts a statement sent, by the role of its server and whether that is in the same zone.
     pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, is_primary: bool) {
         let role = if is_primary { "primary" } else { "replica" };
         let is_same_zone = group
@@ -405,7 +407,7 @@
         self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
         self.note_served(group, job, assignment.leader.is_some());
         let Some(leader) = assignment.leader else { return answer };
-        let sample = Sample { sent_at, known: assignment.known, point: answer.point };
+        let sample = Sample { sent_at, known_point: assignment.known_point, point: answer.point };
         self.add_sample(group, service, &leader, sample);
         if job.work.class() == StatementClass::Write
             && !self.confirm_write(service, &leader, answer.point, job.deadline()).await
@@ -423,11 +425,11 @@
         leader: &GroupLeader,
         sample: Sample,
     ) {
-        let Sample { sent_at, known, point } = sample;
+        let Sample { sent_at, known_point, point } = sample;
         if let Some(point) = point
             && self.is_current_leader(service, Some(leader), Instant::now())
         {
-            self.check_primary_answer(group, service, leader, known, Some(point));
+            self.check_primary_answer(group, service, leader, known_point, Some(point));
             group.samples.borrow_mut().add(sent_at, point);
             group.sample_added.notify_waiters();
             self.share_sample(group, service, PrimarySample { asked_at: sent_at, point });
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -109,8 +109,8 @@
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
             let ongoing = self.observe_outage(group, outage, began_at, now);
-            let queued_here = queued.get_or_insert_with(|| group.outage.enqueue(job.rank()));
-            let backlog = self.service_interval(group, &job.route.service) * queued_here.ahead();
+            let entry = queued.get_or_insert_with(|| group.outage.enqueue(job.rank()));
+            let backlog = self.service_interval(group, &job.route.service) * entry.ahead();
             let backlog = backlog.min(job.route.target_latency);
             let hold = self.decide_hold(&ongoing, job, backlog, now);
             let was_stopping = stopping.borrow_and_update().is_some();
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -108,7 +108,9 @@
                     self.note_answer(&group, &job.route.service, &reached, answer.point, took);
                     match self.transaction_step(&answer, is_first, job) {
                         TransactionStep::Deliver => {
-                            return self.finish_in_transaction(job, transaction, answer).await;
+                            return self
+                                .finish_transaction_statement(job, transaction, answer)
+                                .await;
                         }
                         TransactionStep::RetryOnConnection => tokio::time::sleep(RETRY_PAUSE).await,
                         TransactionStep::Restart => {
@@ -187,8 +189,8 @@
                     None => {
                         self.note_served(group, job, assignment.leader.is_some());
                         if let Some(leader) = &assignment.leader {
-                            let known = assignment.known;
-                            let sample = Sample { sent_at, known, point: answer.point };
+                            let known_point = assignment.known_point;
+                            let sample = Sample { sent_at, known_point, point: answer.point };
                             self.add_sample(group, &job.route.service, leader, sample);
                         }
                         transaction.lent = Some(assignment.lent);
@@ -266,7 +268,7 @@
         }
     }
 
-    pub(crate) async fn finish_in_transaction(
+    pub(crate) async fn finish_transaction_statement(
         self: &Rc<Self>,
         job: &Job<'_>,
         transaction: &mut Transaction<E>,
