--- a/crates/proxy/src/serve/placement.rs
+++ b/crates/proxy/src/serve/placement.rs
@@ -32,12 +32,12 @@
 
 /// Returns where a statement, or the transaction that it opens, may run.
 ///
-/// `own` is the point of the session's latest own write. A point of an ended term is clamped to the end of
+/// `own_point` is the point of the session's latest own write. A point of an ended term is clamped to the end of
 /// that term, since entries beyond it were rolled back and no log holds them.
 pub fn placement_for(
     rule: ReadRule,
     class: StatementClass,
-    own: Option<LogPoint>,
+    own_point: Option<LogPoint>,
     samples: &StalenessSamples,
     history: &TermHistory,
     now: Instant,
@@ -45,15 +45,15 @@
     if class == StatementClass::Write {
         return Placement::Primary;
     }
-    let (bound, own) = match rule {
+    let (bound, own_point) = match rule {
         ReadRule::Primary => return Placement::Primary,
         ReadRule::BoundedStaleness { bound } => (bound, None),
-        ReadRule::OwnWrites { bound } => (bound, own),
+        ReadRule::OwnWrites { bound } => (bound, own_point),
     };
     let Some(sample) = samples.point_for(bound.saturating_sub(STALENESS_MARGIN), now) else {
         return Placement::Primary;
     };
     let sample = history.clamp(sample);
-    let own = own.map(|own| history.clamp(own));
-    Placement::AtLeast(own.map_or(sample, |own| own.max(sample)))
+    let own_point = own_point.map(|own_point| history.clamp(own_point));
+    Placement::AtLeast(own_point.map_or(sample, |own_point| own_point.max(sample)))
 }
