--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -99,7 +99,7 @@
     }
 
     /// Waits before a server is chosen again if no connection to this one may be opened now. Fails if the server
-    /// stays unreachable until the deadline.
+    /// stays unreachable until the deadline, or if the deadline would pass first.
     async fn await_opening(
         &self,
         server: &str,
