--- a/crates/proxy/src/control/adapter.rs
+++ b/crates/proxy/src/control/adapter.rs
@@ -1,7 +1,7 @@
-//! What the control thread reaches the world outside through, as one type.
+//! The external interfaces of the control thread, bundled into one type parameter.
 //!
-//! The store, the orders, the catalog's format and the servers' wire vary together, since one adapter fills
-//! them all; one parameter in their place keeps every `impl` of the control thread to a line.
+//! One adapter supplies the store client, the promotion orders, the catalog format and the server dialect
+//! together.
 
 use std::marker::PhantomData;
 
@@ -10,19 +10,19 @@
     order::PromotionOrders,
 };
 
-/// The four types that an adapter fills.
+/// The four types that an adapter supplies.
 pub trait Adapter: 'static {
     /// The client of the store.
     type Store: MetadataStore;
     /// Where promotions are ordered.
     type Orders: PromotionOrders;
-    /// How the catalog is written.
+    /// The format of the catalog.
     type Format: CatalogFormat;
-    /// How servers speak.
+    /// The protocol of the servers.
     type Dialect: EndpointDialect;
 }
 
-/// Joins four types; no value of it exists.
+/// Combines four types into an [`Adapter`]; it has no values.
 pub struct AdapterTypes<M, O, F, E>(PhantomData<(M, O, F, E)>);
 
 impl<M, O, F, E> Adapter for AdapterTypes<M, O, F, E>
--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! What a daemon believes and how it comes to believe it: the configuration, the servers, the other
-//! daemons, who leads each group.
+//! The control thread: its view of the configuration, the servers, the other daemons and the group leaders,
+//! and how that view is kept up to date.
 
 pub mod adapter;
 mod backoff;
--- a/crates/proxy/src/control/tree.rs
+++ b/crates/proxy/src/control/tree.rs
@@ -1,38 +1,38 @@
-//! Which daemon another one follows the store through; see `docs/PLATFORM.md`, "Following the store".
+//! Selects the daemon through which another one follows the store; see `docs/PLATFORM.md`, "Following the
+//! store".
 
 use std::net::SocketAddr;
 
-/// Daemons that follow the store through one daemon: a configuration that is sent to each of them goes
-/// over that one's link, and a wide tree is a low one.
-const FOLLOWERS_EACH: usize = 8;
+/// Followers per daemon. Each change is sent to every follower over the daemon's link; a wider tree has fewer
+/// levels.
+const MAX_FOLLOWERS: usize = 8;
 
-/// A daemon that can be asked.
+/// A daemon that accepts requests of other daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct TreeMember<'a> {
-    /// Its host, by which members are ordered.
+    /// The host, by which members are ordered.
     pub host: &'a str,
-    /// Where it stands.
+    /// The host's availability zone.
     pub availability_zone: &'a str,
-    /// Where it is asked.
+    /// The address for requests of other daemons.
     pub address: SocketAddr,
 }
 
-/// Returns the daemon through which the one on `host` follows the store; `None` if it follows the store
-/// itself. `members` come in the order of their hosts, without those that did not answer lately.
+/// Returns the daemon through which `host` follows the store; `None` if it reads the store itself. `members`
+/// are sorted by host and leave out daemons that did not answer recently.
 ///
-/// A daemon follows one of its zone that comes before it. The first of a zone follows the first of another
-/// zone that comes before it, so only the very first reads and watches the store, and whoever promotes: with
-/// one in each of three zones, half of all calls to the store were the same call three times.
+/// A daemon follows an earlier one of its zone. The first daemon of a zone follows the earliest daemon of any
+/// zone, so that only one daemon of the fleet, and the promoter, read the store directly.
 pub fn select_upstream(
     members: &[TreeMember<'_>],
     host: &str,
     availability_zone: &str,
 ) -> Option<SocketAddr> {
     let before: Vec<&TreeMember<'_>> = members.iter().filter(|member| member.host < host).collect();
-    let near: Vec<&&TreeMember<'_>> =
+    let in_zone: Vec<&&TreeMember<'_>> =
         before.iter().filter(|member| member.availability_zone == availability_zone).collect();
-    match near.len().checked_sub(1) {
-        Some(last) => Some(near[last / FOLLOWERS_EACH].address),
+    match in_zone.len().checked_sub(1) {
+        Some(last) => Some(in_zone[last / MAX_FOLLOWERS].address),
         None => before.first().map(|member| member.address),
     }
 }
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Which daemon follows the store through which.
+//! Tests of the choice of a daemon's upstream.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number))
 }
 
-/// Members as "zone-number", of which the zone is the part before the dash.
+/// Members named "zone-number".
 fn members<'a>(hosts: &[&'a str]) -> Vec<TreeMember<'a>> {
     let member = |host: &&'a str| TreeMember {
         host,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn one_daemon_follows_the_store_and_the_others_each_other() {
+fn one_daemon_reads_the_store_and_the_others_follow_daemons() {
     let all = ["a-1", "a-2", "b-3", "b-4", "c-5"];
     let cases = [
         ("the first of all", &all[..], "a-1", None),
@@ -31,8 +31,8 @@
         ("alone in its zone", &all, "c-5", Some("a-1")),
         ("the first is silent", &all[1..], "b-3", Some("a-2")),
         ("the first of its zone is silent", &["a-1", "b-4"][..], "b-4", Some("a-1")),
-        ("whoever is left", &["c-5"][..], "c-5", None),
-        ("those that come later are never followed", &["b-3", "b-4"][..], "b-3", None),
+        ("the only one left", &["c-5"][..], "c-5", None),
+        ("later daemons are never followed", &["b-3", "b-4"][..], "b-3", None),
     ];
     for (name, known, host, expected) in cases {
         let zone = host.split('-').next().unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn no_daemon_has_more_than_eight_followers_in_its_zone_and_none_follows_in_a_circle() {
+fn no_daemon_has_more_than_eight_followers_in_its_zone_and_there_are_no_cycles() {
     let hosts: Vec<String> = (100..400).map(|number| format!("a-{number}")).collect();
     let hosts: Vec<&str> = hosts.iter().map(String::as_str).collect();
     let all = members(&hosts);
@@ -52,9 +52,9 @@
             assert_eq!(place, 0);
             continue;
         };
-        let followed = all.iter().position(|member| member.address == found).unwrap();
-        assert!(followed < place, "{host}");
-        followers[followed] += 1;
+        let upstream = all.iter().position(|member| member.address == found).unwrap();
+        assert!(upstream < place, "{host}");
+        followers[upstream] += 1;
     }
     assert!(followers.iter().all(|count| *count <= 8), "{followers:?}");
 }
