--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -1,7 +1,7 @@
-//! What a daemon holds to be true, as one value that is replaced as a whole.
+//! The control thread's view of the fleet, published as one immutable value.
 //!
-//! The control thread publishes it, the serving thread reads it. Nothing in it is believed for longer
-//! than it says: the right to use a primary ends by itself ([`GroupLeader::valid_until`]).
+//! The control thread publishes it and the serving thread reads it. Primary leases in it expire by
+//! themselves, see [`GroupLeader::valid_until`].
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -20,7 +20,7 @@
     serve::share::Sharers,
 };
 
-/// What gives the right to use a primary; see `docs/PLATFORM.md`, "Who leads".
+/// What a primary lease is based on; see `docs/PLATFORM.md`, "Who leads".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
     /// A linearizable read of the leadership records.
@@ -30,7 +30,7 @@
 }
 
 impl Basis {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Basis::Store => "store",
@@ -39,22 +39,22 @@
     }
 }
 
-/// Who leads a group, as far as this daemon may act on it.
+/// The leader of a group and this daemon's lease to use it.
 #[derive(Clone, Debug)]
 pub struct GroupLeader {
     /// The primary.
     pub server: Name,
-    /// Its term.
+    /// The primary's term.
     pub term: Term,
-    /// Until when it may be used, by the steady clock; counted from when the question was sent.
+    /// When the primary lease expires by the monotonic clock, counted from when the request was sent.
     pub valid_until: Instant,
-    /// What the right rests on.
+    /// What the primary lease is based on.
     pub basis: Basis,
-    /// Whether a change of primary is under way, so that the right can't be renewed for now.
+    /// Whether a change of primary is running, during which the lease can't be renewed.
     pub changing: bool,
-    /// Whether a planned change of primary is under way, or its new primary is about to be used.
+    /// Whether a planned change of primary is running, or its new primary is not used yet.
     pub planned: bool,
-    /// Where each term began, which says what of an ended term was kept.
+    /// The log point at which each term began, which tells which writes of an ended term were kept.
     pub history: Arc<TermHistory>,
 }
 
@@ -65,52 +65,55 @@
     }
 }
 
-/// Daemons that may reach a server which this one can't, by the server's identity; nearest first.
+/// Daemons that may reach a server which this one can't reach, by server identity; nearest first.
 pub type TunnelPeers = HashMap<Name, Arc<[SocketAddr]>>;
 
-/// Who owns the connections to a server.
+/// The owners of the connections to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
     /// Whether this daemon is one of the owners.
     pub is_owner: bool,
-    /// The owners that come before this daemon, in the order in which they are asked. The best owner has
-    /// nobody to ask; the second one uses its own connections only while the first does not answer, so that one
-    /// queue sees the whole zone's demand.
-    pub asked: Arc<[SocketAddr]>,
+    /// The owners ranked before this daemon, best first. An owner uses its own connections only while those
+    /// ranked before it do not answer, so that one queue sees the demand of the whole zone.
+    pub owners_before: Arc<[SocketAddr]>,
 }
 
-/// The daemons by zone, among whom the owners of a server's connections are found.
+/// The members by zone, from which the owners of a server's connections are chosen.
 ///
-/// They are found when a server is used: a daemon that worked them out for every server whenever a member came or went
-/// would compare 3,000 servers with 60 members each time, 7 ms of a core, while its callers use a few groups.
+/// Owners are computed when a server is used: computing them for every server at each membership change is
+/// too expensive in a large fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owners {
     /// This daemon's host.
     pub host: Option<Name>,
-    /// The members that can be asked, by zone and host.
+    /// The request addresses of the members, by zone and host.
     pub by_zone: BTreeMap<Name, BTreeMap<Name, SocketAddr>>,
 }
 
 impl Owners {
-    /// Returns who of a zone owns the connections to a server; `None` before anybody there is known.
-    pub fn of(&self, server: &str, zone: &str) -> Option<Ownership> {
-        self.among(server, self.by_zone.get(zone)?)
+    /// Returns the owners within a zone of the connections to a server; `None` if the zone has no members.
+    pub fn in_zone(&self, server: &str, zone: &str) -> Option<Ownership> {
+        self.owners_among(server, self.by_zone.get(zone)?)
     }
 
-    /// Returns who owns them where nobody of the server's own zone is known.
-    pub fn elsewhere(&self, server: &str) -> Option<Ownership> {
-        self.among(server, self.by_zone.values().next()?)
+    /// Returns the owners in the first zone that has members, for servers whose own zone has none.
+    pub fn in_any_zone(&self, server: &str) -> Option<Ownership> {
+        self.owners_among(server, self.by_zone.values().next()?)
     }
 
-    fn among(&self, server: &str, members: &BTreeMap<Name, SocketAddr>) -> Option<Ownership> {
+    fn owners_among(
+        &self,
+        server: &str,
+        members: &BTreeMap<Name, SocketAddr>,
+    ) -> Option<Ownership> {
         let hosts = owners_of(server, members.keys().map(|host| &**host));
         if hosts.is_empty() {
             return None;
         }
-        let own_place = hosts.iter().position(|host| Some(*host) == self.host.as_deref());
-        let before = own_place.unwrap_or(hosts.len());
-        let asked = hosts[..before].iter().map(|host| members[*host]).collect();
-        Some(Ownership { is_owner: own_place.is_some(), asked })
+        let own_rank = hosts.iter().position(|host| Some(*host) == self.host.as_deref());
+        let before = own_rank.unwrap_or(hosts.len());
+        let owners_before = hosts[..before].iter().map(|host| members[*host]).collect();
+        Some(Ownership { is_owner: own_rank.is_some(), owners_before })
     }
 }
 
@@ -119,33 +122,34 @@
 pub struct ControlView {
     /// The configuration in force.
     pub catalog: Arc<Catalog>,
-    /// Servers by service.
+    /// The servers by service.
     pub servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
-    /// Who leads, by service.
+    /// The leaders by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
-    /// Daemons that share the servers' connections.
+    /// The numbers of daemons that share the servers' connections.
     pub sharers: Sharers,
-    /// Ways around to the servers that this daemon can't reach itself.
+    /// Daemons that can open tunnels to servers which this one can't reach.
     pub tunnel_peers: Arc<TunnelPeers>,
-    /// Who owns the connections to servers, where there are too few for every daemon to have its own.
+    /// The members from which connection owners are chosen, for servers with too few connections for every
+    /// daemon.
     pub owners: Arc<Owners>,
-    /// Where primaries' logs stood, as other daemons of the zone saw it.
+    /// The latest log samples of primaries, by service, from any daemon of the zone.
     pub samples: Arc<HashMap<Name, PrimarySample>>,
     /// Whether the servers' entries have been read at least once.
     pub servers_known: bool,
-    /// Every member that can be asked, by host.
+    /// The request addresses of the members, by host.
     pub members: Arc<BTreeMap<Name, SocketAddr>>,
-    /// Until when this daemon is a member by its own clock.
+    /// When this daemon's membership ends by its own clock.
     pub member_until: Option<Instant>,
 }
 
 impl ControlView {
-    /// Whether callers can be served at all.
+    /// Whether callers can be served.
     pub fn is_ready(&self) -> bool {
         self.catalog.version > 0 && self.servers_known
     }
 
-    /// Whether this daemon is a member, so that others count it as one too.
+    /// Whether this daemon is a member, so that other daemons count it.
     pub fn is_member(&self, now: Instant) -> bool {
         self.member_until.is_some_and(|until| now < until)
     }
@@ -155,58 +159,58 @@
         self.catalog.accounts.as_ref().is_some_and(|accounts| accounts.has_limits())
     }
 
-    /// Returns who leads a service if that may be acted on now.
+    /// Returns the leader of a service if this daemon holds a valid lease to use it.
     pub fn usable_leader(&self, service: &str, now: Instant) -> Option<&GroupLeader> {
-        self.leaders.get(service).filter(|lead| lead.is_valid(now))
+        self.leaders.get(service).filter(|leader| leader.is_valid(now))
     }
 
-    /// Whether there is no primary only because of a planned change, which is over within a second.
+    /// Whether the service lacks a primary only because of a planned change, which takes less than a second.
     pub fn is_planned_gap(&self, service: &str, now: Instant) -> bool {
-        self.leaders.get(service).is_some_and(|lead| lead.planned && !lead.is_valid(now))
+        self.leaders.get(service).is_some_and(|leader| leader.planned && !leader.is_valid(now))
     }
 
     /// Whether the primary is being replaced.
     pub fn is_changing(&self, service: &str) -> bool {
-        self.leaders.get(service).is_some_and(|lead| lead.changing)
+        self.leaders.get(service).is_some_and(|leader| leader.changing)
     }
 }
 
-/// What the serving thread tells the control thread.
+/// An observation that the serving thread reports to the control thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// Whether a server answers this daemon changed.
+    /// A server became reachable or unreachable from this daemon.
     Reachability {
         /// The service.
         service: Name,
         /// The server.
         server: Name,
-        /// Whether it answers.
+        /// Whether the server answers.
         reachable: bool,
-        /// When the question was sent that shows it.
+        /// When the request was sent that showed it.
         asked_at: Instant,
     },
-    /// Where a primary's log stood while this daemon might use it.
+    /// The log position of a primary that this daemon was allowed to use.
     PrimarySampled {
         /// The service.
         service: Name,
         /// The sample.
         sample: PrimarySample,
     },
-    /// Callers of this daemon ask for a service; told again every second while they do.
+    /// Callers of this daemon use a service; repeated every second while they do.
     Used {
         /// The service.
         service: Name,
     },
-    /// A read had to go to the primary of some service only because nobody knows where its log stood lately.
+    /// A read had to go to a primary only because there was no recent sample of its log.
     SampleWanted,
-    /// A primary's answer contradicts the right to use it in a term.
+    /// A primary's answer contradicts the lease to use it in a term.
     Contradicted {
         /// The service.
         service: Name,
         /// The term.
         term: Term,
     },
-    /// Reads are refused at a primary because every replica is too far behind to run them.
+    /// A primary refuses reads because every replica is too far behind to serve them.
     ReplicasBehind {
         /// The service.
         service: Name,
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -134,14 +134,14 @@
             let server = &slot.entry.server;
             let ownership = match share.owned {
                 None => None,
-                Some(Owned::InEachZone(_)) => owners.of(server, self.layout.zone()),
+                Some(Owned::InEachZone(_)) => owners.in_zone(server, self.layout.zone()),
                 Some(Owned::Once { .. }) => owners
-                    .of(server, &slot.entry.availability_zone)
-                    .or_else(|| owners.elsewhere(server)),
+                    .in_zone(server, &slot.entry.availability_zone)
+                    .or_else(|| owners.in_any_zone(server)),
             };
             (slot.limit, slot.keeps) = match (&ownership, share.owned, share.keep) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
-                    let place = ownership.asked.len();
+                    let place = ownership.owners_before.len();
                     (owned.most_at(place, self.overload.queue), owned.kept_at(place))
                 }
                 (Some(_), _, _) => (share.limit, 0),
@@ -149,7 +149,7 @@
                 (None, _, Keep::OneNear) => (share.limit, u32::from(is_near)),
                 (None, _, Keep::Nothing) => (share.limit, 0),
             };
-            slot.owners = ownership.map(|it| it.asked).unwrap_or_default();
+            slot.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
             slot.paths.keep_only(&slot.owners);
             slot.loan = share.loan;
             let most = slot.limit + share.loan;
