--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -29,7 +29,7 @@
         engine::{AcquireError, Engine, Group},
         execute::{Sample, Watch},
         health::outcome_of,
-        lent::Lent,
+        pooled_connection::PooledConnection,
         verdict::Progress,
     },
     statement::TransactionState,
@@ -241,12 +241,12 @@
         Err(why) => return not_sent(why),
     };
     if request.is_over_at(engine.clock_ms()) {
-        lent.give_back();
+        lent.release();
         return not_sent(NotSent::TooLate);
     }
     let (outcome, state) = run(engine, &group, request, &task, &mut lent, received_at).await;
     match state {
-        Some(TransactionState::Idle) => lent.give_back(),
+        Some(TransactionState::Idle) => lent.release(),
         Some(_) => engine.roll_back(lent),
         // Closing it rolls back whatever is open.
         None => drop(lent),
@@ -261,7 +261,7 @@
     answers: flume::Sender<RelayAnswer>,
     is_unwanted: CancellationToken,
 ) {
-    let mut lent: Option<Lent<E>> = None;
+    let mut lent: Option<PooledConnection<E>> = None;
     loop {
         let rest = engine.control_view().catalog.idle_transaction;
         let request = match rest {
@@ -275,7 +275,7 @@
         let Ok(request) = request else { break };
         if let Some(RelayTask::Release(is_clean)) = request.task {
             match lent.take() {
-                Some(lent) if is_clean => lent.give_back(),
+                Some(lent) if is_clean => lent.release(),
                 Some(lent) => engine.roll_back(lent),
                 None => {}
             }
@@ -330,7 +330,7 @@
 async fn await_turn<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
-    held: &mut Lent<E>,
+    held: &mut PooledConnection<E>,
 ) -> Result<(), NotSent> {
     let left_ms = request.begin_until_ms.saturating_sub(engine.clock_ms());
     held.await_turn(Instant::now() + Duration::from_millis(left_ms)).await?;
@@ -364,7 +364,7 @@
     task: &EndpointTask,
     received_at: Instant,
     is_unwanted: &CancellationToken,
-) -> Result<Lent<E>, NotSent> {
+) -> Result<PooledConnection<E>, NotSent> {
     if engine.is_stopping() {
         return Err(NotSent::Unwilling);
     }
@@ -403,7 +403,7 @@
     group: &Rc<Group<E>>,
     request: &RelayRequest,
     task: &EndpointTask,
-    lent: &mut Lent<E>,
+    lent: &mut PooledConnection<E>,
     received_at: Instant,
 ) -> (RelayOutcome, Option<TransactionState>) {
     let deadline = received_at + request.lasts();
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -119,7 +119,7 @@
     }
 
     /// Ends it where nothing is open any more, so that the connection goes to others.
-    pub fn give_back(mut self) {
+    pub fn release(mut self) {
         self.end(true);
     }
 
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -72,7 +72,7 @@
     let task = EndpointTask::internal(TaskKind::Command(ask.text.clone()));
     match lent.run(&task, ask.deadline).await {
         Ok(answer) => {
-            lent.give_back();
+            lent.release();
             let row = answer.rows.first()?;
             engine.endpoint_dialect.decode_status(row)
         }
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -27,10 +27,10 @@
     serve::{
         connection::{ConnectionLost, EndpointConnection, Introduction},
         connection_request::ConnectionRequest,
-        lent::{Lent, OpeningPlace},
         limits::Limits,
         outage::GroupOutage,
         pool::{GroupPool, NoConnection, Offer},
+        pooled_connection::{OpeningPermit, PooledConnection},
         primary_wait::HoldState,
         reachability::ProbeState,
         replay::SessionValues,
@@ -309,7 +309,7 @@
             let groups: Vec<Rc<Group<E>>> = self.groups.borrow().values().cloned().collect();
             let mut is_scarce = false;
             for group in groups {
-                is_scarce |= group.pool.end_rested();
+                is_scarce |= group.pool.close_spare_connections();
             }
             if !is_scarce {
                 tokio::time::sleep(SCARCITY_CHECK_INTERVAL).await;
@@ -324,9 +324,9 @@
         mut request: ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
-    ) -> Result<Lent<E>, AcquireError> {
+    ) -> Result<PooledConnection<E>, AcquireError> {
         loop {
-            let lent = group.pool.lend(request.clone(), values, deadline).await;
+            let lent = group.pool.acquire(request.clone(), values, deadline).await;
             self.count_forwarded(&request, &lent);
             let offer = match lent {
                 Ok(offer) => offer,
@@ -338,7 +338,7 @@
                 }
             };
             let place = match offer {
-                Offer::Lent(lent) => return Ok(lent),
+                Offer::Ready(lent) => return Ok(lent),
                 Offer::Open(place) => place,
             };
             let server = place.entry.server.clone();
@@ -396,7 +396,7 @@
     /// Opens a connection, through another daemon where there is a detour.
     async fn open(
         &self,
-        place: &OpeningPlace<E>,
+        place: &OpeningPermit<E>,
         detour: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -21,8 +21,8 @@
         endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
         job::Job,
-        lent::Lent,
         placement::STALENESS_MARGIN,
+        pooled_connection::PooledConnection,
         primary_wait::Attempts,
         verdict::{NextStep, Progress, after_error, after_loss, is_write_kept},
     },
@@ -42,7 +42,7 @@
 
 /// A connection on which a statement may run now, with what it has to show.
 pub(crate) struct Assignment<E: EndpointDialect> {
-    pub(crate) lent: Lent<E>,
+    pub(crate) lent: PooledConnection<E>,
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log is known to have reached before the statement is sent.
@@ -102,7 +102,7 @@
                         return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
-                        assignment.lent.give_back();
+                        assignment.lent.release();
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
@@ -115,7 +115,7 @@
                             assignment.min_point,
                             &answer,
                         );
-                        assignment.lent.give_back();
+                        assignment.lent.release();
                         let next = after_error(code, class);
                         if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
@@ -224,7 +224,7 @@
         // Time may have passed, and with it the right to use this primary.
         let now = Instant::now();
         if min_point.is_none() && !self.is_current_leader(service, leader.as_ref(), now) {
-            lent.give_back();
+            lent.release();
             return Err(AssignError::Retry);
         }
         // A read at the primary needs no minimum point while the right to it holds, by what is believed now: the
@@ -263,7 +263,12 @@
         })
     }
 
-    pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, is_primary: bool) {
+    pub(crate) fn count_sent(
+        &self,
+        lent: &PooledConnection<E>,
+        group: &Group<E>,
+        is_primary: bool,
+    ) {
         let role = if is_primary { "primary" } else { "replica" };
         let near = group
             .pool
@@ -318,7 +323,7 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        lent: &mut Lent<E>,
+        lent: &mut PooledConnection<E>,
         min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
@@ -339,7 +344,7 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         task: &EndpointTask,
-        lent: &mut Lent<E>,
+        lent: &mut PooledConnection<E>,
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
@@ -400,7 +405,7 @@
         sent_at: Instant,
     ) -> Answer {
         let reached = assignment.lent.reached();
-        assignment.lent.give_back();
+        assignment.lent.release();
         let service = &job.route.service;
         self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
         self.note_served(group, job, assignment.leader.is_some());
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -30,7 +30,7 @@
         choose::{Candidate, Choice, choose, mark_non_preferred},
         connection::EndpointConnection,
         connection_request::ConnectionRequest,
-        lent::{Held, Lent, OpeningPlace},
+        pooled_connection::{Backing, OpeningPermit, PooledConnection},
         replay::{Environment, SessionValues},
         server_queue::Turn,
         share::{Keep, Owned, Share},
@@ -83,9 +83,9 @@
 /// What a request was answered with.
 pub enum Offer<E: EndpointDialect> {
     /// A connection.
-    Lent(Lent<E>),
+    Ready(PooledConnection<E>),
     /// Leave to open one.
-    Open(OpeningPlace<E>),
+    Open(OpeningPermit<E>),
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
@@ -164,7 +164,7 @@
     }
 
     /// Finds a connection, or leave to open one, waiting until `deadline` if all are in use.
-    pub async fn lend(
+    pub async fn acquire(
         self: &Rc<Self>,
         request: ConnectionRequest,
         values: &SessionValues,
@@ -177,23 +177,23 @@
                 Choice::Wait => return self.wait_for_connection(request, deadline).await,
                 Choice::NoServer => return Err(NoConnection::Nowhere),
             };
-            if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
-                return Ok(Offer::Lent(lent));
+            if has_idle && let Some(lent) = self.acquire_remote(index, &request, deadline) {
+                return Ok(Offer::Ready(lent));
             }
             self.note_try(index, &request);
-            if let Some(offer) = self.lend_queued(index, &request, values, deadline).await? {
+            if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
         }
     }
 
     /// Returns the right to use a connection of the server's owner, if another daemon owns them and is there.
-    fn lease(
+    fn acquire_remote(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
         wait_until: Instant,
-    ) -> Option<Lent<E>> {
+    ) -> Option<PooledConnection<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last_resort =
@@ -214,11 +214,11 @@
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
         let lease = Lease::new(self.relays.clone(), link, terms);
-        let held = Held::Owners(lease);
-        Some(Lent {
+        let backing = Backing::Remote(lease);
+        Some(PooledConnection {
             pool: self.clone(),
-            held,
-            lent_at: Instant::now(),
+            backing,
+            acquired_at: Instant::now(),
             yields: false,
             turn: None,
             step: None,
@@ -250,7 +250,7 @@
     }
 
     /// Notes that nothing runs any more at an owner that ran there.
-    pub(super) fn leave_owner(&self, server: &str) {
+    pub(super) fn release_remote(&self, server: &str) {
         self.with_slot(server, |slot| slot.at_owners = slot.at_owners.saturating_sub(1));
     }
 
@@ -351,17 +351,17 @@
         Some(slot.idle.remove(best).1)
     }
 
-    pub(super) fn place(
+    pub(super) fn permit_opening(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
         turn: Option<Turn>,
-    ) -> OpeningPlace<E> {
+    ) -> OpeningPermit<E> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.make_room();
         slot.take(request.yields);
-        OpeningPlace {
+        OpeningPermit {
             pool: self.clone(),
             entry: slot.entry.clone(),
             yields: request.yields,
@@ -372,25 +372,32 @@
     }
 
     /// Gives who waits leave to open a connection to a server, if it still waits.
-    pub(super) fn offer_place(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
+    pub(super) fn offer_opening(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
         let place = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| &*slot.entry.server == server)
         };
         let Some(index) = place else { return };
-        let place = self.place(index, &waiter.request, None);
+        let place = self.permit_opening(index, &waiter.request, None);
         // A place that nobody takes any more gives itself up when it is dropped.
         let _ = waiter.grant.send(Offer::Open(place));
     }
 
-    pub(super) fn lent(
+    pub(super) fn pooled(
         self: &Rc<Self>,
         connection: Box<EndpointConnection<E>>,
         yields: bool,
         turn: Option<Turn>,
-    ) -> Lent<E> {
-        let held = Held::Own(connection);
-        Lent { pool: self.clone(), held, lent_at: Instant::now(), yields, turn, step: None }
+    ) -> PooledConnection<E> {
+        let backing = Backing::Local(connection);
+        PooledConnection {
+            pool: self.clone(),
+            backing,
+            acquired_at: Instant::now(),
+            yields,
+            turn,
+            step: None,
+        }
     }
 
     pub(super) fn with_slot<R>(
@@ -403,7 +410,7 @@
     }
 
     /// Ends connections that nobody has needed for a while; `true` if there may be more to end.
-    pub fn end_rested(&self) -> bool {
+    pub fn close_spare_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let is_scarce = state.keep != Keep::One;
         if is_scarce {
@@ -430,7 +437,7 @@
         });
     }
 
-    pub(super) fn give_up(self: &Rc<Self>, server: &str, yields: bool) {
+    pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
         self.with_slot(server, |slot| slot.leave(yields));
         self.serve_waiters();
     }
--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -53,7 +53,7 @@
             };
             let Some(entry) = free else { return };
             let Some(waiter) = self.next_waiter(&entry.server) else { return };
-            self.offer_place(&entry.server, waiter);
+            self.offer_opening(&entry.server, waiter);
         }
     }
 
--- a/crates/proxy/src/serve/lent.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -26,7 +26,7 @@
 };
 
 /// The place of a connection that is about to be opened.
-pub struct OpeningPlace<E: EndpointDialect> {
+pub struct OpeningPermit<E: EndpointDialect> {
     pub(super) pool: Rc<GroupPool<E>>,
     /// The server to connect to.
     pub entry: Arc<ServerEntry>,
@@ -39,10 +39,10 @@
 }
 
 /// What one statement or transaction has for itself.
-pub struct Lent<E: EndpointDialect> {
+pub struct PooledConnection<E: EndpointDialect> {
     pub(super) pool: Rc<GroupPool<E>>,
-    pub(super) held: Held<E>,
-    pub(super) lent_at: Instant,
+    pub(super) backing: Backing<E>,
+    pub(super) acquired_at: Instant,
     pub(super) yields: bool,
     /// The turn that the connection goes with, and that of the transaction's present statement.
     pub(super) turn: Option<Turn>,
@@ -50,62 +50,62 @@
 }
 
 /// A connection, or the right to use another daemon's.
-pub(super) enum Held<E: EndpointDialect> {
+pub(super) enum Backing<E: EndpointDialect> {
     /// A connection of this daemon.
-    Own(Box<EndpointConnection<E>>),
+    Local(Box<EndpointConnection<E>>),
     /// One of the daemon that owns the connections to this server.
-    Owners(Lease),
+    Remote(Lease),
     /// It was given back.
-    Nothing,
+    Released,
 }
 
-impl<E: EndpointDialect> OpeningPlace<E> {
+impl<E: EndpointDialect> OpeningPermit<E> {
     /// Takes the new connection.
-    pub fn opened(mut self, connection: EndpointConnection<E>) -> Lent<E> {
+    pub fn opened(mut self, connection: EndpointConnection<E>) -> PooledConnection<E> {
         self.settled = true;
         let turn = self.turn.take();
-        self.pool.lent(Box::new(connection), self.yields, turn)
+        self.pool.pooled(Box::new(connection), self.yields, turn)
     }
 }
 
-impl<E: EndpointDialect> Drop for OpeningPlace<E> {
+impl<E: EndpointDialect> Drop for OpeningPermit<E> {
     fn drop(&mut self) {
         if !self.settled {
-            self.pool.give_up(&self.entry.server, self.yields);
+            self.pool.forget_connection(&self.entry.server, self.yields);
         }
     }
 }
 
-impl<E: EndpointDialect> Lent<E> {
+impl<E: EndpointDialect> PooledConnection<E> {
     /// Returns the server's identity.
     pub fn server(&self) -> &Name {
-        match &self.held {
-            Held::Own(connection) => &connection.server,
-            Held::Owners(lease) => lease.server(),
-            Held::Nothing => unreachable!("what was given back is not used"),
+        match &self.backing {
+            Backing::Local(connection) => &connection.server,
+            Backing::Remote(lease) => lease.server(),
+            Backing::Released => unreachable!("what was given back is not used"),
         }
     }
 
     /// Returns the server and how it is reached.
     pub fn reached(&self) -> Reached {
-        let is_direct = match &self.held {
-            Held::Own(connection) => connection.is_direct,
-            Held::Owners(_) | Held::Nothing => false,
+        let is_direct = match &self.backing {
+            Backing::Local(connection) => connection.is_direct,
+            Backing::Remote(_) | Backing::Released => false,
         };
-        let owner = match &self.held {
-            Held::Owners(lease) => Some(lease.owner()),
-            Held::Own(_) | Held::Nothing => None,
+        let owner = match &self.backing {
+            Backing::Remote(lease) => Some(lease.owner()),
+            Backing::Local(_) | Backing::Released => None,
         };
         Reached { server: self.server().clone(), is_direct, is_own: self.is_own(), owner }
     }
 
     fn is_own(&self) -> bool {
-        matches!(self.held, Held::Own(_))
+        matches!(self.backing, Backing::Local(_))
     }
 
     /// How long it has been lent.
-    pub fn lent_for(&self) -> Duration {
-        self.lent_at.elapsed()
+    pub fn held_for(&self) -> Duration {
+        self.acquired_at.elapsed()
     }
 
     /// Runs something on it.
@@ -114,14 +114,14 @@
         task: &EndpointTask,
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        match &mut self.held {
-            Held::Own(connection) => {
+        match &mut self.backing {
+            Backing::Local(connection) => {
                 let answered = task.run(connection, deadline).await;
                 self.leave_slot(task, &answered);
                 answered
             }
-            Held::Owners(lease) => lease.run(task, deadline).await,
-            Held::Nothing => {
+            Backing::Remote(lease) => lease.run(task, deadline).await,
+            Backing::Released => {
                 let lost = ConnectionLost::Broken("it was given back".to_owned());
                 Err((Progress::NotSent, lost))
             }
@@ -151,44 +151,44 @@
     }
 
     /// Gives it back for the next statement. Whatever is not given back is closed.
-    pub fn give_back(mut self) {
-        match std::mem::replace(&mut self.held, Held::Nothing) {
-            Held::Owners(lease) => {
-                self.pool.leave_owner(lease.server());
-                lease.give_back();
+    pub fn release(mut self) {
+        match std::mem::replace(&mut self.backing, Backing::Released) {
+            Backing::Remote(lease) => {
+                self.pool.release_remote(lease.server());
+                lease.release();
             }
-            Held::Own(mut connection) => {
+            Backing::Local(mut connection) => {
                 connection.rest();
-                self.held = Held::Own(connection);
-                self.hand_on();
+                self.backing = Backing::Local(connection);
+                self.pass_to_waiter();
             }
-            Held::Nothing => {}
+            Backing::Released => {}
         }
     }
 
     /// Gives a connection of this daemon to whoever waits for it, or lets it rest.
-    fn hand_on(mut self) {
-        if self.is_of_former_life() {
+    fn pass_to_waiter(mut self) {
+        if self.is_stale() {
             // Dropped, it makes room for a connection to the server as it is now.
             return;
         }
         // Whoever has the next turn finds the connection at rest: nothing else runs before this ends.
         self.turn = None;
-        self.lent_at = Instant::now();
+        self.acquired_at = Instant::now();
         if std::mem::take(&mut self.yields) {
             self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
         }
         while let Some(waiter) = self.pool.next_waiter(self.server()) {
-            if !self.works_for(&waiter.request) {
-                return self.make_room_for(waiter);
+            if !self.may_serve(&waiter.request) {
+                return self.replace_for(waiter);
             }
             if waiter.request.yields {
                 self.yields = true;
                 self.pool.with_slot(self.server(), |slot| slot.yielding += 1);
             }
-            match waiter.grant.send(Offer::Lent(self)) {
+            match waiter.grant.send(Offer::Ready(self)) {
                 Ok(()) => return,
-                Err(Offer::Lent(lent)) => {
+                Err(Offer::Ready(lent)) => {
                     self = lent;
                     if std::mem::take(&mut self.yields) {
                         self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
@@ -197,50 +197,52 @@
                 Err(Offer::Open(_)) => return,
             }
         }
-        if let Held::Own(connection) = std::mem::replace(&mut self.held, Held::Nothing) {
+        if let Backing::Local(connection) = std::mem::replace(&mut self.backing, Backing::Released)
+        {
             self.pool.put_idle(connection);
         }
     }
 }
 
-impl<E: EndpointDialect> Lent<E> {
+impl<E: EndpointDialect> PooledConnection<E> {
     /// Whether the server at the other end has started again since this connection was opened.
-    fn is_of_former_life(&self) -> bool {
-        let Held::Own(connection) = &self.held else { return false };
+    fn is_stale(&self) -> bool {
+        let Backing::Local(connection) = &self.backing else { return false };
         let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.incarnation);
         connection.incarnation != now
     }
 
     /// Whether whoever has this request may use this very connection.
-    fn works_for(&self, request: &ConnectionRequest) -> bool {
-        match &self.held {
-            Held::Own(connection) => request.accepts_principal(&connection.principal),
-            Held::Owners(_) | Held::Nothing => false,
+    fn may_serve(&self, request: &ConnectionRequest) -> bool {
+        match &self.backing {
+            Backing::Local(connection) => request.accepts_principal(&connection.principal),
+            Backing::Remote(_) | Backing::Released => false,
         }
     }
 
     /// Ends this connection, so that another one can be opened in its place for who waits and may not use it.
-    fn make_room_for(mut self, waiter: Waiter<E>) {
-        let Held::Own(connection) = std::mem::replace(&mut self.held, Held::Nothing) else {
+    fn replace_for(mut self, waiter: Waiter<E>) {
+        let Backing::Local(connection) = std::mem::replace(&mut self.backing, Backing::Released)
+        else {
             return;
         };
         let server = connection.server.clone();
         drop(connection);
         self.pool.with_slot(&server, |slot| slot.leave(false));
-        self.pool.offer_place(&server, waiter);
+        self.pool.offer_opening(&server, waiter);
     }
 }
 
-impl<E: EndpointDialect> Drop for Lent<E> {
+impl<E: EndpointDialect> Drop for PooledConnection<E> {
     fn drop(&mut self) {
-        match std::mem::replace(&mut self.held, Held::Nothing) {
-            Held::Own(connection) => {
+        match std::mem::replace(&mut self.backing, Backing::Released) {
+            Backing::Local(connection) => {
                 let server = connection.server.clone();
                 drop(connection);
-                self.pool.give_up(&server, self.yields);
+                self.pool.forget_connection(&server, self.yields);
             }
-            Held::Owners(lease) => self.pool.leave_owner(lease.server()),
-            Held::Nothing => {}
+            Backing::Remote(lease) => self.pool.release_remote(lease.server()),
+            Backing::Released => {}
         }
     }
 }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -56,7 +56,7 @@
 
     /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
     /// was none after all, and a server has to be chosen again.
-    pub(super) async fn lend_queued(
+    pub(super) async fn acquire_queued(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
@@ -87,11 +87,11 @@
             self.state.borrow_mut().servers[index].note_use(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
-            return Ok(Some(Offer::Lent(self.lent(connection, request.yields, turn))));
+            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, turn))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
         if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.place(index, request, turn))));
+            return Ok(Some(Offer::Open(self.permit_opening(index, request, turn))));
         }
         drop(turn);
         self.await_opening(&server, deadline).await
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -470,7 +470,7 @@
             log::info!(
                 event = "transaction_ended", service = &*transaction.route.service,
                 server = &**lent.server(), why = why,
-                lent_ms = lent.lent_for().as_millis() as u64;
+                lent_ms = lent.held_for().as_millis() as u64;
                 "an open transaction was rolled back"
             );
             self.engine.roll_back(lent);
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -19,7 +19,7 @@
         engine::{Engine, Group},
         execute::{AssignError, Assignment, RETRY_PAUSE, Sample, refusal_code},
         job::{Job, Work},
-        lent::Lent,
+        pooled_connection::PooledConnection,
         primary_wait::Attempts,
         verdict::{NextStep, after_error, transaction_after_loss},
     },
@@ -38,7 +38,7 @@
     /// Whether it only reads.
     pub read_only: bool,
     /// Its connection; none before the first statement that a server has to run.
-    pub lent: Option<Lent<E>>,
+    pub lent: Option<PooledConnection<E>>,
     /// The right under which it began, where it runs at the primary.
     pub(crate) leader: Option<GroupLeader>,
     /// Whether it may have written.
@@ -135,12 +135,12 @@
     }
 
     /// Rolls a transaction back behind the caller's back and gives its connection to others.
-    pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
+    pub fn roll_back(self: &Rc<Self>, mut lent: PooledConnection<E>) {
         tokio::task::spawn_local(async move {
             let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_TIMEOUT;
             match lent.run(&rollback, deadline).await {
-                Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
+                Ok(answer) if answer.state == TransactionState::Idle => lent.release(),
                 // Closing the connection rolls back too.
                 Ok(_) | Err(_) => drop(lent),
             }
@@ -205,7 +205,7 @@
                         );
                         attempts.last_error = Some(code);
                         match answer.state {
-                            TransactionState::Idle => assignment.lent.give_back(),
+                            TransactionState::Idle => assignment.lent.release(),
                             _ => self.roll_back(assignment.lent),
                         }
                         match after_error(code, StatementClass::Read) {
@@ -272,7 +272,11 @@
         answer: Answer,
     ) -> Answer {
         if let Some(code) = answer.error_code() {
-            self.log_server_error(job, transaction.lent.as_ref().map(Lent::server), code);
+            self.log_server_error(
+                job,
+                transaction.lent.as_ref().map(PooledConnection::server),
+                code,
+            );
         }
         match answer.state {
             TransactionState::Open => {
@@ -289,7 +293,7 @@
             TransactionState::Idle => {}
         }
         if let Some(lent) = transaction.lent.take() {
-            lent.give_back();
+            lent.release();
         }
         let Some(leader) = transaction.leader.clone() else { return answer };
         let committed = matches!(answer.outcome, Outcome::Complete(_)) && job.work == Work::Commit;
