--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/answering.rs
@@ -300,7 +300,7 @@
                     }
                 }
                 let Some(held) = lent.as_mut() else { return };
-                if let Err(why) = await_turn(&engine, &request, held).await {
+                if let Err(why) = await_permit(&engine, &request, held).await {
                     let answer = answer_with_load(&engine, &request, not_sent(why));
                     // The link may have ended meanwhile.
                     let _ = answers.send_async(answer).await;
@@ -327,13 +327,13 @@
 }
 
 /// Waits until the next statement of a transaction may begin, for no longer than its asker lets it.
-async fn await_turn<C: CallerDialect, E: EndpointDialect>(
+async fn await_permit<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
     held: &mut PooledConnection<E>,
 ) -> Result<(), NotSent> {
     let left_ms = request.begin_until_ms.saturating_sub(engine.clock_ms());
-    held.await_turn(Instant::now() + Duration::from_millis(left_ms)).await?;
+    held.await_permit(Instant::now() + Duration::from_millis(left_ms)).await?;
     if request.is_over_at(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
 }
 
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -333,8 +333,8 @@
                 Err(NoConnection::Nowhere) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
                 Err(NoConnection::TooLate) => return Err(AcquireError::TooLate),
-                Err(NoConnection::Overloaded { come_back }) => {
-                    return Err(AcquireError::Overloaded { retry_delay: come_back });
+                Err(NoConnection::Overloaded { retry_delay }) => {
+                    return Err(AcquireError::Overloaded { retry_delay });
                 }
             };
             let place = match offer {
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -327,7 +327,7 @@
         min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        if let Err(why) = lent.await_turn(job.deadline()).await {
+        if let Err(why) = lent.await_permit(job.deadline()).await {
             return Err((Progress::NotSent, ConnectionLost::NotGranted(why.into())));
         }
         let average = group.pool.latency_of(lent.server());
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -32,7 +32,7 @@
         connection_request::ConnectionRequest,
         pooled_connection::{Backing, OpeningPermit, PooledConnection},
         replay::{Environment, SessionValues},
-        server_queue::Turn,
+        server_queue::QueuePermit,
         share::{Keep, Owned, Share},
         slot::ServerSlot,
     },
@@ -76,7 +76,7 @@
     /// More urgent work and that of others leave no room in time.
     Overloaded {
         /// When asking again may help.
-        come_back: Duration,
+        retry_delay: Duration,
     },
 }
 
@@ -220,8 +220,8 @@
             backing,
             acquired_at: Instant::now(),
             yields: false,
-            turn: None,
-            step: None,
+            permit: None,
+            statement_permit: None,
         })
     }
 
@@ -355,7 +355,7 @@
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
-        turn: Option<Turn>,
+        permit: Option<QueuePermit>,
     ) -> OpeningPermit<E> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
@@ -366,7 +366,7 @@
             entry: slot.entry.clone(),
             yields: request.yields,
             settled: false,
-            turn,
+            permit,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         }
     }
@@ -387,7 +387,7 @@
         self: &Rc<Self>,
         connection: Box<EndpointConnection<E>>,
         yields: bool,
-        turn: Option<Turn>,
+        permit: Option<QueuePermit>,
     ) -> PooledConnection<E> {
         let backing = Backing::Local(connection);
         PooledConnection {
@@ -395,8 +395,8 @@
             backing,
             acquired_at: Instant::now(),
             yields,
-            turn,
-            step: None,
+            permit,
+            statement_permit: None,
         }
     }
 
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -19,7 +19,7 @@
         connection_request::ConnectionRequest,
         endpoint_task::{EndpointTask, TaskKind},
         pool::{GroupPool, Offer, Waiter},
-        server_queue::{NotBegun, Turn},
+        server_queue::{QueuePermit, QueueRefusal},
         verdict::Progress,
     },
     statement::Answer,
@@ -32,8 +32,8 @@
     pub entry: Arc<ServerEntry>,
     pub(super) yields: bool,
     pub(super) settled: bool,
-    /// The turn in the server's queue, where there is one.
-    pub(super) turn: Option<Turn>,
+    /// The permit in the server's queue, where there is one.
+    pub(super) permit: Option<QueuePermit>,
     /// For whom the connection will work.
     pub principal: Principal,
 }
@@ -44,9 +44,9 @@
     pub(super) backing: Backing<E>,
     pub(super) acquired_at: Instant,
     pub(super) yields: bool,
-    /// The turn that the connection goes with, and that of the transaction's present statement.
-    pub(super) turn: Option<Turn>,
-    pub(super) step: Option<Turn>,
+    /// The permit that the connection goes with, and that of the transaction's present statement.
+    pub(super) permit: Option<QueuePermit>,
+    pub(super) statement_permit: Option<QueuePermit>,
 }
 
 /// A connection, or the right to use another daemon's.
@@ -63,8 +63,8 @@
     /// Takes the new connection.
     pub fn opened(mut self, connection: EndpointConnection<E>) -> PooledConnection<E> {
         self.settled = true;
-        let turn = self.turn.take();
-        self.pool.pooled(Box::new(connection), self.yields, turn)
+        let permit = self.permit.take();
+        self.pool.pooled(Box::new(connection), self.yields, permit)
     }
 }
 
@@ -117,7 +117,7 @@
         match &mut self.backing {
             Backing::Local(connection) => {
                 let answered = task.run(connection, deadline).await;
-                self.leave_slot(task, &answered);
+                self.release_slot(task, &answered);
                 answered
             }
             Backing::Remote(lease) => lease.run(task, deadline).await,
@@ -129,25 +129,25 @@
     }
 
     /// Waits until the next statement of a transaction may begin, where the server has a queue here.
-    pub async fn await_turn(&mut self, until: Instant) -> Result<(), NotBegun> {
-        if let Some(turn) = self.turn.as_ref().filter(|turn| !turn.has_slot()) {
-            self.step = Some(turn.await_next(until).await?);
+    pub async fn await_permit(&mut self, until: Instant) -> Result<(), QueueRefusal> {
+        if let Some(permit) = self.permit.as_ref().filter(|permit| !permit.has_slot()) {
+            self.statement_permit = Some(permit.await_next_statement(until).await?);
         }
         Ok(())
     }
 
     /// Lets others have the slot. Only what the server ran to its end tells how long it takes for a statement.
-    fn leave_slot(
+    fn release_slot(
         &mut self,
         task: &EndpointTask,
         answered: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
         let has_run = matches!(task.kind, TaskKind::Work(_))
             && answered.as_ref().is_ok_and(|answer| answer.error_code().is_none());
-        for turn in self.turn.iter_mut().chain(self.step.iter_mut()) {
-            turn.leave_slot(has_run);
+        for permit in self.permit.iter_mut().chain(self.statement_permit.iter_mut()) {
+            permit.release_slot(has_run);
         }
-        self.step = None;
+        self.statement_permit = None;
     }
 
     /// Gives it back for the next statement. Whatever is not given back is closed.
@@ -172,8 +172,8 @@
             // Dropped, it makes room for a connection to the server as it is now.
             return;
         }
-        // Whoever has the next turn finds the connection at rest: nothing else runs before this ends.
-        self.turn = None;
+        // Whoever has the next permit finds the connection at rest: nothing else runs before this ends.
+        self.permit = None;
         self.acquired_at = Instant::now();
         if std::mem::take(&mut self.yields) {
             self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -1,4 +1,4 @@
-//! Connections to servers that have a queue of their own here: a statement has its turn first, and then its connection.
+//! Connections to servers that have a queue of their own here: a statement has its permit first, and then its connection.
 
 use std::{
     rc::Rc,
@@ -16,7 +16,7 @@
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
-        server_queue::{NotBegun, Turn},
+        server_queue::{QueuePermit, QueueRefusal},
         share::{Owned, Share},
         slot::ServerSlot,
     },
@@ -54,7 +54,7 @@
         self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
     }
 
-    /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
+    /// Finds a connection to the server at this place, or leave to open one, once the statement has its permit; `None` if there
     /// was none after all, and a server has to be chosen again.
     pub(super) async fn acquire_queued(
         self: &Rc<Self>,
@@ -68,10 +68,10 @@
             let slot = &state.servers[index];
             (slot.entry.server.clone(), slot.queue.clone())
         };
-        let turn = match (queue, &request.principal) {
+        let permit = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
                 let queue_request = request_for(request, principal, deadline);
-                let waits = queue.await_turn(queue_request);
+                let waits = queue.await_permit(queue_request);
                 Some(unless_cancelled(request.cancellation.as_ref(), waits).await?)
             }
             // Commands of a daemon, and statements where the server has no queue, wait for nothing but a connection.
@@ -87,13 +87,13 @@
             self.state.borrow_mut().servers[index].note_use(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
-            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, turn))));
+            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, permit))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
-        if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.permit_opening(index, request, turn))));
+        if may_open || permit.is_none() {
+            return Ok(Some(Offer::Open(self.permit_opening(index, request, permit))));
         }
-        drop(turn);
+        drop(permit);
         self.await_opening(&server, deadline).await
     }
 
@@ -116,16 +116,16 @@
     }
 }
 
-/// Waits for a turn unless its asker takes back what it asked, or is gone.
+/// Waits for a permit unless its asker takes back what it asked, or is gone.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
-    waits: impl Future<Output = Result<Turn, NotBegun>>,
-) -> Result<Turn, NotBegun> {
+    waits: impl Future<Output = Result<QueuePermit, QueueRefusal>>,
+) -> Result<QueuePermit, QueueRefusal> {
     let Some(cancellation) = cancellation else { return waits.await };
     tokio::select! {
         biased;
-        turn = waits => turn,
-        () = cancellation.cancelled() => Err(NotBegun::TooLate),
+        permit = waits => permit,
+        () = cancellation.cancelled() => Err(QueueRefusal::TooLate),
     }
 }
 
@@ -135,20 +135,20 @@
     Request { rank: request.rank(), account, stage, until }
 }
 
-impl From<NotBegun> for NoConnection {
-    fn from(why: NotBegun) -> NoConnection {
+impl From<QueueRefusal> for NoConnection {
+    fn from(why: QueueRefusal) -> NoConnection {
         match why {
-            NotBegun::Overloaded { come_back } => NoConnection::Overloaded { come_back },
-            NotBegun::TooLate => NoConnection::TooLate,
+            QueueRefusal::Overloaded { retry_delay } => NoConnection::Overloaded { retry_delay },
+            QueueRefusal::TooLate => NoConnection::TooLate,
         }
     }
 }
 
-impl From<NotBegun> for NotSent {
-    fn from(why: NotBegun) -> NotSent {
+impl From<QueueRefusal> for NotSent {
+    fn from(why: QueueRefusal) -> NotSent {
         match why {
-            NotBegun::Overloaded { .. } => NotSent::Overloaded,
-            NotBegun::TooLate => NotSent::TooLate,
+            QueueRefusal::Overloaded { .. } => NotSent::Overloaded,
+            QueueRefusal::TooLate => NotSent::TooLate,
         }
     }
 }
--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of one server, and a statement's turn in it, which gives itself back however it ends.
+//! The queue in front of one server, and a statement's permit in it, which gives itself back however it ends.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,29 +13,29 @@
 
 /// Why a statement did not begin. Nothing of it was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotBegun {
+pub enum QueueRefusal {
     /// More urgent work and that of others leave no room in time.
     Overloaded {
         /// When asking again may help.
-        come_back: Duration,
+        retry_delay: Duration,
     },
     /// It waited for as long as it may.
     TooLate,
 }
 
 /// How often a server's queue tells that it refuses statements.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-type Answer = Result<Turn, NotBegun>;
+type Answer = Result<QueuePermit, QueueRefusal>;
 
 /// The queue of one server at this daemon.
 pub struct ServerQueue {
     work: RefCell<WorkQueue>,
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
     server: Name,
-    told_at: Cell<Option<Instant>>,
+    logged_at: Cell<Option<Instant>>,
     /// Statements that did not begin, since that was told.
-    not_begun: Cell<u64>,
+    refusals: Cell<u64>,
 }
 
 impl ServerQueue {
@@ -45,8 +45,8 @@
             work: RefCell::new(WorkQueue::new(room)),
             waiting: RefCell::default(),
             server,
-            told_at: Cell::default(),
-            not_begun: Cell::default(),
+            logged_at: Cell::default(),
+            refusals: Cell::default(),
         })
     }
 
@@ -57,27 +57,29 @@
     }
 
     /// Waits until a statement may begin. Whoever stops waiting is taken out.
-    pub async fn await_turn(self: &Rc<Self>, request: Request) -> Answer {
-        let answer = self.offer(&request).await;
+    pub async fn await_permit(self: &Rc<Self>, request: Request) -> Answer {
+        let answer = self.enqueue(&request).await;
         if answer.is_err() {
-            self.tell_not_begun(&request);
+            self.log_refusals(&request);
         }
         answer
     }
 
-    async fn offer(self: &Rc<Self>, request: &Request) -> Answer {
+    async fn enqueue(self: &Rc<Self>, request: &Request) -> Answer {
         let offered = self.work.borrow_mut().offer(request.clone(), Instant::now());
         match offered {
-            Offered::Begin => Ok(Turn::new(self, request.clone())),
-            Offered::Refused { come_back } => Err(NotBegun::Overloaded { come_back }),
+            Offered::Begin => Ok(QueuePermit::new(self, request.clone())),
+            Offered::Refused { come_back: retry_delay } => {
+                Err(QueueRefusal::Overloaded { retry_delay })
+            }
             Offered::Waits { ticket, displaced } => {
                 let (answer, answered) = oneshot::channel();
                 self.waiting.borrow_mut().insert(ticket, answer);
                 if let Some(displaced) = displaced {
                     // It was the last in order, so all that wait go before it.
                     let last = Rank::ALL[RANKS - 1];
-                    let come_back = self.work.borrow().expected_wait(last, Instant::now());
-                    self.answer(displaced, Err(NotBegun::Overloaded { come_back }));
+                    let retry_delay = self.work.borrow().expected_wait(last, Instant::now());
+                    self.answer(displaced, Err(QueueRefusal::Overloaded { retry_delay }));
                 }
                 self.await_answer(ticket, answered, request.until).await
             }
@@ -96,16 +98,16 @@
     }
 
     /// Tells operators whose statements did not begin, and what was before them; bounded, since many don't at a time.
-    fn tell_not_begun(&self, request: &Request) {
+    fn log_refusals(&self, request: &Request) {
         let now = Instant::now();
-        self.not_begun.set(self.not_begun.get() + 1);
-        if self.told_at.get().is_some_and(|at| now.duration_since(at) < TOLD_EVERY) {
+        self.refusals.set(self.refusals.get() + 1);
+        if self.logged_at.get().is_some_and(|at| now.duration_since(at) < REFUSAL_LOG_INTERVAL) {
             return;
         }
-        self.told_at.set(Some(now));
+        self.logged_at.set(Some(now));
         let work = self.work.borrow();
         log::info!(
-            event = "queue_refused", server = &*self.server, statements = self.not_begun.take(),
+            event = "queue_refused", server = &*self.server, statements = self.refusals.take(),
             account = &*request.account, rank = request.rank.index(),
             stage = format!("{:?}", request.stage).as_str(), waiting = work.waiting(),
             running = work.running(), limit = work.limit(),
@@ -120,10 +122,10 @@
         answered: oneshot::Receiver<Answer>,
         until: Instant,
     ) -> Answer {
-        let _leaves = Leaves { queue: self, ticket };
+        let _withdraws = WithdrawOnDrop { queue: self, ticket };
         match tokio::time::timeout_at(until.into(), answered).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(_)) | Err(_) => Err(NotBegun::TooLate),
+            Ok(Err(_)) | Err(_) => Err(QueueRefusal::TooLate),
         }
     }
 
@@ -133,13 +135,15 @@
             let next = self.work.borrow_mut().next(Instant::now());
             match next {
                 Next::Nothing => return,
-                Next::Expired(ticket) => self.answer(ticket, Err(NotBegun::TooLate)),
-                Next::Begin(ticket, request) => self.answer(ticket, Ok(Turn::new(self, request))),
+                Next::Expired(ticket) => self.answer(ticket, Err(QueueRefusal::TooLate)),
+                Next::Begin(ticket, request) => {
+                    self.answer(ticket, Ok(QueuePermit::new(self, request)))
+                }
             }
         }
     }
 
-    /// Tells who waits. A turn that nobody takes any more gives itself back as it is dropped.
+    /// Tells who waits. A permit that nobody takes any more gives itself back as it is dropped.
     fn answer(&self, ticket: Ticket, answer: Answer) {
         let waiting = self.waiting.borrow_mut().remove(&ticket);
         drop(waiting.map(|waiting| waiting.send(answer)));
@@ -147,12 +151,12 @@
 }
 
 /// Takes a statement out of the queue when its asker stops waiting.
-struct Leaves<'a> {
+struct WithdrawOnDrop<'a> {
     queue: &'a Rc<ServerQueue>,
     ticket: Ticket,
 }
 
-impl Drop for Leaves<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         self.queue.waiting.borrow_mut().remove(&self.ticket);
         self.queue.work.borrow_mut().withdraw(self.ticket);
@@ -160,16 +164,16 @@
 }
 
 /// The right of one statement to be inside the server, and that of its transaction to a connection.
-pub struct Turn {
+pub struct QueuePermit {
     queue: Rc<ServerQueue>,
     request: Request,
     began_at: Instant,
     has_slot: bool,
 }
 
-impl Turn {
-    fn new(queue: &Rc<ServerQueue>, request: Request) -> Turn {
-        Turn { queue: queue.clone(), request, began_at: Instant::now(), has_slot: true }
+impl QueuePermit {
+    fn new(queue: &Rc<ServerQueue>, request: Request) -> QueuePermit {
+        QueuePermit { queue: queue.clone(), request, began_at: Instant::now(), has_slot: true }
     }
 
     /// Whether its statement is inside the server.
@@ -178,7 +182,7 @@
     }
 
     /// Gives the slot to others; the connection stays. `has_run` says that the statement ran to its end.
-    pub fn leave_slot(&mut self, has_run: bool) {
+    pub fn release_slot(&mut self, has_run: bool) {
         if !std::mem::take(&mut self.has_slot) {
             return;
         }
@@ -188,15 +192,15 @@
     }
 
     /// Waits until the next statement of the transaction may begin.
-    pub async fn await_next(&self, until: Instant) -> Answer {
+    pub async fn await_next_statement(&self, until: Instant) -> Answer {
         let request = Request { stage: Stage::Continues, until, ..self.request.clone() };
-        self.queue.await_turn(request).await
+        self.queue.await_permit(request).await
     }
 }
 
-impl Drop for Turn {
+impl Drop for QueuePermit {
     fn drop(&mut self) {
-        self.leave_slot(false);
+        self.release_slot(false);
         self.queue.work.borrow_mut().on_released(&self.request);
         self.queue.serve();
     }
--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of a server when those that wait leave, or what has its turn is lost.
+//! The queue in front of a server when those that wait leave, or what has its permit is lost.
 
 use std::{
     rc::Rc,
@@ -7,7 +7,7 @@
 
 use model::Name;
 use overload::{Rank, Request, Room, Stage};
-use proxy::serve::server_queue::{NotBegun, ServerQueue, Turn};
+use proxy::serve::server_queue::{QueuePermit, QueueRefusal, ServerQueue};
 use tokio::task::{JoinHandle, LocalSet, spawn_local, yield_now};
 
 /// Far beyond what any of these takes.
@@ -27,18 +27,19 @@
     Request { rank: Rank::ALL[1], account: Name::from(account), stage, until }
 }
 
-async fn begin(queue: &Rc<ServerQueue>) -> Turn {
-    queue.await_turn(request("first", Stage::Alone)).await.expect("the server is free")
+async fn begin(queue: &Rc<ServerQueue>) -> QueuePermit {
+    queue.await_permit(request("first", Stage::Alone)).await.expect("the server is free")
 }
 
 /// Lets one wait, and returns once it does.
 async fn wait(
     queue: &Rc<ServerQueue>,
     account: &'static str,
-) -> JoinHandle<Result<Turn, NotBegun>> {
+) -> JoinHandle<Result<QueuePermit, QueueRefusal>> {
     let before = queue.outstanding();
     let waits = queue.clone();
-    let waiter = spawn_local(async move { waits.await_turn(request(account, Stage::Alone)).await });
+    let waiter =
+        spawn_local(async move { waits.await_permit(request(account, Stage::Alone)).await });
     while queue.outstanding() == before {
         yield_now().await;
     }
@@ -50,43 +51,43 @@
 fn who_stops_waiting_is_taken_out_and_holds_up_nobody() {
     run(async {
         let queue = queue();
-        let turn = begin(&queue).await;
+        let permit = begin(&queue).await;
         let gone = wait(&queue, "gone").await;
         let stays = wait(&queue, "stays").await;
         gone.abort();
         assert!(gone.await.is_err());
         assert_eq!(queue.outstanding(), 2);
-        drop(turn);
+        drop(permit);
         assert!(stays.await.unwrap().is_ok());
     });
 }
 
-/// A server's connection is lost: whatever held it gives its turn back as it is dropped.
+/// A server's connection is lost: whatever held it gives its permit back as it is dropped.
 #[test]
 fn a_turn_that_is_lost_goes_to_the_next() {
     run(async {
         let queue = queue();
-        let turn = begin(&queue).await;
+        let permit = begin(&queue).await;
         let next = wait(&queue, "next").await;
         let last = wait(&queue, "last").await;
-        drop(turn);
-        let turn = next.await.unwrap().expect("it has its turn");
+        drop(permit);
+        let permit = next.await.unwrap().expect("it has its permit");
         assert_eq!(queue.outstanding(), 2);
-        drop(turn);
+        drop(permit);
         assert!(last.await.unwrap().is_ok());
         assert_eq!(queue.outstanding(), 0);
     });
 }
 
-/// A turn was given, and its asker was gone before it took it.
+/// A permit was given, and its asker was gone before it took it.
 #[test]
 fn a_turn_that_nobody_takes_goes_to_the_next() {
     run(async {
         let queue = queue();
-        let turn = begin(&queue).await;
+        let permit = begin(&queue).await;
         let gone = wait(&queue, "gone").await;
         let stays = wait(&queue, "stays").await;
-        drop(turn);
+        drop(permit);
         gone.abort();
         assert!(gone.await.is_err());
         assert!(stays.await.unwrap().is_ok());
@@ -99,11 +100,11 @@
     run(async {
         let queue =
             ServerQueue::new(Name::from("s1"), Room { slots: 1, connections: 4, owners: 1 });
-        let mut opened = queue.await_turn(request("a", Stage::Opens)).await.expect("it is free");
-        opened.leave_slot(true);
+        let mut opened = queue.await_permit(request("a", Stage::Opens)).await.expect("it is free");
+        opened.release_slot(true);
         let other = begin(&queue).await;
         let _second = begin(&queue).await;
-        let next = async { opened.await_next(Instant::now() + LASTS).await.is_ok() };
+        let next = async { opened.await_next_statement(Instant::now() + LASTS).await.is_ok() };
         let ends = async {
             yield_now().await;
             drop(other);
