--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -330,7 +330,7 @@
             self.count_forwarded(&request, &lent);
             let offer = match lent {
                 Ok(offer) => offer,
-                Err(NoConnection::Nowhere) => return Err(AcquireError::NoServer),
+                Err(NoConnection::NoServer) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
                 Err(NoConnection::TooLate) => return Err(AcquireError::TooLate),
                 Err(NoConnection::Overloaded { retry_delay }) => {
@@ -382,7 +382,7 @@
             Ok(_) => "begun",
             Err(NoConnection::Overloaded { .. } | NoConnection::QueueFull) => "refused",
             Err(NoConnection::TooLate) => "too_late",
-            Err(NoConnection::Nowhere) => "nowhere",
+            Err(NoConnection::NoServer) => "nowhere",
         };
         let rank = request.rank().index().to_string();
         self.metrics.queued.with_label_values(&[rank.as_str(), outcome]).inc();
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
     /// No server may run the statement.
-    Nowhere,
+    NoServer,
     /// Too many statements wait already.
     QueueFull,
     /// None was free in time.
@@ -175,7 +175,7 @@
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
                 Choice::Wait => return self.wait_for_connection(request, deadline).await,
-                Choice::NoServer => return Err(NoConnection::Nowhere),
+                Choice::NoServer => return Err(NoConnection::NoServer),
             };
             if has_idle && let Some(lent) = self.acquire_remote(index, &request, deadline) {
                 return Ok(Offer::Ready(lent));
--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -36,7 +36,7 @@
         }
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(offer)) => Ok(offer),
-            Ok(Err(_)) => Err(NoConnection::Nowhere),
+            Ok(Err(_)) => Err(NoConnection::NoServer),
             Err(_) => Err(NoConnection::TooLate),
         }
     }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -105,7 +105,7 @@
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
         if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
-            return Err(NoConnection::Nowhere);
+            return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
         if recheck_at >= deadline {
