--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -17,7 +17,7 @@
 use crate::{
     catalog::{Catalog, ServerEntry},
     control::peers::PrimarySample,
-    serve::share::Sharers,
+    serve::share::DaemonCounts,
 };
 
 /// What gives the right to use a primary; see `docs/PLATFORM.md`, "Who leads".
@@ -124,7 +124,7 @@
     /// Who leads, by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
     /// Daemons that share the servers' connections.
-    pub sharers: Sharers,
+    pub sharers: DaemonCounts,
     /// Ways around to the servers that this daemon can't reach itself.
     pub tunnel_peers: Arc<TunnelPeers>,
     /// Who owns the connections to servers, where there are too few for every daemon to have its own.
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -27,7 +27,7 @@
     },
     events::ProxyMetrics,
     metadata::{MetadataError, Transaction},
-    serve::share::Sharers,
+    serve::share::DaemonCounts,
     statement::{EndpointStatus, EndpointText},
 };
 
@@ -275,7 +275,7 @@
             state.published_tunnel_peers = Arc::new(tunnel_peers);
         }
         self.update_owners(&mut state);
-        let sharers = Sharers {
+        let sharers = DaemonCounts {
             zones: state.zones.max(1),
             daemons: state.members_seen.len().max(1) as u32,
             in_zone: state.members_seen.values().filter(|member| member.is_near).count().max(1)
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -21,7 +21,7 @@
         connection_request::ConnectionRequest,
         engine::{Engine, Group},
         pool::{GroupPool, PoolState},
-        share::Keep,
+        share::IdlePolicy,
     },
 };
 
@@ -108,7 +108,7 @@
 impl<E: EndpointDialect> GroupPool<E> {
     /// Whether ways that do not work are set aside here.
     pub(super) fn has_circuits(&self) -> bool {
-        self.overload.circuits && self.state.borrow().keep != Keep::One
+        self.overload.circuits && self.state.borrow().idle_policy != IdlePolicy::KeepOne
     }
 
     /// Sends those away that wait for a connection to a server which this daemon has no way to.
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -33,7 +33,7 @@
         pooled_connection::{Backing, OpeningPermit, PooledConnection},
         replay::{Environment, SessionValues},
         server_queue::QueuePermit,
-        share::{Keep, Owned, Share},
+        share::{IdlePolicy, OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
@@ -45,7 +45,7 @@
 }
 
 pub(super) struct PoolState<E: EndpointDialect> {
-    pub(super) keep: Keep,
+    pub(super) idle_policy: IdlePolicy,
     pub(super) servers: Vec<ServerSlot<E>>,
     pub(super) waiters: [VecDeque<Waiter<E>>; PRIORITIES],
     /// Whether daemons own connections for others.
@@ -96,7 +96,7 @@
         overload: OverloadSettings,
     ) -> GroupPool<E> {
         let state = PoolState {
-            keep: Keep::One,
+            idle_policy: IdlePolicy::KeepOne,
             servers: Vec::new(),
             waiters: Default::default(),
             is_owned: false,
@@ -113,7 +113,7 @@
         owners: &Owners,
     ) {
         let mut state = self.state.borrow_mut();
-        state.keep = share.keep;
+        state.idle_policy = share.idle_policy;
         state.is_owned = share.owned.is_some();
         for slot in &mut state.servers {
             slot.listed = entries.iter().any(|entry| entry.server == slot.entry.server);
@@ -134,25 +134,25 @@
             let server = &slot.entry.server;
             let ownership = match share.owned {
                 None => None,
-                Some(Owned::InEachZone(_)) => owners.of(server, self.layout.zone()),
-                Some(Owned::Once { .. }) => owners
+                Some(OwnerQuota::PerZone(_)) => owners.of(server, self.layout.zone()),
+                Some(OwnerQuota::Single { .. }) => owners
                     .of(server, &slot.entry.availability_zone)
                     .or_else(|| owners.elsewhere(server)),
             };
-            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.keep) {
+            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.idle_policy) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
                     let place = ownership.asked.len();
-                    (owned.most_at(place, self.overload.queue), owned.kept_at(place))
+                    (owned.limit_of(place, self.overload.queue), owned.kept_by(place))
                 }
                 (Some(_), _, _) => (share.limit, 0),
-                (None, _, Keep::One) => (share.limit, 1),
-                (None, _, Keep::OneNear) => (share.limit, u32::from(is_near)),
-                (None, _, Keep::Nothing) => (share.limit, 0),
+                (None, _, IdlePolicy::KeepOne) => (share.limit, 1),
+                (None, _, IdlePolicy::KeepOneInZone) => (share.limit, u32::from(is_near)),
+                (None, _, IdlePolicy::KeepNone) => (share.limit, 0),
             };
             slot.owners = ownership.map(|it| it.asked).unwrap_or_default();
             slot.paths.keep_only(&slot.owners);
-            slot.loan = share.loan;
-            let most = slot.limit + share.loan;
+            slot.overflow = share.overflow;
+            let most = slot.limit + share.overflow;
             slot.set_queue(self.queue_room(slot, &share));
             slot.set_competing(self.do_accounts_compete(&share));
             let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(most) as usize;
@@ -272,7 +272,7 @@
             }
             candidates = self.candidates(&mut state, request, now);
         }
-        choose(&candidates, state.keep != Keep::One)
+        choose(&candidates, state.idle_policy != IdlePolicy::KeepOne)
     }
 
     fn candidates(
@@ -412,7 +412,7 @@
     /// Ends connections that nobody has needed for a while; `true` if there may be more to end.
     pub fn close_spare_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let is_scarce = state.keep != Keep::One;
+        let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
         if is_scarce {
             for slot in &mut state.servers {
                 slot.end_spares();
@@ -429,7 +429,7 @@
                 && connection.incarnation == slot.entry.incarnation;
             if is_wanted
                 && slot.listed
-                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.loan
+                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.overflow
             {
                 slot.idle.push((Instant::now(), connection));
                 slot.end_spares();
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -17,7 +17,7 @@
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
         server_queue::{QueuePermit, QueueRefusal},
-        share::{Owned, Share},
+        share::{OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
@@ -30,11 +30,11 @@
     pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
-        let connections = slot.limit + share.loan;
+        let connections = slot.limit + share.overflow;
         let owners = match owned {
-            Owned::Once { .. } => 1,
+            OwnerQuota::Single { .. } => 1,
             // The owners of all zones share the slots as they share the connections.
-            Owned::InEachZone(count) => slots.div_ceil(count.max(1)),
+            OwnerQuota::PerZone(count) => slots.div_ceil(count.max(1)),
         };
         Some(Room { slots, connections, owners })
     }
@@ -46,7 +46,7 @@
 
     /// Whether accounts compete for the connections to a server: none can do another's work.
     pub(super) fn do_accounts_compete(&self, share: &Share) -> bool {
-        self.overload.reuse && matches!(share.owned, Some(Owned::Once { .. }))
+        self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
     /// Returns the load of a server that has a queue here.
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -47,7 +47,7 @@
 
 /// How long nothing is borrowed of a server that grants no more: longer than a loan rests, so that the
 /// room goes to daemons that have less than their own share.
-const NO_LOAN_FOR: Duration = Duration::from_millis(2_000);
+const OVERFLOW_PAUSE: Duration = Duration::from_millis(2_000);
 
 /// How long no detour is tried after all of them failed: other daemons need as long to find out that they
 /// have no path either, and tell so then.
@@ -63,8 +63,8 @@
     pub(crate) yielding: u32,
     pub(crate) limit: u32,
     /// Connections beyond the limit that may be borrowed, and until when none may.
-    pub(crate) loan: u32,
-    pub(crate) no_loan_until: Option<Instant>,
+    pub(crate) overflow: u32,
+    pub(crate) no_overflow_until: Option<Instant>,
     /// Connections that may rest for good.
     pub(crate) keeps: u32,
     /// The daemons that own the connections to it, if this one does not; asked in this order.
@@ -106,8 +106,8 @@
             in_use: 0,
             yielding: 0,
             limit: 1,
-            loan: 0,
-            no_loan_until: None,
+            overflow: 0,
+            no_overflow_until: None,
             keeps: 1,
             owners: Arc::default(),
             at_owners: 0,
@@ -250,7 +250,7 @@
         let backoff = self.next_backoff().min(longest);
         self.no_opening_until = Some(Instant::now() + backoff);
         if refused {
-            self.no_loan_until = Some(Instant::now() + NO_LOAN_FOR);
+            self.no_overflow_until = Some(Instant::now() + OVERFLOW_PAUSE);
             self.note_crowded();
         }
         backoff
@@ -271,7 +271,7 @@
 
     /// Returns how many connections there may be at a time.
     fn most_at(&self, now: Instant) -> u32 {
-        self.granted.most(self.limit + self.loan, now)
+        self.granted.most(self.limit + self.overflow, now)
     }
 
     /// Notes that its owner sets it aside.
@@ -354,7 +354,7 @@
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
             Some(until) if now < until && !self.has_detour(now) => self.limit.min(self.in_use),
-            _ => self.limit + self.loan_at(now),
+            _ => self.limit + self.overflow_at(now),
         }
     }
 
@@ -382,10 +382,10 @@
     }
 
     /// How many connections beyond the limit may be borrowed now.
-    fn loan_at(&self, now: Instant) -> u32 {
-        match self.no_loan_until {
+    fn overflow_at(&self, now: Instant) -> u32 {
+        match self.no_overflow_until {
             Some(until) if now < until => 0,
-            _ => self.loan,
+            _ => self.overflow,
         }
     }
 
