--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -15,7 +15,7 @@
     control::adapter::Adapter,
     control::runner::{CommandRequest, Control, ServingRequest, join_all},
     dialect::EndpointDialect,
-    serve::connection::{ConnectionLost, EndpointConnection, Introduction},
+    serve::connection::{ClientIdentity, ConnectionLost, EndpointConnection},
     statement::{EndpointCommand, EndpointStatus, EndpointText, ErrorCode},
 };
 
@@ -155,15 +155,15 @@
     ) -> Result<(EndpointConnection<P::Dialect>, EndpointStatus), ConnectionLost> {
         let deadline = Instant::now() + within;
         let mut connection = match open {
-            Some(connection) if connection.is_quiet() => connection,
+            Some(connection) if connection.is_reusable() => connection,
             _ => {
                 let introduction =
-                    Introduction { host: &self.settings.host, principal: &Principal::Daemon };
+                    ClientIdentity { host: &self.settings.host, principal: &Principal::Daemon };
                 EndpointConnection::open(&self.dialect, &entry, introduction, within).await?
             }
         };
         loop {
-            let answer = connection.ask(&EndpointCommand::own(text.clone()), deadline).await?;
+            let answer = connection.call(&EndpointCommand::own(text.clone()), deadline).await?;
             if let Some(code) = answer.error_code() {
                 if code.was_not_run() && Instant::now() + POLL_INTERVAL < deadline {
                     tokio::time::sleep(POLL_INTERVAL).await;
@@ -177,10 +177,9 @@
                 continue;
             }
             let row = answer.rows.first().map_or(&[][..], |row| row);
-            let status = self
-                .dialect
-                .decode_status(row)
-                .ok_or_else(|| ConnectionLost::Garbled("a status that can't be read".to_owned()))?;
+            let status = self.dialect.decode_status(row).ok_or_else(|| {
+                ConnectionLost::Malformed("a status that can't be read".to_owned())
+            })?;
             return Ok((connection, status));
         }
     }
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -82,7 +82,7 @@
             self.transaction = Some(self.link.new_lease());
         }
         let Some(relay_task) = RelayTask::of(&task.kind) else {
-            let lost = ConnectionLost::Garbled("a task that is not handed on".to_owned());
+            let lost = ConnectionLost::Malformed("a task that is not handed on".to_owned());
             return Err((Progress::NotSent, lost));
         };
         let now = Instant::now();
@@ -98,7 +98,7 @@
         match self.link.ask(request, deadline).await? {
             RelayOutcome::Answered(answer) => answer.answer().ok_or_else(|| {
                 let why = "an owner's answer".to_owned();
-                (Progress::Sent, ConnectionLost::Garbled(why))
+                (Progress::Sent, ConnectionLost::Malformed(why))
             }),
             RelayOutcome::NotSent(why) => {
                 let why = NotSent::from_number(why);
@@ -113,7 +113,7 @@
             | RelayOutcome::Voted(_)
             | RelayOutcome::Lent(_) => {
                 let why = "an owner's answer".to_owned();
-                Err((Progress::Sent, ConnectionLost::Garbled(why)))
+                Err((Progress::Sent, ConnectionLost::Malformed(why)))
             }
         }
     }
--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -163,7 +163,7 @@
                 Err((Progress::NotSent, ConnectionLost::OwnerLost))
             }
             Ok(Ok(None) | Err(_)) => Err((Progress::Sent, ConnectionLost::OwnerLost)),
-            Err(_) => Err((Progress::Sent, ConnectionLost::Silent)),
+            Err(_) => Err((Progress::Sent, ConnectionLost::TimedOut)),
         }
     }
 
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -29,7 +29,7 @@
 
 /// What a server is told behind the host's name where another daemon is between, for whoever looks at its
 /// connections.
-const DETOUR_MARK: &str = ".detour";
+const TUNNEL_SUFFIX: &str = ".detour";
 
 /// Why a connection is of no more use.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,11 +37,11 @@
     /// It broke off, or was refused.
     Broken(String),
     /// Nothing came within the time.
-    Silent,
+    TimedOut,
     /// The server refused the connection with an error.
     Refused(ErrorCode),
     /// The server sent what can't be understood.
-    Garbled(String),
+    Malformed(String),
     /// The owner of the connections let it go no further.
     NotGranted(NotSent),
     /// The link to the owner ended.
@@ -52,9 +52,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ConnectionLost::Broken(why) => write!(f, "broken off: {why}"),
-            ConnectionLost::Silent => f.write_str("no answer in time"),
+            ConnectionLost::TimedOut => f.write_str("no answer in time"),
             ConnectionLost::Refused(code) => write!(f, "refused: {}", code.as_str()),
-            ConnectionLost::Garbled(why) => write!(f, "can't be understood: {why}"),
+            ConnectionLost::Malformed(why) => write!(f, "can't be understood: {why}"),
             ConnectionLost::NotGranted(why) => write!(f, "not granted by its owner: {why:?}"),
             ConnectionLost::OwnerLost => f.write_str("the owner of the connection was lost"),
         }
@@ -63,27 +63,27 @@
 
 /// Who connects to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Introduction<'a> {
+pub struct ClientIdentity<'a> {
     /// This daemon's host.
     pub host: &'a Name,
     /// For whom the connection works.
     pub principal: &'a Principal,
 }
 
-impl Introduction<'_> {
+impl ClientIdentity<'_> {
     /// Returns what the server is told.
-    fn who(&self, is_direct: bool) -> Name {
+    fn name(&self, is_direct: bool) -> Name {
         match self.principal {
             Principal::Account(name) => name.clone(),
             Principal::Daemon if is_direct => self.host.clone(),
-            Principal::Daemon => Name::from(format!("{}{DETOUR_MARK}", self.host)),
+            Principal::Daemon => Name::from(format!("{}{TUNNEL_SUFFIX}", self.host)),
         }
     }
 }
 
 /// The server at the other end of a connection, and how it is reached.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct ServerRoute {
     /// The server.
     pub server: Name,
     /// Whether no other daemon is between, so that an answer shows that the server is in reach.
@@ -121,24 +121,24 @@
     pub async fn open(
         dialect: &E,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         within: Duration,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let deadline = Instant::now() + within;
         let stream = match timeout_at(deadline.into(), TcpStream::connect(entry.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
-            Err(_) => return Err(ConnectionLost::Silent),
+            Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, true, entry, introduction, deadline).await
+        EndpointConnection::accept(dialect, stream, true, entry, identity, deadline).await
     }
 
     /// The same through the daemon at `peer`, for a server that can't be reached from here.
-    pub async fn open_through(
+    pub async fn open_tunneled(
         peer: SocketAddr,
         dialect: &E,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         within: Duration,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let deadline = Instant::now() + within;
@@ -147,9 +147,9 @@
         let stream = match timeout_at(deadline.into(), open_tunnel(peer, request)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(none)) => return Err(ConnectionLost::Broken(none.to_string())),
-            Err(_) => return Err(ConnectionLost::Silent),
+            Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, false, entry, introduction, deadline).await
+        EndpointConnection::accept(dialect, stream, false, entry, identity, deadline).await
     }
 
     /// Tells the server at the other end what is wanted and waits until it agrees.
@@ -158,7 +158,7 @@
         stream: TcpStream,
         is_direct: bool,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         deadline: Instant,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let broken = |error: std::io::Error| ConnectionLost::Broken(error.to_string());
@@ -173,14 +173,14 @@
             outgoing: BytesMut::new(),
             unanswered: 0,
             server: entry.server.clone(),
-            principal: introduction.principal.clone(),
+            principal: identity.principal.clone(),
             incarnation: entry.incarnation,
             environment: Environment::default(),
             last_point: None,
         };
         let startup = EndpointStartup {
             service: entry.service.clone(),
-            who: introduction.who(is_direct),
+            who: identity.name(is_direct),
             server: entry.server.clone(),
         };
         connection.dialect.encode_startup(&startup, &mut connection.outgoing);
@@ -196,12 +196,12 @@
                 Ok(())
             }
             EndpointMessage::Error(error) => Err(ConnectionLost::Refused(error.code)),
-            _ => Err(ConnectionLost::Garbled("an answer before the connection's own".to_owned())),
+            _ => Err(ConnectionLost::Malformed("an answer before the connection's own".to_owned())),
         }
     }
 
     /// Whether an idle connection is still good: nothing has come and it has not ended.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         matches!(
             self.stream.try_read(&mut probe),
@@ -221,7 +221,7 @@
         match timeout_at(deadline.into(), self.stream.write_all(&outgoing)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(error)) => Err(ConnectionLost::Broken(error.to_string())),
-            Err(_) => Err(ConnectionLost::Silent),
+            Err(_) => Err(ConnectionLost::TimedOut),
         }
     }
 
@@ -236,7 +236,9 @@
                 EndpointMessage::Error(error) => outcome = Some(Outcome::Error(error)),
                 EndpointMessage::Ready { state, point } => {
                     let Some(outcome) = outcome else {
-                        return Err(ConnectionLost::Garbled("an answer without an end".to_owned()));
+                        return Err(ConnectionLost::Malformed(
+                            "an answer without an end".to_owned(),
+                        ));
                     };
                     self.last_point = point.or(self.last_point);
                     self.unanswered = self.unanswered.saturating_sub(1);
@@ -247,7 +249,7 @@
     }
 
     /// Sends one command and reads its answer.
-    pub async fn ask(
+    pub async fn call(
         &mut self,
         command: &EndpointCommand,
         deadline: Instant,
@@ -262,7 +264,7 @@
             match self.dialect.decode(&mut self.incoming) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => {}
-                Err(error) => return Err(ConnectionLost::Garbled(error.to_string())),
+                Err(error) => return Err(ConnectionLost::Malformed(error.to_string())),
             }
             self.incoming.reserve(READ_RESERVE_BYTES);
             let read = self.stream.read_buf(&mut self.incoming);
@@ -270,13 +272,13 @@
                 Ok(Ok(0)) => return Err(ConnectionLost::Broken("closed by the server".to_owned())),
                 Ok(Ok(_)) => {}
                 Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
-                Err(_) => return Err(ConnectionLost::Silent),
+                Err(_) => return Err(ConnectionLost::TimedOut),
             }
         }
     }
 
     /// Gives the read buffer's memory back while the connection rests.
-    pub fn rest(&mut self) {
+    pub fn release_buffers(&mut self) {
         self.incoming = BytesMut::new();
         self.outgoing = BytesMut::new();
     }
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -62,7 +62,7 @@
             TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => Vec::new(),
         };
         let Some(text) = self.text(connection) else {
-            let lost = ConnectionLost::Garbled("a shape that was not prepared".to_owned());
+            let lost = ConnectionLost::Malformed("a shape that was not prepared".to_owned());
             return Err((Progress::NotSent, lost));
         };
         let setup_commands = before.len();
@@ -76,7 +76,7 @@
             let answer = connection.read_answer(deadline).await.map_err(sent)?;
             if answer.error_code().is_some() {
                 let why = "the server refused a value or a shape".to_owned();
-                return Err((Progress::Sent, ConnectionLost::Garbled(why)));
+                return Err((Progress::Sent, ConnectionLost::Malformed(why)));
             }
         }
         connection.read_answer(deadline).await.map_err(sent)
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -25,7 +25,7 @@
     events::ProxyMetrics,
     relay::links::RelayLinks,
     serve::{
-        connection::{ConnectionLost, EndpointConnection, Introduction},
+        connection::{ClientIdentity, ConnectionLost, EndpointConnection},
         connection_request::ConnectionRequest,
         limits::Limits,
         outage::GroupOutage,
@@ -389,8 +389,8 @@
     }
 
     /// Returns what a server is told of who connects.
-    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> Introduction<'a> {
-        Introduction { host: &self.settings.host, principal }
+    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
+        ClientIdentity { host: &self.settings.host, principal }
     }
 
     /// Opens a connection, through another daemon where there is a detour.
@@ -405,7 +405,7 @@
             return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
+            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
                 .await?;
         self.metrics.connections_opened.with_label_values(&["detour"]).inc();
         log::info!(
@@ -425,7 +425,7 @@
         let introduction = self.introduce(&Principal::Daemon);
         let dialect = &self.endpoint_dialect;
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
+            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
         (peer, opened.await.map(drop))
     }
 
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -16,7 +16,7 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::messages::NotSent,
     serve::{
-        connection::{ConnectionLost, Reached, refusal},
+        connection::{ConnectionLost, ServerRoute, refusal},
         connection_request::ConnectionRequest,
         endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
@@ -354,7 +354,7 @@
         tokio::select! {
             answered = &mut answered => answered,
             () = self.until_abandoned(group, &reached, watch) => {
-                Err((Progress::Sent, ConnectionLost::Silent))
+                Err((Progress::Sent, ConnectionLost::TimedOut))
             }
         }
     }
@@ -365,7 +365,7 @@
     async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        reached: &Reached,
+        reached: &ServerRoute,
         watch: Watch<'_>,
     ) {
         let Watch { service, slow_after, may_run_again } = watch;
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -13,7 +13,7 @@
 use crate::{
     dialect::{CallerDialect, EndpointDialect},
     serve::{
-        connection::{ConnectionLost, Reached},
+        connection::{ConnectionLost, ServerRoute},
         engine::{Engine, Group},
         verdict::Progress,
     },
@@ -46,7 +46,7 @@
     pub(crate) fn note_own_health(
         &self,
         group: &Group<E>,
-        reached: &Reached,
+        reached: &ServerRoute,
         sent: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
         let outcome = match sent {
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -17,7 +17,7 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::messages::NotSent,
     serve::{
-        connection::{ConnectionLost, Reached},
+        connection::{ConnectionLost, ServerRoute},
         connection_request::ConnectionRequest,
         engine::{Engine, Group},
         pool::{GroupPool, PoolState},
@@ -239,7 +239,7 @@
     }
 
     /// Takes note that an owner's server answered.
-    pub(crate) fn note_path_answered(&self, pool: &GroupPool<E>, reached: &Reached) {
+    pub(crate) fn note_path_answered(&self, pool: &GroupPool<E>, reached: &ServerRoute) {
         self.note_path_outcome(pool, reached, PathOutcome::Answered);
     }
 
@@ -247,7 +247,7 @@
     pub(crate) fn note_path_lost(
         &self,
         pool: &GroupPool<E>,
-        reached: &Reached,
+        reached: &ServerRoute,
         lost: &ConnectionLost,
     ) {
         match lost {
@@ -261,7 +261,7 @@
         }
     }
 
-    fn note_path_outcome(&self, pool: &GroupPool<E>, reached: &Reached, outcome: PathOutcome) {
+    fn note_path_outcome(&self, pool: &GroupPool<E>, reached: &ServerRoute, outcome: PathOutcome) {
         let Some(owner) = reached.owner.filter(|_| self.settings.overload.circuits) else { return };
         let now = Instant::now();
         let change =
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -338,7 +338,7 @@
     ) -> Option<Box<EndpointConnection<E>>> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
-        slot.idle.retain(|(_, connection)| connection.is_quiet());
+        slot.idle.retain(|(_, connection)| connection.is_reusable());
         let fitting = |wanted: fn(&Environment, &SessionValues) -> bool| {
             slot.idle.iter().rposition(|(_, idle)| {
                 request.accepts_principal(&idle.principal) && wanted(&idle.environment, values)
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -15,7 +15,7 @@
     dialect::EndpointDialect,
     relay::lease::Lease,
     serve::{
-        connection::{ConnectionLost, EndpointConnection, Reached},
+        connection::{ConnectionLost, EndpointConnection, ServerRoute},
         connection_request::ConnectionRequest,
         endpoint_task::{EndpointTask, TaskKind},
         pool::{GroupPool, Offer, Waiter},
@@ -87,7 +87,7 @@
     }
 
     /// Returns the server and how it is reached.
-    pub fn reached(&self) -> Reached {
+    pub fn reached(&self) -> ServerRoute {
         let is_direct = match &self.backing {
             Backing::Local(connection) => connection.is_direct,
             Backing::Remote(_) | Backing::Released => false,
@@ -96,7 +96,7 @@
             Backing::Remote(lease) => Some(lease.owner()),
             Backing::Local(_) | Backing::Released => None,
         };
-        Reached { server: self.server().clone(), is_direct, is_own: self.is_own(), owner }
+        ServerRoute { server: self.server().clone(), is_direct, is_own: self.is_own(), owner }
     }
 
     fn is_own(&self) -> bool {
@@ -158,7 +158,7 @@
                 lease.release();
             }
             Backing::Local(mut connection) => {
-                connection.rest();
+                connection.release_buffers();
                 self.backing = Backing::Local(connection);
                 self.pass_to_waiter();
             }
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -14,7 +14,7 @@
     control::control_view::Observation,
     dialect::{CallerDialect, EndpointDialect},
     serve::{
-        connection::{ConnectionLost, EndpointConnection, Reached},
+        connection::{ConnectionLost, EndpointConnection, ServerRoute},
         engine::{Engine, Group},
         verdict::is_server_failure,
     },
@@ -45,7 +45,7 @@
         &self,
         group: &Group<E>,
         service: &Name,
-        from: &Reached,
+        from: &ServerRoute,
         point: Option<LogPoint>,
         took: Option<Duration>,
     ) {
@@ -61,7 +61,7 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         service: &Name,
-        reached: &Reached,
+        reached: &ServerRoute,
         lost: &ConnectionLost,
     ) {
         let server = &reached.server;
@@ -78,7 +78,7 @@
         if is_server_failure(lost) {
             group.pool.on_failure(server);
         }
-        if *lost == ConnectionLost::Silent {
+        if *lost == ConnectionLost::TimedOut {
             group.pool.on_silence(server);
         }
         log::info!(
--- a/crates/proxy/tests/verdict.rs
+++ b/crates/proxy/tests/verdict.rs
@@ -68,7 +68,7 @@
 #[test]
 fn a_server_without_connections_left_is_alive() {
     assert!(!is_server_failure(&ConnectionLost::Refused(ErrorCode::TooManyConnections)));
-    assert!(is_server_failure(&ConnectionLost::Silent));
+    assert!(is_server_failure(&ConnectionLost::TimedOut));
     assert!(is_server_failure(&ConnectionLost::Broken("reset".to_owned())));
 }
 
