--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -348,7 +348,7 @@
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
                         true => self.note_reachable(group, &place.entry.service, &server),
-                        false => group.pool.on_detour(&server, true),
+                        false => group.pool.on_tunnel(&server, true),
                     }
                     return Ok(place.opened(connection));
                 }
@@ -438,7 +438,7 @@
     ) {
         self.metrics.connections_opened.with_label_values(&["failed"]).inc();
         group.pool.on_tunnel_failed(server, peer);
-        group.pool.on_detour(server, false);
+        group.pool.on_tunnel(server, false);
         log::info!(
             event = "detour_failed", server = &**server, peer = peer.to_string().as_str(),
             why = lost.to_string().as_str();
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -27,10 +27,10 @@
 
 /// Daemons that are asked for a way to a server at a time: enough to find one within a second where half of the fleet has it,
 /// and few connects for a server that is gone.
-const DETOURS_AT_ONCE: usize = 4;
+const PARALLEL_TUNNEL_TRIES: usize = 4;
 
 /// How often it is looked whether there are daemons to ask: they are known once others have told what they can't reach.
-const LOOK_FOR_DETOUR_EVERY: Duration = Duration::from_millis(200);
+const TUNNEL_SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The ways to one server.
 #[derive(Debug, Default)]
@@ -39,9 +39,9 @@
     /// Whether this daemon's own connects go unanswered.
     is_unreachable: bool,
     /// Whether a connection was opened through another daemon since then.
-    has_detour: bool,
+    has_tunnel: bool,
     /// Whether such a one is being looked for.
-    is_looking: bool,
+    is_searching: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
 }
@@ -65,8 +65,8 @@
     }
 
     /// Whether another daemon is known to have a way to the server.
-    pub(crate) fn has_detour(&self) -> bool {
-        self.has_detour
+    pub(crate) fn has_tunnel(&self) -> bool {
+        self.has_tunnel
     }
 
     /// Forgets owners that are none any more.
@@ -95,7 +95,7 @@
     fn on_direct_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
         self.is_unreachable = false;
-        self.has_detour = false;
+        self.has_tunnel = false;
     }
 
     /// Notes that a connect went unanswered that was begun at `asked_at`; an answer since then says more: a server that is
@@ -112,7 +112,7 @@
     }
 
     /// Sends those away that wait for a connection to a server which this daemon has no way to.
-    fn send_away_from(&self, server: &str) {
+    fn fail_waiters_for(&self, server: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let PoolState { servers, waiters, .. } = &mut *state;
@@ -135,39 +135,44 @@
     }
 
     /// Whether a search for a detour is to begin: there is need of one, and none goes on.
-    fn begins_looking(&self, server: &str) -> Option<bool> {
+    fn begin_tunnel_search(&self, server: &str) -> Option<bool> {
         self.with_slot(server, |slot| {
-            slot.paths.is_unreachable && !std::mem::replace(&mut slot.paths.is_looking, true)
+            slot.paths.is_unreachable && !std::mem::replace(&mut slot.paths.is_searching, true)
         })
     }
 
-    fn ends_looking(&self, server: &str) {
-        self.with_slot(server, |slot| slot.paths.is_looking = false);
+    fn end_tunnel_search(&self, server: &str) {
+        self.with_slot(server, |slot| slot.paths.is_searching = false);
     }
 
     /// Notes that a request of this daemon's own callers is a try, where the server's circuit is not closed.
-    pub(super) fn note_try(&self, index: usize, request: &ConnectionRequest) {
+    pub(super) fn note_attempt(&self, index: usize, request: &ConnectionRequest) {
         if !request.is_forwarded {
             self.state.borrow_mut().servers[index].health.on_pass(Instant::now());
         }
     }
 
     /// Notes whether a connection to a server came about through another daemon.
-    pub(crate) fn on_detour(&self, server: &str, is_open: bool) {
-        self.with_slot(server, |slot| slot.paths.has_detour = is_open);
+    pub(crate) fn on_tunnel(&self, server: &str, is_open: bool) {
+        self.with_slot(server, |slot| slot.paths.has_tunnel = is_open);
     }
 
     /// Returns the daemons through which a way to a server is to be looked for: the next few, if it is wanted here and nothing
     /// leads there.
-    pub(crate) fn detours_to_try(&self, server: &str) -> Vec<SocketAddr> {
+    pub(crate) fn tunnels_to_try(&self, server: &str) -> Vec<SocketAddr> {
         let now = Instant::now();
         let to_try = self.with_slot(server, |slot| {
-            let is_wanted = slot.paths.is_unreachable && !slot.paths.has_detour;
+            let is_wanted = slot.paths.is_unreachable && !slot.paths.has_tunnel;
             let has_owner = self.owner_in_use(slot, now).is_some();
-            if !is_wanted || has_owner || !slot.has_detour(now) {
+            if !is_wanted || has_owner || !slot.has_tunnel(now) {
                 return Vec::new();
             }
-            slot.detours.iter().skip(slot.next_detour).take(DETOURS_AT_ONCE).copied().collect()
+            slot.tunnels
+                .iter()
+                .skip(slot.next_tunnel)
+                .take(PARALLEL_TUNNEL_TRIES)
+                .copied()
+                .collect()
         });
         to_try.unwrap_or_default()
     }
@@ -178,37 +183,37 @@
             return;
         }
         self.with_slot(server, |slot| slot.paths.on_unreachable(asked_at));
-        self.send_away_from(server);
+        self.fail_waiters_for(server);
     }
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Looks for a daemon with a way to a server that this one has none to, for as long as that lasts and with no request
     /// waiting for it.
-    pub(crate) fn look_for_detour(
+    pub(crate) fn search_tunnel(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         service: &Name,
         server: &Name,
     ) {
-        if group.pool.begins_looking(server) != Some(true) {
+        if group.pool.begin_tunnel_search(server) != Some(true) {
             return;
         }
         let (engine, group) = (self.clone(), group.clone());
         let (service, server) = (service.clone(), server.clone());
         tokio::task::spawn_local(async move {
             while group.pool.is_unreachable(&server) {
-                engine.find_detour(&group, &service, &server).await;
-                tokio::time::sleep(LOOK_FOR_DETOUR_EVERY).await;
+                engine.find_tunnel(&group, &service, &server).await;
+                tokio::time::sleep(TUNNEL_SEARCH_INTERVAL).await;
             }
-            group.pool.ends_looking(&server);
+            group.pool.end_tunnel_search(&server);
         });
     }
 
     /// Ends when one is found or nothing is left to try.
-    async fn find_detour(&self, group: &Group<E>, service: &Name, server: &Name) {
+    async fn find_tunnel(&self, group: &Group<E>, service: &Name, server: &Name) {
         loop {
-            let peers = group.pool.detours_to_try(server);
+            let peers = group.pool.tunnels_to_try(server);
             let Some(entry) = group.pool.entry_of(server).filter(|_| !peers.is_empty()) else {
                 return;
             };
@@ -228,7 +233,7 @@
                 }
             }
             if is_open {
-                group.pool.on_detour(server, true);
+                group.pool.on_tunnel(server, true);
                 log::info!(
                     event = "detour_found", service = &**service, server = &**server;
                     "a server out of reach can be reached through another daemon"
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -129,7 +129,7 @@
             }
         }
         for slot in &mut state.servers {
-            slot.set_detours(detours.get(&slot.entry.server).cloned().unwrap_or_default());
+            slot.set_tunnels(detours.get(&slot.entry.server).cloned().unwrap_or_default());
             let is_near = slot.entry.availability_zone == *self.layout.zone();
             let server = &slot.entry.server;
             let ownership = match share.owned {
@@ -180,7 +180,7 @@
             if has_idle && let Some(lent) = self.acquire_remote(index, &request, deadline) {
                 return Ok(Offer::Ready(lent));
             }
-            self.note_try(index, &request);
+            self.note_attempt(index, &request);
             if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
@@ -308,7 +308,7 @@
             let queue = slot.queue.as_ref().filter(|_| waits_elsewhere);
             Some(Candidate {
                 index,
-                reach: match slot.detours.is_empty() {
+                reach: match slot.tunnels.is_empty() {
                     true => self.layout.reach(&slot.entry.availability_zone),
                     // Through another daemon nothing is near.
                     false => {
@@ -425,7 +425,7 @@
         let server = connection.server.clone();
         self.with_slot(&server, |slot| {
             slot.leave(false);
-            let is_wanted = (connection.is_direct || !slot.detours.is_empty())
+            let is_wanted = (connection.is_direct || !slot.tunnels.is_empty())
                 && connection.incarnation == slot.entry.incarnation;
             if is_wanted
                 && slot.listed
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -105,7 +105,7 @@
                     break;
                 }
                 engine.note_unreachable(&group, &service, &server, asked_at);
-                engine.look_for_detour(&group, &service, &server);
+                engine.search_tunnel(&group, &service, &server);
                 // An error means that the time has passed, which is what it is for.
                 let _ = timeout(PROBE_AGAIN_AFTER, group.probe_now.notified()).await;
                 if group.pool.entry_of(&server).is_none() {
--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -88,12 +88,12 @@
     /// at all.
     pub fn tunnel_to(&self, server: &str) -> Option<SocketAddr> {
         let now = Instant::now();
-        self.with_slot(server, |slot| slot.detour(now))?
+        self.with_slot(server, |slot| slot.tunnel(now))?
     }
 
     /// Notes that no connection to a server came about through another daemon.
     pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
-        self.with_slot(server, |slot| slot.note_detour_failed(peer));
+        self.with_slot(server, |slot| slot.note_tunnel_failed(peer));
     }
 
     /// Whether every listed server but this one lagged behind a moment ago.
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -51,7 +51,7 @@
 
 /// How long no detour is tried after all of them failed: other daemons need as long to find out that they
 /// have no path either, and tell so then.
-const NO_DETOUR_FOR: Duration = Duration::from_millis(500);
+const TUNNEL_PAUSE: Duration = Duration::from_millis(500);
 
 /// A server with the connections to it.
 pub(crate) struct ServerSlot<E> {
@@ -81,9 +81,9 @@
     pub(crate) away_until: Option<Instant>,
     /// Daemons through which it may be reached while this one has no path to it, which of them is tried
     /// next, and until when none is, after all of them failed.
-    pub(crate) detours: Arc<[SocketAddr]>,
-    pub(crate) next_detour: usize,
-    pub(crate) no_detour_until: Option<Instant>,
+    pub(crate) tunnels: Arc<[SocketAddr]>,
+    pub(crate) next_tunnel: usize,
+    pub(crate) no_tunnel_until: Option<Instant>,
     /// Whether it does what it is given, by what this daemon ran there for others.
     pub(crate) health: Circuit,
     /// Which ways to it work.
@@ -118,9 +118,9 @@
             failures: 0,
             no_opening_until: None,
             away_until: None,
-            detours: Arc::default(),
-            next_detour: 0,
-            no_detour_until: None,
+            tunnels: Arc::default(),
+            next_tunnel: 0,
+            no_tunnel_until: None,
             health: Circuit::default(),
             paths: ServerPaths::default(),
             queue: None,
@@ -281,36 +281,36 @@
 
     /// Takes over the ways around to it. Connections through other daemons end once there is a direct path,
     /// which is shorter and needs nobody else.
-    pub(crate) fn set_detours(&mut self, detours: Arc<[SocketAddr]>) {
-        if detours.is_empty() {
+    pub(crate) fn set_tunnels(&mut self, tunnels: Arc<[SocketAddr]>) {
+        if tunnels.is_empty() {
             self.idle.retain(|(_, connection)| connection.is_direct);
         }
-        if self.detours != detours {
-            self.detours = detours;
-            self.next_detour = 0;
+        if self.tunnels != tunnels {
+            self.tunnels = tunnels;
+            self.next_tunnel = 0;
         }
     }
 
     /// Whether it may be tried through another daemon now.
-    pub(crate) fn has_detour(&self, now: Instant) -> bool {
-        !self.detours.is_empty() && self.no_detour_until.is_none_or(|until| now >= until)
+    pub(crate) fn has_tunnel(&self, now: Instant) -> bool {
+        !self.tunnels.is_empty() && self.no_tunnel_until.is_none_or(|until| now >= until)
     }
 
     /// Returns the daemon through which it is to be reached, if it is.
-    pub(crate) fn detour(&self, now: Instant) -> Option<SocketAddr> {
-        self.detours.get(self.next_detour).copied().filter(|_| self.has_detour(now))
+    pub(crate) fn tunnel(&self, now: Instant) -> Option<SocketAddr> {
+        self.tunnels.get(self.next_tunnel).copied().filter(|_| self.has_tunnel(now))
     }
 
     /// Notes that no connection came about through another daemon: the next one is tried, and after the
     /// last there is a pause.
-    pub(crate) fn note_detour_failed(&mut self, peer: SocketAddr) {
-        if self.detours.get(self.next_detour) != Some(&peer) {
+    pub(crate) fn note_tunnel_failed(&mut self, peer: SocketAddr) {
+        if self.tunnels.get(self.next_tunnel) != Some(&peer) {
             return;
         }
-        self.next_detour += 1;
-        if self.next_detour >= self.detours.len() {
-            self.next_detour = 0;
-            self.no_detour_until = Some(Instant::now() + NO_DETOUR_FOR);
+        self.next_tunnel += 1;
+        if self.next_tunnel >= self.tunnels.len() {
+            self.next_tunnel = 0;
+            self.no_tunnel_until = Some(Instant::now() + TUNNEL_PAUSE);
         }
     }
 
@@ -322,8 +322,8 @@
 
     /// Whether nothing can reach it from here, by what this daemon's probe says.
     pub(crate) fn is_unreachable(&self, now: Instant) -> bool {
-        let has_detour = self.paths.has_detour() && self.has_detour(now);
-        self.paths.is_unreachable() && !has_detour
+        let has_tunnel = self.paths.has_tunnel() && self.has_tunnel(now);
+        self.paths.is_unreachable() && !has_tunnel
     }
 
     /// Whether it lagged behind a moment ago.
@@ -353,7 +353,7 @@
     /// How many connections may be used now; those that stand, after one could not be opened.
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
-            Some(until) if now < until && !self.has_detour(now) => self.limit.min(self.in_use),
+            Some(until) if now < until && !self.has_tunnel(now) => self.limit.min(self.in_use),
             _ => self.limit + self.overflow_at(now),
         }
     }
@@ -361,7 +361,7 @@
     /// Whether a connection may be opened now, as far as former failures go.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
-        self.in_use < self.most_at(now) && (!is_paused || self.has_detour(now))
+        self.in_use < self.most_at(now) && (!is_paused || self.has_tunnel(now))
     }
 
     /// Whether there is no connection, and none will be opened before `deadline`.
@@ -403,7 +403,7 @@
         if let Some(only) = &request.only {
             return *only == self.entry.server;
         }
-        let away = self.away_until.is_some_and(|until| now < until) && !self.has_detour(now);
+        let away = self.away_until.is_some_and(|until| now < until) && !self.has_tunnel(now);
         let behind = self.lagging_until.is_some_and(|until| now < until)
             && request
                 .min_point
