--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -26,7 +26,7 @@
 
 /// What a statement tells the owner of itself beside what is to run.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct LeaseOptions {
     /// The service.
     pub service: Name,
     /// The server that is to run it.
@@ -36,11 +36,11 @@
     /// The most urgent is 0.
     pub priority: u8,
     /// Whether the server is taken for the primary.
-    pub leads: bool,
+    pub at_primary: bool,
     /// Whether it leaves room at the primary for others.
     pub yields: bool,
     /// How often the operation was sent before.
-    pub tried: u32,
+    pub previous_attempts: u32,
     /// Whether no other server that could run it is known.
     pub last_resort: bool,
     /// For whom it runs.
@@ -51,20 +51,20 @@
 pub struct Lease {
     links: Rc<RelayLinks>,
     link: Rc<RelayLink>,
-    terms: Terms,
+    options: LeaseOptions,
     /// The transaction's number, once one was opened.
     transaction: Option<u64>,
 }
 
 impl Lease {
     /// Makes one over a link.
-    pub fn new(links: Rc<RelayLinks>, link: Rc<RelayLink>, terms: Terms) -> Lease {
-        Lease { links, link, terms, transaction: None }
+    pub fn new(links: Rc<RelayLinks>, link: Rc<RelayLink>, options: LeaseOptions) -> Lease {
+        Lease { links, link, options, transaction: None }
     }
 
     /// Returns the server's identity.
     pub fn server(&self) -> &Name {
-        &self.terms.server
+        &self.options.server
     }
 
     /// Returns where the owner is.
@@ -79,7 +79,7 @@
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         if matches!(task.kind, TaskKind::Begin { .. }) {
-            self.transaction = Some(self.link.new_lease());
+            self.transaction = Some(self.link.new_transaction());
         }
         let Some(relay_task) = RelayTask::of(&task.kind) else {
             let lost = ConnectionLost::Malformed("a task that is not handed on".to_owned());
@@ -90,12 +90,12 @@
             id: task.id.clone().unwrap_or_default(),
             values: values_of(&task.values),
             min_point: task.min_point.map(PointMessage::from),
-            wait_ms: millis(self.terms.wait_until.saturating_duration_since(now)),
-            time_ms: millis(deadline.saturating_duration_since(now)),
+            wait_ms: millis(self.options.wait_until.saturating_duration_since(now)),
+            answer_timeout_ms: millis(deadline.saturating_duration_since(now)),
             task: Some(relay_task),
             ..self.request()
         };
-        match self.link.ask(request, deadline).await? {
+        match self.link.call(request, deadline).await? {
             RelayOutcome::Answered(answer) => answer.answer().ok_or_else(|| {
                 let why = "an owner's answer".to_owned();
                 (Progress::Sent, ConnectionLost::Malformed(why))
@@ -126,23 +126,23 @@
     fn end(&mut self, is_clean: bool) {
         if let Some(transaction) = self.transaction.take() {
             let task = Some(RelayTask::Release(is_clean));
-            self.link.tell(RelayRequest { task, lease: transaction, ..self.request() });
+            self.link.send(RelayRequest { task, transaction, ..self.request() });
         }
     }
 
     fn request(&self) -> RelayRequest {
         RelayRequest {
             number: 0,
-            lease: self.transaction.unwrap_or(0),
-            service: self.terms.service.to_string(),
-            server: self.terms.server.to_string(),
+            transaction: self.transaction.unwrap_or(0),
+            service: self.options.service.to_string(),
+            server: self.options.server.to_string(),
             id: Bytes::new(),
-            priority: u32::from(self.terms.priority),
-            leads: self.terms.leads,
-            yields: self.terms.yields,
-            last_resort: self.terms.last_resort,
-            account: self.terms.principal.told().to_owned(),
-            tried: self.terms.tried,
+            priority: u32::from(self.options.priority),
+            at_primary: self.options.at_primary,
+            yields: self.options.yields,
+            last_resort: self.options.last_resort,
+            account: self.options.principal.told().to_owned(),
+            previous_attempts: self.options.previous_attempts,
             ..RelayRequest::default()
         }
     }
--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -24,42 +24,42 @@
 };
 
 /// How long an owner may take to accept the link; a round trip within a zone, on a host that is busy.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long nothing may come while requests wait before the owner is asked whether it lives. Servers take
 /// longer than this when they are busy; the owner itself answers at once.
-const QUIET_FOR: Duration = Duration::from_millis(200);
+const PING_AFTER: Duration = Duration::from_millis(200);
 /// How long it may take to say so before it counts as dead.
-const PONG_WITHIN: Duration = Duration::from_millis(250);
+const PONG_TIMEOUT: Duration = Duration::from_millis(250);
 /// After how long without its word new requests go to another owner, where there is one: a few round trips between zones.
 const SILENT_AFTER: Duration = Duration::from_millis(80);
 /// How often that is looked at while requests wait.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the owner may leave the link's bytes unread.
-const WRITE_WITHIN: Duration = Duration::from_millis(500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Requests that may wait to be written.
-const MOST_OUTGOING: usize = 512;
+const OUTGOING_CAPACITY: usize = 512;
 
 /// How long beyond its wait for a connection the owner may begin with a request: its own scheduling, on a busy or slow
 /// host, and the way there.
-const BEGIN_SLACK: Duration = Duration::from_millis(150);
+const START_SLACK: Duration = Duration::from_millis(150);
 
 /// How a request on a link ended, if not with an outcome: how far it had come, and why.
 pub type LinkLost = (Progress, ConnectionLost);
 
 /// Who waits for an answer, which server it is to come from, and until when the owner may begin with what was asked.
-struct Asked {
+struct PendingRequest {
     answer: oneshot::Sender<Option<RelayOutcome>>,
     server: String,
-    begins_until: Instant,
+    start_until: Instant,
 }
 
-type Waiting = HashMap<u64, Asked>;
+type PendingRequests = HashMap<u64, PendingRequest>;
 
 /// A link to an owner.
 pub struct RelayLink {
     owner: SocketAddr,
     outgoing: flume::Sender<RelayRequest>,
-    waiting: RefCell<Waiting>,
+    waiting: RefCell<PendingRequests>,
     next_number: Cell<u64>,
     is_connected: Cell<bool>,
     is_down: Cell<bool>,
@@ -74,7 +74,7 @@
 impl RelayLink {
     /// Starts a link; requests wait until it stands.
     pub fn start(owner: SocketAddr) -> Rc<RelayLink> {
-        let (outgoing, requests) = flume::bounded(MOST_OUTGOING);
+        let (outgoing, requests) = flume::bounded(OUTGOING_CAPACITY);
         let link = Rc::new(RelayLink {
             owner,
             outgoing,
@@ -116,8 +116,8 @@
     }
 
     /// Returns a number that no other transaction on this link has.
-    pub fn new_lease(&self) -> u64 {
-        self.next()
+    pub fn new_transaction(&self) -> u64 {
+        self.next_number()
     }
 
     /// Asks the owner, until `deadline`.
@@ -125,34 +125,34 @@
     /// An owner that is found to be dead may only be frozen, and have what it was sent before it when it goes on. It
     /// begins with nothing after the moment that it is told by its own clock, and whoever asks for a write hears that
     /// the link was lost only after that moment: what is in doubt then can't take effect after a later write.
-    pub async fn ask(
+    pub async fn call(
         &self,
         request: RelayRequest,
         deadline: Instant,
     ) -> Result<RelayOutcome, LinkLost> {
-        let begins_until = Instant::now() + request.waits() + BEGIN_SLACK;
+        let start_until = Instant::now() + request.wait_limit() + START_SLACK;
         let may_write = request.may_write();
-        let answered = self.ask_once(request, begins_until, deadline).await;
+        let answered = self.call_once(request, start_until, deadline).await;
         if may_write && matches!(answered, Err((Progress::Sent, _))) {
-            tokio::time::sleep_until(begins_until.into()).await;
+            tokio::time::sleep_until(start_until.into()).await;
         }
         answered
     }
 
-    async fn ask_once(
+    async fn call_once(
         &self,
         request: RelayRequest,
-        begins_until: Instant,
+        start_until: Instant,
         deadline: Instant,
     ) -> Result<RelayOutcome, LinkLost> {
-        let number = self.next();
+        let number = self.next_number();
         let (answer, answered) = oneshot::channel();
         if self.is_down() {
             return Err((Progress::NotSent, ConnectionLost::OwnerLost));
         }
-        let asked = Asked { answer, server: request.server.clone(), begins_until };
+        let asked = PendingRequest { answer, server: request.server.clone(), start_until };
         self.waiting.borrow_mut().insert(number, asked);
-        let _forgets = Forgets { link: self, number };
+        let _forget_on_drop = ForgetOnDrop { link: self, number };
         if self.outgoing.try_send(RelayRequest { number, ..request }).is_err() {
             return Err((Progress::NotSent, ConnectionLost::OwnerLost));
         }
@@ -168,20 +168,20 @@
     }
 
     /// Tells the owner something that it does not answer.
-    pub fn tell(&self, request: RelayRequest) {
+    pub fn send(&self, request: RelayRequest) {
         // A link that is full or down ends soon, and the owner gives up everything that came over it.
         if self.outgoing.try_send(request).is_err() {
             self.is_down.set(true);
         }
     }
 
-    fn next(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.next_number.set(self.next_number.get() + 1);
         self.next_number.get()
     }
 
     async fn run(self: Rc<Self>, requests: flume::Receiver<RelayRequest>) {
-        let why = match timeout(CONNECT_WITHIN, connect(self.owner)).await {
+        let why = match timeout(CONNECT_TIMEOUT, connect(self.owner)).await {
             Ok(Ok((frames, clock_ms))) => {
                 self.clock.set(Some((clock_ms, Instant::now())));
                 self.is_connected.set(true);
@@ -208,8 +208,8 @@
         let (mut sink, mut stream) = frames.split();
         let mut heard_at = Instant::now();
         // Whether something was asked since anything was heard, also if nobody waits for it any more.
-        let mut is_owed = false;
-        let mut look_at = Instant::now() + LOOK_EVERY;
+        let mut is_answer_owed = false;
+        let mut check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
         loop {
             if self.is_down() {
                 return "the link was full".to_owned();
@@ -218,19 +218,19 @@
             tokio::select! {
                 request = requests.recv_async() => {
                     let Ok(request) = request else { return "the daemon ends".to_owned() };
-                    if !is_owed && self.is_only_one(request.number) {
+                    if !is_answer_owed && self.is_only_one(request.number) {
                         // Silence counts from when there is something to answer.
                         heard_at = Instant::now();
                     }
-                    is_owed |= self.waiting.borrow().contains_key(&request.number);
+                    is_answer_owed |= self.waiting.borrow().contains_key(&request.number);
                     let written = async {
-                        sink.feed(encoded(&self.with_end(request))).await?;
+                        sink.feed(encoded(&self.with_start_deadline(request))).await?;
                         while let Ok(more) = requests.try_recv() {
-                            sink.feed(encoded(&self.with_end(more))).await?;
+                            sink.feed(encoded(&self.with_start_deadline(more))).await?;
                         }
                         sink.flush().await
                     };
-                    match timeout(WRITE_WITHIN, written).await {
+                    match timeout(WRITE_TIMEOUT, written).await {
                         Ok(Ok(())) => {}
                         Ok(Err(error)) => return error.to_string(),
                         Err(_) => return "its bytes stay unread".to_owned(),
@@ -239,7 +239,7 @@
                 frame = stream.next() => {
                     heard_at = Instant::now();
                     self.pinged_at.set(None);
-                    is_owed = false;
+                    is_answer_owed = false;
                     match frame.map(|frame| frame.map(|it| RelayAnswer::decode(it.freeze()))) {
                         Some(Ok(Ok(answer))) => self.take(answer),
                         Some(Ok(Err(error))) => return error.to_string(),
@@ -248,23 +248,23 @@
                     }
                 }
                 // A moment of its own: requests that keep coming don't put it off.
-                () = tokio::time::sleep_until(look_at.into()), if is_waiting || is_owed => {
-                    look_at = Instant::now() + LOOK_EVERY;
-                    match look(heard_at, self.pinged_at.get(), Instant::now()) {
-                        Look::Fine => {}
-                        Look::Ping => {
+                () = tokio::time::sleep_until(check_at.into()), if is_waiting || is_answer_owed => {
+                    check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
+                    match check_liveness(heard_at, self.pinged_at.get(), Instant::now()) {
+                        LivenessAction::Wait => {}
+                        LivenessAction::Ping => {
                             self.pinged_at.set(Some(Instant::now()));
                             let ping = RelayRequest {
                                 task: Some(RelayTask::Ping(true)),
                                 ..RelayRequest::default()
                             };
-                            match timeout(WRITE_WITHIN, sink.send(encoded(&ping))).await {
+                            match timeout(WRITE_TIMEOUT, sink.send(encoded(&ping))).await {
                                 Ok(Ok(())) => {}
                                 Ok(Err(error)) => return error.to_string(),
                                 Err(_) => return "its bytes stay unread".to_owned(),
                             }
                         }
-                        Look::Dead => return "no sign of life".to_owned(),
+                        LivenessAction::GiveUp => return "no sign of life".to_owned(),
                     }
                 }
             }
@@ -279,16 +279,16 @@
 
     /// Tells the owner by its own clock until when it may begin with a request. Its clock was read before it was
     /// heard here, so the moment is never later than the one that this daemon waits for.
-    fn with_end(&self, request: RelayRequest) -> RelayRequest {
-        let begins_until = self.waiting.borrow().get(&request.number).map(|it| it.begins_until);
-        let begin_until_ms = match (self.clock.get(), begins_until) {
+    fn with_start_deadline(&self, request: RelayRequest) -> RelayRequest {
+        let start_until = self.waiting.borrow().get(&request.number).map(|it| it.start_until);
+        let start_deadline_ms = match (self.clock.get(), start_until) {
             (Some((clock_ms, heard_at)), Some(until)) => {
                 clock_ms + until.saturating_duration_since(heard_at).as_millis() as u64
             }
             // Nobody waits for it any more, or it is no statement.
             _ => 0,
         };
-        RelayRequest { begin_until_ms, ..request }
+        RelayRequest { start_deadline_ms, ..request }
     }
 
     fn take(&self, answer: RelayAnswer) {
@@ -305,13 +305,13 @@
     }
 }
 
-/// Forgets a request however its asker ends.
-struct Forgets<'a> {
+/// ForgetOnDrop a request however its asker ends.
+struct ForgetOnDrop<'a> {
     link: &'a RelayLink,
     number: u64,
 }
 
-impl Drop for Forgets<'_> {
+impl Drop for ForgetOnDrop<'_> {
     fn drop(&mut self) {
         let is_answered = self.link.waiting.borrow_mut().remove(&self.number).is_none();
         if !is_answered {
@@ -325,22 +325,26 @@
 
 /// What to do about an owner from which nothing comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum LivenessAction {
     /// Nothing; it was heard a moment ago.
-    Fine,
+    Wait,
     /// Ask whether it lives.
     Ping,
     /// Take it for dead.
-    Dead,
+    GiveUp,
 }
 
 /// Judges an owner's silence while requests wait for it.
-pub fn look(heard_at: Instant, pinged_at: Option<Instant>, now: Instant) -> Look {
+pub fn check_liveness(
+    heard_at: Instant,
+    pinged_at: Option<Instant>,
+    now: Instant,
+) -> LivenessAction {
     match pinged_at {
-        Some(pinged_at) if now.duration_since(pinged_at) >= PONG_WITHIN => Look::Dead,
-        Some(_) => Look::Fine,
-        None if now.duration_since(heard_at) >= QUIET_FOR => Look::Ping,
-        None => Look::Fine,
+        Some(pinged_at) if now.duration_since(pinged_at) >= PONG_TIMEOUT => LivenessAction::GiveUp,
+        Some(_) => LivenessAction::Wait,
+        None if now.duration_since(heard_at) >= PING_AFTER => LivenessAction::Ping,
+        None => LivenessAction::Wait,
     }
 }
 
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -30,7 +30,7 @@
     pub number: u64,
     /// The transaction that it belongs to, as the asker numbers them; 0 for a statement by itself.
     #[prost(uint64, tag = "2")]
-    pub lease: u64,
+    pub transaction: u64,
     /// The service.
     #[prost(string, tag = "3")]
     pub service: String,
@@ -51,25 +51,25 @@
     pub wait_ms: u64,
     /// How long its answer is of use, in milliseconds.
     #[prost(uint64, tag = "9")]
-    pub time_ms: u64,
+    pub answer_timeout_ms: u64,
     /// The most urgent is 0.
     #[prost(uint32, tag = "10")]
     pub priority: u32,
     /// Whether the asker takes the server for the primary.
     #[prost(bool, tag = "11")]
-    pub leads: bool,
+    pub at_primary: bool,
     /// Whether it leaves room at the primary for statements that only the primary can run.
     #[prost(bool, tag = "12")]
     pub yields: bool,
     /// By the owner's clock, as its answers tell it, until when the owner may begin with it at the server.
     #[prost(uint64, tag = "22")]
-    pub begin_until_ms: u64,
+    pub start_deadline_ms: u64,
     /// The client account for whom it runs; empty for none.
     #[prost(string, tag = "24")]
     pub account: String,
     /// How often the operation was sent to a server or an owner before, over all daemons.
     #[prost(uint32, tag = "27")]
-    pub tried: u32,
+    pub previous_attempts: u32,
     /// Whether the asker knows no other server that could run it, so that one which is set aside does.
     #[prost(bool, tag = "31")]
     pub last_resort: bool,
@@ -182,7 +182,7 @@
     pub load: Option<LoadMessage>,
     /// When asking again may help, in milliseconds from now; 0 if that is not known.
     #[prost(uint64, tag = "11")]
-    pub come_back_ms: u64,
+    pub retry_delay_ms: u64,
     /// What became of it.
     #[prost(oneof = "RelayOutcome", tags = "2, 3, 4, 5, 7, 8, 9")]
     pub outcome: Option<RelayOutcome>,
@@ -403,22 +403,22 @@
             Some(RelayTask::Execute(execute)) => !execute.writes,
             _ => false,
         };
-        only_reads && !self.leads && !self.last_resort
+        only_reads && !self.at_primary && !self.last_resort
     }
 
     /// Whether the owner may not begin with it any more at this time of its clock.
-    pub fn is_over_at(&self, clock_ms: u64) -> bool {
-        clock_ms >= self.begin_until_ms
+    pub fn is_past_start(&self, clock_ms: u64) -> bool {
+        clock_ms >= self.start_deadline_ms
     }
 
     /// Returns how long it may wait for a connection.
-    pub fn waits(&self) -> Duration {
+    pub fn wait_limit(&self) -> Duration {
         Duration::from_millis(self.wait_ms)
     }
 
     /// Returns how long its answer is of use.
-    pub fn lasts(&self) -> Duration {
-        Duration::from_millis(self.time_ms)
+    pub fn answer_timeout(&self) -> Duration {
+        Duration::from_millis(self.answer_timeout_ms)
     }
 }
 
--- a/crates/proxy/src/relay/mod.rs
+++ b/crates/proxy/src/relay/mod.rs
@@ -5,11 +5,11 @@
 //! verdicts are judged where the caller is, as on a connection of its own; an owner only runs what it is given.
 //! See `docs/PLATFORM.md`, "Owned connections".
 
-pub mod answering;
 pub mod lease;
 pub mod limit_messages;
 pub mod link;
 pub mod links;
 pub mod load_messages;
 pub mod messages;
+pub mod owner;
 pub mod sampling;
--- a/crates/proxy/src/relay/answering.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -36,15 +36,15 @@
 };
 
 /// Answers that may wait to be written to one daemon; behind so many nothing more is read from it.
-const MOST_OUTGOING: usize = 512;
+const OUTGOING_CAPACITY: usize = 512;
 /// Requests of one transaction that may wait; its asker sends the next one after the answer.
-const MOST_IN_TRANSACTION: usize = 8;
+const TRANSACTION_CAPACITY: usize = 8;
 
 /// What another daemon has asked for over one link.
 #[derive(Default)]
-struct Asked {
+struct OpenRequests {
     /// The requests of open transactions.
-    leases: RefCell<HashMap<u64, Transaction>>,
+    transactions: RefCell<HashMap<u64, Transaction>>,
     /// Statements by themselves that have not ended.
     singles: RefCell<HashMap<u64, CancellationToken>>,
     /// Cancelled when the link ends.
@@ -56,16 +56,16 @@
     is_unwanted: CancellationToken,
 }
 
-impl Asked {
+impl OpenRequests {
     /// Takes back what was asked: what waits does not begin any more.
-    fn take_back(&self, request: RelayRequest) {
-        if request.lease == 0 {
+    fn cancel(&self, request: RelayRequest) {
+        if request.transaction == 0 {
             if let Some(single) = self.singles.borrow_mut().remove(&request.number) {
                 single.cancel();
             }
             return;
         }
-        if let Some(transaction) = self.leases.borrow_mut().remove(&request.lease) {
+        if let Some(transaction) = self.transactions.borrow_mut().remove(&request.transaction) {
             transaction.is_unwanted.cancel();
             // One that has ended by itself needs no release.
             let _ = transaction.requests.try_send(request);
@@ -74,7 +74,7 @@
 }
 
 /// Runs what another daemon hands over until its link ends; what is open then is rolled back.
-pub async fn answer_relay<C: CallerDialect, E: EndpointDialect>(
+pub async fn serve_relay<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     link: AcceptedLink,
 ) {
@@ -89,18 +89,18 @@
         }
     };
     let (mut sink, mut stream) = frames.split();
-    let (answers, outgoing) = flume::bounded::<RelayAnswer>(MOST_OUTGOING);
+    let (answers, outgoing) = flume::bounded::<RelayAnswer>(OUTGOING_CAPACITY);
     // It says that the link is taken; there is room.
     let _ = answers.try_send(answer_to(0, RelayOutcome::Pong(true)));
     let reading = async {
-        let asked = Rc::new(Asked::default());
+        let asked = Rc::new(OpenRequests::default());
         let _ends_with_link = asked.link.clone().drop_guard();
         while let Some(Ok(frame)) = stream.next().await {
             let Ok(request) = RelayRequest::decode(frame.freeze()) else {
                 log::warn!(event = "peer_garbled"; "another daemon's statement can't be understood");
                 return;
             };
-            if take(&engine, request, &asked, &answers).await.is_err() {
+            if start(&engine, request, &asked, &answers).await.is_err() {
                 return;
             }
         }
@@ -133,13 +133,13 @@
 struct LinkEnded;
 
 /// Starts what a request asks for.
-async fn take<C: CallerDialect, E: EndpointDialect>(
+async fn start<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: RelayRequest,
-    asked: &Rc<Asked>,
+    asked: &Rc<OpenRequests>,
     answers: &flume::Sender<RelayAnswer>,
 ) -> Result<(), LinkEnded> {
-    let (lease, number) = (request.lease, request.number);
+    let (transaction, number) = (request.transaction, request.number);
     let at_once = match &request.task {
         Some(RelayTask::Ping(_)) => Some(RelayOutcome::Pong(true)),
         Some(RelayTask::Vote(asked)) => {
@@ -150,16 +150,16 @@
             Some(RelayOutcome::Lent(engine.answer_lend(&account, &asked.wanted())))
         }
         Some(RelayTask::Release(_)) => {
-            asked.take_back(request);
+            asked.cancel(request);
             return Ok(());
         }
-        Some(RelayTask::Begin(_)) if lease != 0 => {
-            let (requests, taken) = flume::bounded(MOST_IN_TRANSACTION);
+        Some(RelayTask::Begin(_)) if transaction != 0 => {
+            let (requests, taken) = flume::bounded(TRANSACTION_CAPACITY);
             // It is empty, so there is room.
             let _ = requests.try_send(request);
             let is_unwanted = asked.link.child_token();
-            let transaction = Transaction { requests, is_unwanted: is_unwanted.clone() };
-            asked.leases.borrow_mut().insert(lease, transaction);
+            let opened = Transaction { requests, is_unwanted: is_unwanted.clone() };
+            asked.transactions.borrow_mut().insert(transaction, opened);
             let answers = answers.clone();
             tokio::task::spawn_local(run_transaction(engine.clone(), taken, answers, is_unwanted));
             return Ok(());
@@ -168,7 +168,7 @@
             let max_age = Duration::from_millis(*max_age_ms);
             let (engine, answers) = (engine.clone(), answers.clone());
             tokio::task::spawn_local(async move {
-                let until = Instant::now() + request.waits();
+                let until = Instant::now() + request.wait_limit();
                 await_servers(&engine, until).await;
                 let group = group_of(&engine, &request);
                 let sampled = tell_sample(&group, &engine, max_age, until).await;
@@ -178,9 +178,9 @@
             });
             return Ok(());
         }
-        Some(_) if lease != 0 => {
-            let leases = asked.leases.borrow();
-            let known = leases.get(&lease);
+        Some(_) if transaction != 0 => {
+            let transactions = asked.transactions.borrow();
+            let known = transactions.get(&transaction);
             let taken = known.is_some_and(|it| it.requests.try_send(request).is_ok());
             (!taken).then(|| RelayOutcome::Lost("the transaction has ended here".to_owned()))
         }
@@ -218,8 +218,8 @@
     };
     let is_refused = answer.outcome == Some(not_sent(NotSent::Overloaded));
     let wait = report.waits[request.rank().index()];
-    let come_back_ms = if is_refused { wait.as_millis() as u64 + 1 } else { 0 };
-    RelayAnswer { load: Some(LoadMessage::of(&report)), come_back_ms, ..answer }
+    let retry_delay_ms = if is_refused { wait.as_millis() as u64 + 1 } else { 0 };
+    RelayAnswer { load: Some(LoadMessage::of(&report)), retry_delay_ms, ..answer }
 }
 
 fn not_sent(why: NotSent) -> RelayOutcome {
@@ -233,14 +233,14 @@
     is_unwanted: &CancellationToken,
 ) -> RelayOutcome {
     let received_at = Instant::now();
-    await_servers(engine, received_at + request.waits()).await;
+    await_servers(engine, received_at + request.wait_limit()).await;
     let group = group_of(engine, request);
     let Some(task) = request.endpoint_task() else { return not_sent(NotSent::Unwilling) };
     let mut lent = match acquire(engine, &group, request, &task, received_at, is_unwanted).await {
         Ok(lent) => lent,
         Err(why) => return not_sent(why),
     };
-    if request.is_over_at(engine.clock_ms()) {
+    if request.is_past_start(engine.clock_ms()) {
         lent.release();
         return not_sent(NotSent::TooLate);
     }
@@ -282,7 +282,7 @@
             return;
         }
         let received_at = Instant::now();
-        await_servers(&engine, received_at + request.waits()).await;
+        await_servers(&engine, received_at + request.wait_limit()).await;
         let group = group_of(&engine, &request);
         let outcome = match request.endpoint_task() {
             None => not_sent(NotSent::Unwilling),
@@ -332,9 +332,9 @@
     request: &RelayRequest,
     held: &mut PooledConnection<E>,
 ) -> Result<(), NotSent> {
-    let left_ms = request.begin_until_ms.saturating_sub(engine.clock_ms());
+    let left_ms = request.start_deadline_ms.saturating_sub(engine.clock_ms());
     held.await_permit(Instant::now() + Duration::from_millis(left_ms)).await?;
-    if request.is_over_at(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
+    if request.is_past_start(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
 }
 
 /// Waits until this daemon knows the servers: where all start together, others may know before it does that it
@@ -376,19 +376,19 @@
         only: Some(server.clone()),
         min_point: None,
         avoid: Vec::new(),
-        primary: request.leads.then_some(server),
+        primary: request.at_primary.then_some(server),
         priority: request.priority.min(u32::from(u8::MAX)) as u8,
         yields: request.yields,
         opens_transaction: matches!(request.task, Some(RelayTask::Begin(_))),
         is_forwarded: true,
-        previous_attempts: request.tried,
+        previous_attempts: request.previous_attempts,
         cancellation: Some(is_unwanted.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
             _ => Some(Principal::from_told(&request.account)),
         },
     };
-    let wait_until = received_at + request.waits();
+    let wait_until = received_at + request.wait_limit();
     let acquired = engine.acquire(group, connection_request, &task.values, wait_until).await;
     acquired.map_err(|error| match error {
         AcquireError::NoServer => NotSent::Unreachable,
@@ -406,9 +406,9 @@
     lent: &mut PooledConnection<E>,
     received_at: Instant,
 ) -> (RelayOutcome, Option<TransactionState>) {
-    let deadline = received_at + request.lasts();
+    let deadline = received_at + request.answer_timeout();
     let is_read = match &task.kind {
-        TaskKind::Work(work) => work.class() == StatementClass::Read && request.lease == 0,
+        TaskKind::Work(work) => work.class() == StatementClass::Read && request.transaction == 0,
         TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => false,
     };
     let service = Name::from(request.service.as_str());
@@ -416,13 +416,14 @@
     let known = group.samples.borrow().latest();
     let sent_at = Instant::now();
     // Whether a second server is tried is for the asker to say.
-    let watch = Watch { service: &service, slow_after: request.lasts(), may_run_again: is_read };
+    let watch =
+        Watch { service: &service, slow_after: request.answer_timeout(), may_run_again: is_read };
     match engine.run_watched(group, task, lent, deadline, watch).await {
         Ok(answer) => {
             let took = answer.error_code().is_none().then(|| sent_at.elapsed());
             engine.note_health(group, &reached.server, outcome_of(answer.error_code()));
             engine.note_answer(group, &service, &reached, answer.point, took);
-            if request.leads && answer.error_code().is_none() {
+            if request.at_primary && answer.error_code().is_none() {
                 let sample = Sample { sent_at, known, point: answer.point };
                 engine.note_handed_over(group, &service, &reached.server, sample);
             }
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -81,7 +81,7 @@
         ..RelayRequest::default()
     };
     // Whatever else comes, the read goes to the primary, which tells the same.
-    let Ok(RelayOutcome::Sampled(sampled)) = link.ask(request, sent_at + SAMPLE_WITHIN).await
+    let Ok(RelayOutcome::Sampled(sampled)) = link.call(request, sent_at + SAMPLE_WITHIN).await
     else {
         return None;
     };
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -214,7 +214,7 @@
             task: Some(RelayTask::Lend(LendMessage::of(&wanted))),
             ..RelayRequest::default()
         };
-        let Ok(RelayOutcome::Lent(lent)) = link.ask(request, now + LENT_WITHIN).await else {
+        let Ok(RelayOutcome::Lent(lent)) = link.call(request, now + LENT_WITHIN).await else {
             return Grant::NotKeeper;
         };
         let grant = lent.grant();
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -8,7 +8,7 @@
 use crate::{
     control::runner::{CommandRequest, ServingRequest},
     dialect::{CallerDialect, EndpointDialect},
-    relay::answering::answer_relay,
+    relay::owner::serve_relay,
     serve::{
         connection_request::ConnectionRequest,
         endpoint_task::{EndpointTask, TaskKind},
@@ -28,7 +28,7 @@
         let ask = match ask {
             ServingRequest::Command(ask) => ask,
             ServingRequest::Relay(link) => {
-                tokio::task::spawn_local(answer_relay(engine, link));
+                tokio::task::spawn_local(serve_relay(engine, link));
                 continue;
             }
             ServingRequest::Probe { service, server } => {
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -367,7 +367,7 @@
             RelayRequest { task: Some(RelayTask::Vote(request.into())), ..RelayRequest::default() };
         let engine = self.clone();
         tokio::task::spawn_local(async move {
-            let answered = link.ask(request, asked_at + VOTE_WITHIN).await;
+            let answered = link.call(request, asked_at + VOTE_WITHIN).await;
             if let Ok(RelayOutcome::Voted(vote)) = answered {
                 let ballot = Ballot { host, asked_at, vote: vote.vote() };
                 engine.limits.count(ballot, Instant::now());
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -22,7 +22,7 @@
     control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
-        lease::{Lease, Terms},
+        lease::{Lease, LeaseOptions},
         link::RelayLink,
         links::RelayLinks,
     },
@@ -202,18 +202,18 @@
         let link = self.owner_of(slot, request, now)?;
         slot.paths.on_pass(&link.owner(), now);
         slot.at_owners += 1;
-        let terms = Terms {
+        let options = LeaseOptions {
             service: slot.entry.service.clone(),
             server: slot.entry.server.clone(),
             wait_until,
             priority: request.priority,
-            leads: request.primary.as_ref() == Some(&slot.entry.server),
+            at_primary: request.primary.as_ref() == Some(&slot.entry.server),
             yields: request.yields,
-            tried: request.previous_attempts,
+            previous_attempts: request.previous_attempts,
             last_resort,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
-        let lease = Lease::new(self.relays.clone(), link, terms);
+        let lease = Lease::new(self.relays.clone(), link, options);
         let backing = Backing::Remote(lease);
         Some(PooledConnection {
             pool: self.clone(),
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -6,7 +6,7 @@
 use model::{LogPoint, Name, StatementClass, Term};
 use proxy::{
     relay::{
-        link::{Look, look},
+        link::{LivenessAction, check_liveness},
         messages::{AnswerMessage, NotSent, PointMessage, RelayRequest, RelayTask, values_of},
     },
     serve::{
@@ -120,13 +120,17 @@
     let heard_at = Instant::now();
     let after = |ms| heard_at + Duration::from_millis(ms);
     let cases = [
-        ("a moment ago", None, 150, Look::Fine),
-        ("quiet for a while", None, 200, Look::Ping),
-        ("asked a moment ago", Some(200), 400, Look::Fine),
-        ("asked, and nothing came", Some(200), 450, Look::Dead),
+        ("a moment ago", None, 150, LivenessAction::Wait),
+        ("quiet for a while", None, 200, LivenessAction::Ping),
+        ("asked a moment ago", Some(200), 400, LivenessAction::Wait),
+        ("asked, and nothing came", Some(200), 450, LivenessAction::GiveUp),
     ];
     for (name, pinged_after_ms, now_ms, expected) in cases {
-        assert_eq!(look(heard_at, pinged_after_ms.map(after), after(now_ms)), expected, "{name}");
+        assert_eq!(
+            check_liveness(heard_at, pinged_after_ms.map(after), after(now_ms)),
+            expected,
+            "{name}"
+        );
     }
 }
 
@@ -210,11 +214,11 @@
             let (listener, address) = owner().await;
             drop(listener);
             let link = RelayLink::start(address);
-            let lost = link.ask(write(), Instant::now() + DEADLINE).await;
+            let lost = link.call(write(), Instant::now() + DEADLINE).await;
             assert_eq!(lost, Err((Progress::NotSent, ConnectionLost::OwnerLost)));
             assert!(link.is_down());
             // Nor is anything else.
-            let lost = link.ask(write(), Instant::now() + DEADLINE).await;
+            let lost = link.call(write(), Instant::now() + DEADLINE).await;
             assert_eq!(lost, Err((Progress::NotSent, ConnectionLost::OwnerLost)));
         });
     }
@@ -225,7 +229,7 @@
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
             let refuses = async { drop(accept_only(&listener).await) };
-            let (lost, ()) = tokio::join!(link.ask(write(), Instant::now() + DEADLINE), refuses);
+            let (lost, ()) = tokio::join!(link.call(write(), Instant::now() + DEADLINE), refuses);
             assert_eq!(lost, Err((Progress::NotSent, ConnectionLost::OwnerLost)));
         });
     }
@@ -240,7 +244,7 @@
             let waits = Duration::from_millis(200);
             let request = RelayRequest { wait_ms: waits.as_millis() as u64, ..write() };
             let asked = async {
-                let lost = link.ask(request, Instant::now() + DEADLINE).await;
+                let lost = link.call(request, Instant::now() + DEADLINE).await;
                 (lost, Instant::now())
             };
             let leaves = async {
@@ -250,11 +254,11 @@
             };
             let ((lost, told_at), (request, shows_clock_at)) = tokio::join!(asked, leaves);
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
-            let may_begin_for = Duration::from_millis(request.begin_until_ms - CLOCK_MS);
+            let may_begin_for = Duration::from_millis(request.start_deadline_ms - CLOCK_MS);
             assert!(may_begin_for >= waits);
             assert!(told_at >= shows_clock_at + may_begin_for);
-            assert!(!request.is_over_at(request.begin_until_ms - 1));
-            assert!(request.is_over_at(request.begin_until_ms));
+            assert!(!request.is_past_start(request.start_deadline_ms - 1));
+            assert!(request.is_past_start(request.start_deadline_ms));
         });
     }
 
@@ -263,7 +267,7 @@
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
-            let asked = link.ask(write(), Instant::now() + DEADLINE);
+            let asked = link.call(write(), Instant::now() + DEADLINE);
             let leaves = async {
                 let mut frames = accept(&listener).await;
                 read(&mut frames).await;
@@ -278,7 +282,7 @@
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
-            let asked = link.ask(write(), Instant::now() + DEADLINE);
+            let asked = link.call(write(), Instant::now() + DEADLINE);
             tokio::pin!(asked);
             let mut frames = tokio::select! {
                 frames = accept(&listener) => frames,
@@ -304,7 +308,7 @@
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
             let mut frames = {
-                let asked = link.ask(write(), Instant::now() + DEADLINE);
+                let asked = link.call(write(), Instant::now() + DEADLINE);
                 tokio::pin!(asked);
                 tokio::select! {
                     frames = async {
@@ -316,7 +320,7 @@
                 }
             };
             let taken_back = read(&mut frames).await;
-            assert_eq!((taken_back.number, taken_back.lease), (1, 0));
+            assert_eq!((taken_back.number, taken_back.transaction), (1, 0));
             assert_eq!(taken_back.task, Some(RelayTask::Release(false)));
             // What was answered is not.
             let answered = async {
@@ -326,8 +330,8 @@
             };
             let asked = async {
                 let deadline = Instant::now() + DEADLINE;
-                link.ask(write(), deadline).await.unwrap();
-                link.ask(write(), deadline).await
+                link.call(write(), deadline).await.unwrap();
+                link.call(write(), deadline).await
             };
             let next = tokio::select! {
                 next = answered => next,
@@ -352,7 +356,7 @@
                 for _ in 0..400 {
                     let read = RelayTask::Read(Bytes::from_static(b"a 1"));
                     let request = RelayRequest { task: Some(read), ..RelayRequest::default() };
-                    let lost = link.ask(request, Instant::now() + Duration::from_millis(20)).await;
+                    let lost = link.call(request, Instant::now() + Duration::from_millis(20)).await;
                     assert!(lost.is_err());
                     if link.is_down() {
                         return;
@@ -384,7 +388,7 @@
                 answer(&mut frames, first, RelayOutcome::Lost("first".to_owned())).await;
             };
             let (first, second, ()) =
-                tokio::join!(link.ask(write(), deadline), link.ask(write(), deadline), lives);
+                tokio::join!(link.call(write(), deadline), link.call(write(), deadline), lives);
             assert_eq!(first, Ok(RelayOutcome::Lost("first".to_owned())));
             assert_eq!(second, Ok(RelayOutcome::Lost("second".to_owned())));
         });
@@ -412,7 +416,7 @@
                 tokio::task::yield_now().await;
             };
             assert!(link.is_connected());
-            let asked = link.ask(write(), Instant::now() + DEADLINE);
+            let asked = link.call(write(), Instant::now() + DEADLINE);
             let answers = async {
                 let number = read(&mut frames).await.number;
                 answer(&mut frames, number, RelayOutcome::Lost("answered".to_owned())).await;
