--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -21,7 +21,7 @@
     relay::{
         load_messages::LoadMessage,
         messages::{AnswerMessage, NotSent, RelayAnswer, RelayOutcome, RelayRequest, RelayTask},
-        sampling::tell_sample,
+        sampling::answer_sample,
     },
     serve::{
         connection_request::ConnectionRequest,
@@ -171,7 +171,7 @@
                 let until = Instant::now() + request.wait_limit();
                 await_servers(&engine, until).await;
                 let group = group_of(&engine, &request);
-                let sampled = tell_sample(&group, &engine, max_age, until).await;
+                let sampled = answer_sample(&group, &engine, max_age, until).await;
                 // The link may have ended meanwhile.
                 let answer = answer_to(number, RelayOutcome::Sampled(sampled));
                 let _ = answers.send_async(answer).await;
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -27,25 +27,25 @@
 
 /// How long an owner may let a question for a sample wait: a read of some 20 ms at the primary behind two others. A read
 /// that gets no sample then goes to the primary, with a quarter of its target latency of 250 ms spent.
-const SAMPLE_WAIT: Duration = Duration::from_millis(60);
+const OWNER_WAIT: Duration = Duration::from_millis(60);
 /// How long the asker waits for the answer.
-const SAMPLE_WITHIN: Duration = Duration::from_millis(90);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
 /// How long whoever was sent to the primary is waited for before another one is sent.
-pub const SAMPLING_LASTS: Duration = Duration::from_millis(60);
+pub const SAMPLING_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// What an owner does about a question for a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleStep {
     /// Tell this sample: when the primary was asked, and what it showed.
-    Tell(Instant, LogPoint),
+    Return(Instant, LogPoint),
     /// Send the asker to the primary.
-    AskPrimary,
+    ReadPrimary,
     /// Wait for what somebody shows who was sent there.
     Wait,
 }
 
 /// Says what to do about a question by the latest sample and the moment until which somebody is expected to show one.
-pub fn next_step(
+pub fn next_sample_step(
     latest: Option<(Instant, LogPoint)>,
     max_age: Duration,
     sampling_until: Option<Instant>,
@@ -54,11 +54,11 @@
     if let Some((asked_at, point)) = latest
         && now.saturating_duration_since(asked_at) <= max_age
     {
-        return SampleStep::Tell(asked_at, point);
+        return SampleStep::Return(asked_at, point);
     }
     match sampling_until {
         Some(until) if now < until => SampleStep::Wait,
-        Some(_) | None => SampleStep::AskPrimary,
+        Some(_) | None => SampleStep::ReadPrimary,
     }
 }
 
@@ -66,7 +66,7 @@
 ///
 /// The sample counts from when this question was sent less the age that the answer tells: the answer was made later, so
 /// the sample never seems younger than it is, however long the answer was on its way.
-pub(crate) async fn ask_for_sample(
+pub(crate) async fn request_sample(
     link: &RelayLink,
     service: &Name,
     primary: &Name,
@@ -76,12 +76,12 @@
     let request = RelayRequest {
         service: service.to_string(),
         server: primary.to_string(),
-        wait_ms: SAMPLE_WAIT.as_millis() as u64,
+        wait_ms: OWNER_WAIT.as_millis() as u64,
         task: Some(RelayTask::Sample(max_age.as_millis() as u64)),
         ..RelayRequest::default()
     };
     // Whatever else comes, the read goes to the primary, which tells the same.
-    let Ok(RelayOutcome::Sampled(sampled)) = link.call(request, sent_at + SAMPLE_WITHIN).await
+    let Ok(RelayOutcome::Sampled(sampled)) = link.call(request, sent_at + ANSWER_TIMEOUT).await
     else {
         return None;
     };
@@ -91,7 +91,7 @@
 
 /// Answers such a question: at once with a sample that is young enough, or by sending the asker to the primary, or with what
 /// somebody shows who was sent there a moment ago.
-pub(crate) async fn tell_sample<C: CallerDialect, E: EndpointDialect>(
+pub(crate) async fn answer_sample<C: CallerDialect, E: EndpointDialect>(
     group: &Group<E>,
     engine: &Engine<C, E>,
     max_age: Duration,
@@ -105,12 +105,12 @@
         sampled.as_mut().enable();
         let now = Instant::now();
         let latest = group.samples.borrow().latest_sample();
-        match next_step(latest, max_age, group.sampling_until.get(), now) {
-            SampleStep::Tell(asked_at, point) => {
+        match next_sample_step(latest, max_age, group.sampling_until.get(), now) {
+            SampleStep::Return(asked_at, point) => {
                 return SampledMessage { point: Some(point.into()), age_ms: age_ms(asked_at, now) };
             }
-            SampleStep::AskPrimary => {
-                group.sampling_until.set(Some(now + SAMPLING_LASTS));
+            SampleStep::ReadPrimary => {
+                group.sampling_until.set(Some(now + SAMPLING_TIMEOUT));
                 return none;
             }
             SampleStep::Wait if engine.is_stopping() => return none,
@@ -125,7 +125,7 @@
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Takes over from an owner where the primary's log stood at most `max_age` ago; `true` if it knows.
-    pub(crate) async fn hear_sample(
+    pub(crate) async fn fetch_sample(
         &self,
         group: &Group<E>,
         service: &Name,
@@ -133,7 +133,7 @@
         max_age: Duration,
     ) -> bool {
         let Some(link) = group.pool.owner_link(primary) else { return false };
-        let heard = ask_for_sample(&link, service, primary, max_age).await;
+        let heard = request_sample(&link, service, primary, max_age).await;
         let Some((asked_at, sampled)) = heard else { return false };
         let Some(point) = sampled.point else { return false };
         group.samples.borrow_mut().add(asked_at, point.into());
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -182,7 +182,7 @@
             if let Some(leader) = known.filter(|_| !attempts.requested_sample) {
                 attempts.requested_sample = true;
                 let max_age = max_sample_age(bound, leader.is_valid(now));
-                if self.hear_sample(group, service, &leader.server, max_age).await {
+                if self.fetch_sample(group, service, &leader.server, max_age).await {
                     min_point = self.current_min_point(group, job, class);
                 }
             }
--- a/crates/proxy/tests/sampling.rs
+++ b/crates/proxy/tests/sampling.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use model::{LogPoint, Position, Term};
-use proxy::relay::sampling::{SAMPLING_LASTS, SampleStep, next_step};
+use proxy::relay::sampling::{SAMPLING_TIMEOUT, SampleStep, next_sample_step};
 
 /// Daemons of the zone.
 const DAEMONS: u64 = 59;
@@ -41,12 +41,12 @@
 
 impl Owner {
     fn ask(&mut self, now: Instant, answers: bool) {
-        match next_step(self.latest, MAX_AGE, self.sampling_until, now) {
-            SampleStep::Tell(..) => self.told += 1,
+        match next_sample_step(self.latest, MAX_AGE, self.sampling_until, now) {
+            SampleStep::Return(..) => self.told += 1,
             SampleStep::Wait => self.waiting += 1,
-            SampleStep::AskPrimary => {
+            SampleStep::ReadPrimary => {
                 self.sent_to_primary += 1;
-                self.sampling_until = Some(now + SAMPLING_LASTS);
+                self.sampling_until = Some(now + SAMPLING_TIMEOUT);
                 if answers {
                     self.running.push((now + ms(READ_MS), now));
                 }
@@ -95,14 +95,14 @@
     let base = Instant::now();
     let latest = Some((base, point(7)));
     let cases = [
-        ("young", latest, 750, None, SampleStep::Tell(base, point(7))),
-        ("too old", latest, 751, None, SampleStep::AskPrimary),
+        ("young", latest, 750, None, SampleStep::Return(base, point(7))),
+        ("too old", latest, 751, None, SampleStep::ReadPrimary),
         ("too old, and somebody asks", latest, 751, Some(760), SampleStep::Wait),
-        ("somebody asked in vain", latest, 770, Some(760), SampleStep::AskPrimary),
-        ("none", None, 0, None, SampleStep::AskPrimary),
+        ("somebody asked in vain", latest, 770, Some(760), SampleStep::ReadPrimary),
+        ("none", None, 0, None, SampleStep::ReadPrimary),
     ];
     for (name, latest, now_ms, until_ms, expected) in cases {
         let until = until_ms.map(|at| base + ms(at));
-        assert_eq!(next_step(latest, MAX_AGE, until, base + ms(now_ms)), expected, "{name}");
+        assert_eq!(next_sample_step(latest, MAX_AGE, until, base + ms(now_ms)), expected, "{name}");
     }
 }
