--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -213,7 +213,7 @@
     log::info!(event = "started", host = &*engine.settings.host; "the daemon runs");
     tokio::task::spawn_local(answer_control_requests(engine.clone(), asks));
     tokio::task::spawn_local(engine.clone().close_idle_connections());
-    tokio::task::spawn_local(engine.clone().keep_limits());
+    tokio::task::spawn_local(engine.clone().run_limit_election());
     let accepting = {
         let engine = engine.clone();
         tokio::task::spawn_local(async move {
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -111,7 +111,7 @@
             RelayOutcome::Pong(_)
             | RelayOutcome::Sampled(_)
             | RelayOutcome::Voted(_)
-            | RelayOutcome::Lent(_) => {
+            | RelayOutcome::QuotaGranted(_) => {
                 let why = "an owner's answer".to_owned();
                 Err((Progress::Sent, ConnectionLost::Malformed(why)))
             }
--- a/crates/proxy/src/relay/limit_messages.rs
+++ b/crates/proxy/src/relay/limit_messages.rs
@@ -8,16 +8,16 @@
 
 /// A candidate's question, see [`limits::VoteRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct VoteMessage {
+pub struct VoteRequestMessage {
     /// The candidate's host.
     #[prost(string, tag = "1")]
     pub host: String,
     /// A number of this life of it.
     #[prost(uint64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it has a quorum.
     #[prost(bool, tag = "3")]
-    pub is_keeper: bool,
+    pub is_coordinator: bool,
     /// Whether it has stopped lending and frees those that are bound to it.
     #[prost(bool, tag = "4")]
     pub ends: bool,
@@ -25,7 +25,7 @@
 
 /// The answer, see [`limits::Vote`].
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct VotedMessage {
+pub struct VoteAnswerMessage {
     /// Whether the voter is bound to the candidate, in every life of it.
     #[prost(bool, tag = "1")]
     pub is_granted: bool,
@@ -39,7 +39,7 @@
 
 /// A question for operations of an account's limit, see [`limits::Wanted`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct LendMessage {
+pub struct QuotaRequestMessage {
     /// The asker's host.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -53,7 +53,7 @@
 
 /// What was lent, see [`limits::Grant`]; neither where the asked daemon is not the keeper.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct LentMessage {
+pub struct QuotaGrantMessage {
     /// So many operations.
     #[prost(uint32, tag = "1")]
     pub count: u32,
@@ -62,44 +62,54 @@
     pub wait_ms: u64,
     /// Whom the asked daemon takes for the keeper, where it is not itself and knows one.
     #[prost(string, tag = "3")]
-    pub keeper: String,
+    pub coordinator: String,
 }
 
-impl From<&VoteRequest> for VoteMessage {
-    fn from(request: &VoteRequest) -> VoteMessage {
+impl From<&VoteRequest> for VoteRequestMessage {
+    fn from(request: &VoteRequest) -> VoteRequestMessage {
         let VoteRequest { host, life, is_keeper, ends } = request;
-        VoteMessage { host: host.to_string(), life: *life, is_keeper: *is_keeper, ends: *ends }
+        VoteRequestMessage {
+            host: host.to_string(),
+            incarnation: *life,
+            is_coordinator: *is_keeper,
+            ends: *ends,
+        }
     }
 }
 
-impl VoteMessage {
+impl VoteRequestMessage {
     /// Returns the question.
     pub fn request(&self) -> VoteRequest {
         let host = Name::from(self.host.as_str());
-        VoteRequest { host, life: self.life, is_keeper: self.is_keeper, ends: self.ends }
+        VoteRequest {
+            host,
+            life: self.incarnation,
+            is_keeper: self.is_coordinator,
+            ends: self.ends,
+        }
     }
 }
 
-impl From<Vote> for VotedMessage {
-    fn from(vote: Vote) -> VotedMessage {
+impl From<Vote> for VoteAnswerMessage {
+    fn from(vote: Vote) -> VoteAnswerMessage {
         let Vote { is_granted, is_bound, is_provisional } = vote;
-        VotedMessage { is_granted, is_bound, is_provisional }
+        VoteAnswerMessage { is_granted, is_bound, is_provisional }
     }
 }
 
-impl VotedMessage {
+impl VoteAnswerMessage {
     /// Returns the answer.
     pub fn vote(self) -> Vote {
-        let VotedMessage { is_granted, is_bound, is_provisional } = self;
+        let VoteAnswerMessage { is_granted, is_bound, is_provisional } = self;
         Vote { is_granted, is_bound, is_provisional }
     }
 }
 
-impl LendMessage {
+impl QuotaRequestMessage {
     /// Returns how a question is told.
-    pub fn of(wanted: &Wanted) -> LendMessage {
+    pub fn of(wanted: &Wanted) -> QuotaRequestMessage {
         let Wanted { host, unused, wanted } = wanted;
-        LendMessage { host: host.to_string(), unused: *unused, wanted: *wanted }
+        QuotaRequestMessage { host: host.to_string(), unused: *unused, wanted: *wanted }
     }
 
     /// Returns the question.
@@ -109,7 +119,7 @@
     }
 }
 
-impl LentMessage {
+impl QuotaGrantMessage {
     /// Returns what was lent.
     pub fn grant(&self) -> Grant {
         match (self.count, self.wait_ms) {
@@ -120,14 +130,14 @@
     }
 }
 
-impl From<Grant> for LentMessage {
-    fn from(grant: Grant) -> LentMessage {
+impl From<Grant> for QuotaGrantMessage {
+    fn from(grant: Grant) -> QuotaGrantMessage {
         let (count, wait_ms) = match grant {
             Grant::Lent(count) => (count, 0),
             // Rounded up, so that it is never taken for the answer of who does not keep the limits.
             Grant::Empty(wait) => (0, wait.as_millis() as u64 + 1),
             Grant::NotKeeper => (0, 0),
         };
-        LentMessage { count, wait_ms, keeper: String::new() }
+        QuotaGrantMessage { count, wait_ms, coordinator: String::new() }
     }
 }
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -9,7 +9,9 @@
 
 use crate::{
     relay::{
-        limit_messages::{LendMessage, LentMessage, VoteMessage, VotedMessage},
+        limit_messages::{
+            QuotaGrantMessage, QuotaRequestMessage, VoteAnswerMessage, VoteRequestMessage,
+        },
         load_messages::LoadMessage,
     },
     serve::{
@@ -115,10 +117,10 @@
     Sample(u64),
     /// Vote for the asker as the keeper of the accounts' limits.
     #[prost(message, tag = "25")]
-    Vote(VoteMessage),
+    Vote(VoteRequestMessage),
     /// Lend operations of the account's limit.
     #[prost(message, tag = "26")]
-    Lend(LendMessage),
+    RequestQuota(QuotaRequestMessage),
 }
 
 /// A value of a session.
@@ -208,10 +210,10 @@
     Sampled(SampledMessage),
     /// Whether the asker has the vote.
     #[prost(message, tag = "8")]
-    Voted(VotedMessage),
+    Voted(VoteAnswerMessage),
     /// What was lent.
     #[prost(message, tag = "9")]
-    Lent(LentMessage),
+    QuotaGranted(QuotaGrantMessage),
 }
 
 /// Where a primary's log stood, if the owner knows.
@@ -337,7 +339,7 @@
             | RelayTask::Ping(_)
             | RelayTask::Sample(_)
             | RelayTask::Vote(_)
-            | RelayTask::Lend(_) => return None,
+            | RelayTask::RequestQuota(_) => return None,
         })
     }
 }
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -145,9 +145,9 @@
         Some(RelayTask::Vote(asked)) => {
             Some(RelayOutcome::Voted(engine.vote(&asked.request()).into()))
         }
-        Some(RelayTask::Lend(asked)) => {
+        Some(RelayTask::RequestQuota(asked)) => {
             let account = Name::from(request.account.as_str());
-            Some(RelayOutcome::Lent(engine.answer_lend(&account, &asked.wanted())))
+            Some(RelayOutcome::QuotaGranted(engine.answer_quota_request(&account, &asked.wanted())))
         }
         Some(RelayTask::Release(_)) => {
             asked.cancel(request);
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -24,41 +24,41 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::messages::{RelayOutcome, RelayRequest, RelayTask},
     serve::{
-        admission::{Held, LENT_LASTS},
+        admission::{AccountQuota, GRANT_LIFETIME},
         engine::Engine,
     },
 };
 
 /// How long a vote binds its voter: three rounds, so that a lost one costs nothing, and as long as an account waits at
 /// the most where the keeper died.
-const VOTE_BINDS: Duration = Duration::from_millis(600);
+const VOTE_DURATION: Duration = Duration::from_millis(600);
 /// How long it counts for the candidate: less, by far more than two steady clocks drift apart in a second.
-const VOTE_COUNTS: Duration = Duration::from_millis(570);
+const VOTE_COUNTED_FOR: Duration = Duration::from_millis(570);
 /// How often votes are asked for.
-const ROUND_EVERY: Duration = Duration::from_millis(190);
+const VOTE_ROUND_INTERVAL: Duration = Duration::from_millis(190);
 /// How long an answer to a candidate may take: a round trip between zones, on busy hosts.
-const VOTE_WITHIN: Duration = Duration::from_millis(180);
+const VOTE_TIMEOUT: Duration = Duration::from_millis(180);
 /// How long nothing may be heard of a keeper before the first in order asks for votes: two rounds and a little.
-const SILENT_FOR: Duration = Duration::from_millis(420);
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(420);
 /// The same for a daemon that has heard of none since it started, so that all accounts are served soon after all
 /// daemons were started anew: as long as the members must have been the same.
-const SILENT_AT_START: Duration = Duration::from_millis(20);
-/// How long the members must have been the same before somebody becomes keeper by their votes: while a fleet starts for
+const STARTUP_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(20);
+/// How long the members must have been the same before random_voter becomes keeper by their votes: while a fleet starts for
 /// the first time each daemon sees more of them from moment to moment.
-const MEMBERS_SETTLED: Duration = Duration::from_millis(200);
+const STABLE_MEMBERS_FOR: Duration = Duration::from_millis(200);
 /// How long a candidate without a quorum goes on before it lets others have its voters.
-const CANDIDATE_FOR: Duration = Duration::from_millis(1_200);
+const CANDIDACY_LIMIT: Duration = Duration::from_millis(1_200);
 /// The same for one that lends its part of the limits: longer, since its voters are served meanwhile, and not for good, since the
 /// others may be back without a quorum for either.
-const PARTIAL_FOR: Duration = Duration::from_millis(5_000);
-/// How often it is looked whether somebody has to become the keeper.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const PARTIAL_CANDIDACY_LIMIT: Duration = Duration::from_millis(5_000);
+/// How often it is looked whether random_voter has to become the keeper.
+const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// The same where no account has a limit.
-const IDLE_LOOK_EVERY: Duration = Duration::from_millis(1_000);
+const UNLIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The times of the election.
 const fn times(window: Duration) -> ElectionTimes {
-    ElectionTimes { binds: VOTE_BINDS, counts: VOTE_COUNTS, window }
+    ElectionTimes { binds: VOTE_DURATION, counts: VOTE_COUNTED_FOR, window }
 }
 
 /// The members that vote, and since when they are the same.
@@ -73,7 +73,7 @@
 
 /// Members that vote at the most. Each asks all of them while it wants to be the keeper: with 300 that asked 300 the daemons of a
 /// fleet did nothing else. So many still have a quorum among them when a third is cut off.
-const MOST_VOTERS: usize = 75;
+const MAX_VOTERS: usize = 75;
 
 /// This daemon's part in the limits.
 pub(crate) struct Limits {
@@ -83,12 +83,12 @@
     candidacy: RefCell<Option<Candidacy>>,
     began_at: Cell<Instant>,
     next_term: Cell<u64>,
-    rests_until: Cell<Option<Instant>>,
-    heard_at: Cell<Option<Instant>>,
+    no_campaign_until: Cell<Option<Instant>>,
+    coordinator_seen_at: Cell<Option<Instant>>,
     member_since: Cell<Option<Instant>>,
     electorate: RefCell<Electorate>,
     ledger: RefCell<Ledger>,
-    pub(super) held: RefCell<HashMap<Name, Rc<Held>>>,
+    pub(super) quota: RefCell<HashMap<Name, Rc<AccountQuota>>>,
 }
 
 impl Limits {
@@ -102,12 +102,12 @@
             candidacy: RefCell::default(),
             began_at: Cell::new(now),
             next_term: Cell::new(1),
-            rests_until: Cell::new(None),
-            heard_at: Cell::new(None),
+            no_campaign_until: Cell::new(None),
+            coordinator_seen_at: Cell::new(None),
             member_since: Cell::new(None),
             electorate: RefCell::default(),
             ledger: RefCell::default(),
-            held: RefCell::default(),
+            quota: RefCell::default(),
         }
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// Whether anything was heard of a keeper since this daemon started, or it asks for votes itself.
-    pub(super) fn has_heard(&self) -> bool {
-        self.heard_at.get().is_some() || self.candidacy.borrow().is_some()
+    pub(super) fn has_seen_coordinator(&self) -> bool {
+        self.coordinator_seen_at.get().is_some() || self.candidacy.borrow().is_some()
     }
 
     /// Lends what there is of an account's limit, if this daemon is the keeper or asks to be.
-    pub(super) fn lend(
+    pub(super) fn grant(
         &self,
         account: &Name,
         limit: &RateLimit,
@@ -136,7 +136,7 @@
     ) -> Grant {
         let budget = self.rule.budget(limit);
         let standing = self.standing(now);
-        self.ledger.borrow_mut().lend(account, &budget, wanted, standing, LENT_LASTS, now)
+        self.ledger.borrow_mut().lend(account, &budget, wanted, standing, GRANT_LIFETIME, now)
     }
 
     fn standing(&self, now: Instant) -> Standing {
@@ -157,12 +157,12 @@
         }
         if request.ends {
             // The first in order asks for votes at once.
-            self.heard_at.set(now.checked_sub(SILENT_FOR));
+            self.coordinator_seen_at.set(now.checked_sub(COORDINATOR_TIMEOUT));
         } else if vote.is_bound {
-            self.heard_at.set(Some(now));
+            self.coordinator_seen_at.set(Some(now));
         } else if request.is_keeper && !self.is_keeper(now) {
             // Another one has a quorum: whoever goes on to ask for votes only keeps them from it.
-            self.heard_at.set(Some(now));
+            self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
         vote
@@ -170,14 +170,14 @@
 
     /// Leaves the campaign to another candidate that comes first in the order that all daemons share. After a partition
     /// many ask for votes at once, and as long as each has some of them nobody has enough.
-    fn give_way_to(&self, other: &Name, own: &Name, now: Instant) {
+    fn yield_to(&self, other: &Name, own: &Name, now: Instant) {
         let members = self.electorate.borrow().hosts.len();
         let has_chance = |it: &Candidacy| it.is_keeper(now) || it.has_many_votes(members, now);
         let is_candidate = self.candidacy.borrow().as_ref().is_some_and(|it| !has_chance(it));
         let place_of =
             |host: &Name| self.electorate.borrow().hosts.iter().position(|it| it == host);
         if is_candidate && gives_way(place_of(own), place_of(other)) {
-            self.heard_at.set(Some(now));
+            self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
     }
@@ -185,7 +185,7 @@
     fn count(&self, ballot: Ballot, now: Instant) {
         let electorate = self.electorate.borrow();
         let is_settled =
-            electorate.since.is_some_and(|at| now.duration_since(at) >= MEMBERS_SETTLED);
+            electorate.since.is_some_and(|at| now.duration_since(at) >= STABLE_MEMBERS_FOR);
         let mut candidacy = self.candidacy.borrow_mut();
         let Some(candidacy) = candidacy.as_mut() else { return };
         let was_keeper = candidacy.is_keeper(now);
@@ -208,8 +208,9 @@
             return;
         }
         electorate.members = beliefs.members.clone();
-        let ranked = routing::rank_hosts(KEEPER_OF, beliefs.members.keys().map(|host| &**host));
-        let hosts: Vec<Name> = ranked.into_iter().take(MOST_VOTERS).map(Name::from).collect();
+        let ranked =
+            routing::rank_hosts(VOTER_RANKING_KEY, beliefs.members.keys().map(|host| &**host));
+        let hosts: Vec<Name> = ranked.into_iter().take(MAX_VOTERS).map(Name::from).collect();
         if hosts != electorate.hosts {
             electorate.hosts = hosts;
             electorate.since = Some(now);
@@ -217,7 +218,7 @@
     }
 
     /// Returns a voter that may know who the keeper is; another one each time.
-    pub(super) fn somebody(&self, own: &Name) -> Option<Name> {
+    pub(super) fn random_voter(&self, own: &Name) -> Option<Name> {
         let electorate = self.electorate.borrow();
         let others: Vec<&Name> = electorate.hosts.iter().filter(|host| *host != own).collect();
         if others.is_empty() {
@@ -246,42 +247,46 @@
         let now = Instant::now();
         let vote = self.limits.vote(request, &self.control_view(), now);
         if !vote.is_bound {
-            self.limits.give_way_to(&request.host, &self.settings.host, now);
+            self.limits.yield_to(&request.host, &self.settings.host, now);
         }
         vote
     }
 
     /// Takes part in the election of the keeper for as long as the daemon runs.
-    pub async fn keep_limits(self: Rc<Self>) {
+    pub async fn run_limit_election(self: Rc<Self>) {
         loop {
             let beliefs = self.control_view();
             if !beliefs.has_limits() {
                 self.limits.resign();
                 // Before the first configuration nobody knows whether there are limits.
-                let rest = if beliefs.is_ready() { IDLE_LOOK_EVERY } else { LOOK_EVERY };
-                tokio::time::sleep(rest).await;
+                let pause = if beliefs.is_ready() {
+                    UNLIMITED_CHECK_INTERVAL
+                } else {
+                    ELECTION_CHECK_INTERVAL
+                };
+                tokio::time::sleep(pause).await;
                 continue;
             }
             let now = Instant::now();
             self.limits.note_members(&beliefs, now);
-            let rest = match self.may_keep(&beliefs, now) {
+            let pause = match self.should_campaign(&beliefs, now) {
                 true => {
                     self.ask_for_votes(&beliefs, now);
-                    ROUND_EVERY
+                    VOTE_ROUND_INTERVAL
                 }
-                false => LOOK_EVERY,
+                false => ELECTION_CHECK_INTERVAL,
             };
-            tokio::time::sleep(rest).await;
+            tokio::time::sleep(pause).await;
         }
     }
 
     /// Whether this daemon is to ask for votes now.
-    fn may_keep(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) -> bool {
+    fn should_campaign(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) -> bool {
         let limits = &self.limits;
         let own = &self.settings.host;
         if self.is_stopping() && limits.is_keeper(now) {
             limits.resign();
-            self.free_voters(beliefs, now);
+            self.release_voters(beliefs, now);
         }
         if self.is_stopping() || !beliefs.is_member(now) || !beliefs.members.contains_key(own) {
             limits.resign();
@@ -292,29 +297,29 @@
         limits.member_since.set(Some(member_since));
         let is_candidate = limits.candidacy.borrow().is_some();
         if is_candidate {
-            let goes_on_for = match limits.standing(now) {
-                Standing::Partial { .. } => PARTIAL_FOR,
-                _ => CANDIDATE_FOR,
+            let candidacy_limit = match limits.standing(now) {
+                Standing::Partial { .. } => PARTIAL_CANDIDACY_LIMIT,
+                _ => CANDIDACY_LIMIT,
             };
-            let is_long = now.duration_since(limits.began_at.get()) > goes_on_for;
+            let is_expired = now.duration_since(limits.began_at.get()) > candidacy_limit;
             if limits.is_keeper(now) {
                 limits.began_at.set(now);
-            } else if is_long {
+            } else if is_expired {
                 limits.resign();
-                let rests = VOTE_BINDS.mul_f64(rand::rng().random_range(1.0..2.0));
-                limits.rests_until.set(Some(now + rests));
+                let pause = VOTE_DURATION.mul_f64(rand::rng().random_range(1.0..2.0));
+                limits.no_campaign_until.set(Some(now + pause));
                 return false;
             }
             return true;
         }
-        if limits.rests_until.get().is_some_and(|until| now < until) {
+        if limits.no_campaign_until.get().is_some_and(|until| now < until) {
             return false;
         }
         let place = limits.electorate.borrow().hosts.iter().position(|host| host == own);
         let Some(place) = place else { return false };
-        let (since, silence) = match limits.heard_at.get() {
-            Some(at) => (at, SILENT_FOR),
-            None => (member_since, SILENT_AT_START),
+        let (since, silence) = match limits.coordinator_seen_at.get() {
+            Some(at) => (at, COORDINATOR_TIMEOUT),
+            None => (member_since, STARTUP_COORDINATOR_TIMEOUT),
         };
         if now.duration_since(since) < campaign_after(silence, place) {
             return false;
@@ -327,7 +332,7 @@
 
     /// Tells every voter that this daemon lends nothing more, so that another one need not wait for its votes to end: the
     /// daemons of a fleet that is restarted in turn stop one after the other, and each may be the keeper.
-    fn free_voters(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
+    fn release_voters(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
         let own = &self.settings.host;
         let host = own.clone();
         let request = VoteRequest { host, life: self.limits.life, is_keeper: false, ends: true };
@@ -345,7 +350,7 @@
             VoteRequest { host: own.clone(), life: self.limits.life, is_keeper, ends: false };
         let vote = self.limits.vote(&request, beliefs, now);
         if !vote.is_bound {
-            // It has voted for somebody else a moment ago.
+            // It has voted for random_voter else a moment ago.
             self.limits.resign();
             return;
         }
@@ -367,7 +372,7 @@
             RelayRequest { task: Some(RelayTask::Vote(request.into())), ..RelayRequest::default() };
         let engine = self.clone();
         tokio::task::spawn_local(async move {
-            let answered = link.call(request, asked_at + VOTE_WITHIN).await;
+            let answered = link.call(request, asked_at + VOTE_TIMEOUT).await;
             if let Ok(RelayOutcome::Voted(vote)) = answered {
                 let ballot = Ballot { host, asked_at, vote: vote.vote() };
                 engine.limits.count(ballot, Instant::now());
@@ -377,4 +382,4 @@
 }
 
 /// What the members are ranked for where one of them is to keep the limits.
-const KEEPER_OF: &str = "account limits";
+const VOTER_RANKING_KEY: &str = "account limits";
