--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -33,7 +33,7 @@
             }
             ServingRequest::Probe { service, server } => {
                 let group = engine.group(&service, &engine.control_view());
-                engine.probe_again(&group, &service, &server);
+                engine.probe_at_once(&group, &service, &server);
                 continue;
             }
         };
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -289,7 +289,7 @@
             && job.route.reads != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
-            self.note_starved(group, &job.route.service, &leader.server);
+            self.note_replicas_behind(group, &job.route.service, &leader.server);
         }
         let expected = group.pool.expected_wait();
         match error {
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -201,7 +201,7 @@
         let slot = &mut state.servers[index];
         let link = self.owner_of(slot, request, now)?;
         slot.paths.on_pass(&link.owner(), now);
-        slot.at_owners += 1;
+        slot.in_use_remote += 1;
         let options = LeaseOptions {
             service: slot.entry.service.clone(),
             server: slot.entry.server.clone(),
@@ -251,7 +251,7 @@
 
     /// Notes that nothing runs any more at an owner that ran there.
     pub(super) fn release_remote(&self, server: &str) {
-        self.with_slot(server, |slot| slot.at_owners = slot.at_owners.saturating_sub(1));
+        self.with_slot(server, |slot| slot.in_use_remote = slot.in_use_remote.saturating_sub(1));
     }
 
     fn choose_now(&self, request: &ConnectionRequest) -> Choice {
@@ -293,7 +293,7 @@
                     is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                     // Its queue is at the owner, where the whole zone's demand is seen.
                     idle: 1,
-                    in_use: slot.at_owners,
+                    in_use: slot.in_use_remote,
                     limit: u32::MAX,
                     is_full: false,
                     is_non_preferred: false,
@@ -415,7 +415,7 @@
         let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
         if is_scarce {
             for slot in &mut state.servers {
-                slot.end_spares();
+                slot.close_spare();
             }
         }
         is_scarce
@@ -432,7 +432,7 @@
                 && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.overflow
             {
                 slot.idle.push((Instant::now(), connection));
-                slot.end_spares();
+                slot.close_spare();
             }
         });
     }
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -24,18 +24,18 @@
 /// How long reads must have been refused for want of replicas before the control thread is told. A planned
 /// change of primary costs twice as much, once; without one the reads of the group go on being refused for
 /// as long as its replicas are behind, and half of a second more of that costs more than a needless change.
-const STARVED_FOR: Duration = Duration::from_millis(500);
+const BEHIND_REPORT_AFTER: Duration = Duration::from_millis(500);
 /// Refusals further apart than this are not one shortage.
-const STARVED_GAP: Duration = Duration::from_millis(1_000);
+const BEHIND_GAP: Duration = Duration::from_millis(1_000);
 /// How long after a server was found to be out of reach it is asked again.
-const PROBE_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a server may take to accept a connection that only asks whether it is alive.
-const PROBE_WITHIN: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What is known of a server that was asked whether it is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeState {
-    Asking,
+    Probing,
     Unreachable,
 }
 
@@ -95,7 +95,7 @@
             return;
         }
         let Some(entry) = group.pool.entry_of(server) else { return };
-        group.probes.borrow_mut().insert(server.clone(), ProbeState::Asking);
+        group.probes.borrow_mut().insert(server.clone(), ProbeState::Probing);
         let (engine, group) = (self.clone(), group.clone());
         let (service, server) = (service.clone(), server.clone());
         tokio::task::spawn_local(async move {
@@ -107,7 +107,7 @@
                 engine.note_unreachable(&group, &service, &server, asked_at);
                 engine.search_tunnel(&group, &service, &server);
                 // An error means that the time has passed, which is what it is for.
-                let _ = timeout(PROBE_AGAIN_AFTER, group.probe_now.notified()).await;
+                let _ = timeout(PROBE_INTERVAL, group.probe_now.notified()).await;
                 if group.pool.entry_of(&server).is_none() {
                     break;
                 }
@@ -120,23 +120,23 @@
     async fn is_alive(&self, entry: &ServerEntry) -> bool {
         let dialect = &self.endpoint_dialect;
         let introduction = self.introduce(&Principal::Daemon);
-        let opened = EndpointConnection::open(dialect, entry, introduction, PROBE_WITHIN).await;
+        let opened = EndpointConnection::open(dialect, entry, introduction, PROBE_TIMEOUT).await;
         matches!(opened, Ok(_) | Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)))
     }
 
     /// Takes note that a read was refused; if replicas have been behind for long, the control thread is
     /// told.
-    pub fn note_starved(&self, group: &Group<E>, service: &Name, primary: &Name) {
+    pub fn note_replicas_behind(&self, group: &Group<E>, service: &Name, primary: &Name) {
         if !group.pool.are_others_lagging(primary) {
             return;
         }
         let now = Instant::now();
         let since = match group.lagging_refusals.get() {
-            Some((since, last)) if now.duration_since(last) < STARVED_GAP => since,
+            Some((since, last)) if now.duration_since(last) < BEHIND_GAP => since,
             _ => now,
         };
         group.lagging_refusals.set(Some((since, now)));
-        if now.duration_since(since) >= STARVED_FOR {
+        if now.duration_since(since) >= BEHIND_REPORT_AFTER {
             let observation = Observation::ReplicasBehind { service: service.clone() };
             // A full ring means that the control thread has enough to go by.
             let _ = self.observations.try_send(observation);
@@ -160,7 +160,7 @@
     }
 
     /// Asks a server at once that was found to be out of reach a while ago, or is suspected elsewhere.
-    pub(crate) fn probe_again(
+    pub(crate) fn probe_at_once(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         service: &Name,
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -21,29 +21,29 @@
 };
 
 /// How long a server that lagged behind a bounded floor is passed over.
-const LAGGING_FOR: Duration = Duration::from_millis(150);
+const LAGGING_PAUSE: Duration = Duration::from_millis(150);
 /// How long after that a server still counts as behind where all of a group are looked at.
-const LAGGING_RECENTLY: Duration = Duration::from_millis(500);
+const RECENT_LAG_WINDOW: Duration = Duration::from_millis(500);
 /// A latency that has not been confirmed for so long is forgotten, so that the server is tried again.
-const LATENCY_LASTS: Duration = Duration::from_secs(2);
+const LATENCY_LIFETIME: Duration = Duration::from_secs(2);
 /// One part in so many of a primary's connections may be used by statements that leave room for others.
-const YIELDING_PART: u32 = 2;
+const YIELDING_DIVISOR: u32 = 2;
 /// How long a server that could not be reached is passed over, at first; it doubles with each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest time that a server which can't be reached is passed over.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(1_600);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 /// The longest time that nobody opens a connection to a server which grants no more: those of daemons
 /// that died end after some seconds, and then there is room at once.
-const LONGEST_REFUSED_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_REFUSED_BACKOFF: Duration = Duration::from_millis(250);
 /// How long a connection beyond the first may rest. Connections that are not needed leave room for
 /// those of daemons that start anew while their former ones still count.
-const SPARE_RESTS: Duration = Duration::from_millis(1_000);
+const SPARE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The same where accounts compete for an owner's connections: long enough for the next statement of an account that asks
 /// every few seconds, which would else open one.
-const COMPETED_RESTS: Duration = Duration::from_millis(4_000);
+const COMPETED_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// How long a connection may rest where there are more daemons than connections to a server, so that
 /// the others get their turn.
-const SCARCE_RESTS: Duration = Duration::from_millis(300);
+const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long nothing is borrowed of a server that grants no more: longer than a loan rests, so that the
 /// room goes to daemons that have less than their own share.
@@ -70,7 +70,7 @@
     /// The daemons that own the connections to it, if this one does not; asked in this order.
     pub(crate) owners: Arc<[SocketAddr]>,
     /// Statements and transactions that run on connections of owners.
-    pub(crate) at_owners: u32,
+    pub(crate) in_use_remote: u32,
     pub(crate) latency: LatencyAverage,
     pub(crate) latency_at: Option<Instant>,
     pub(crate) point: Option<LogPoint>,
@@ -110,7 +110,7 @@
             no_overflow_until: None,
             keeps: 1,
             owners: Arc::default(),
-            at_owners: 0,
+            in_use_remote: 0,
             latency: LatencyAverage::default(),
             latency_at: None,
             point: None,
@@ -131,13 +131,13 @@
     }
 
     /// Ends connections that have rested for long; the last only where none may be kept.
-    pub(crate) fn end_spares(&mut self) {
+    pub(crate) fn close_spare(&mut self) {
         let now = Instant::now();
         let others = self.in_use as usize;
         let rests = match (self.keeps, &self.reuse) {
-            (0, _) => SCARCE_RESTS,
-            (_, None) => SPARE_RESTS,
-            (_, Some(_)) => COMPETED_RESTS,
+            (0, _) => SCARCE_IDLE_TIMEOUT,
+            (_, None) => SPARE_IDLE_TIMEOUT,
+            (_, Some(_)) => COMPETED_IDLE_TIMEOUT,
         };
         while self.idle.len() + others > self.keeps as usize {
             let rested =
@@ -176,7 +176,7 @@
     /// taken.
     pub(crate) fn make_room(&mut self) {
         let now = Instant::now();
-        let most = self.most_at(now);
+        let most = self.max_connections_at(now);
         while self.idle.len() as u32 + self.in_use >= most {
             let Some(least) = self.least_likely(self.idle.len(), now) else { return };
             self.idle.remove(least);
@@ -236,7 +236,7 @@
 
     /// Notes that its log lacked the point that was asked for.
     pub(crate) fn note_lagging(&mut self) {
-        self.lagging_until = Some(Instant::now() + LAGGING_FOR);
+        self.lagging_until = Some(Instant::now() + LAGGING_PAUSE);
     }
 
     /// Notes that it could not be reached or failed; it is passed over for a while.
@@ -246,19 +246,19 @@
 
     /// Notes that a connection could not be opened; returns how long nobody tries again.
     pub(crate) fn note_open_failed(&mut self, refused: bool) -> Duration {
-        let longest = if refused { LONGEST_REFUSED_BACKOFF } else { LONGEST_BACKOFF };
+        let longest = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
         let backoff = self.next_backoff().min(longest);
         self.no_opening_until = Some(Instant::now() + backoff);
         if refused {
             self.no_overflow_until = Some(Instant::now() + OVERFLOW_PAUSE);
-            self.note_crowded();
+            self.on_connections_exhausted();
         }
         backoff
     }
 
     /// Notes that the server grants no more connections. Behind a queue one may be ended for each that is opened, so that who
     /// has none gets one.
-    fn note_crowded(&mut self) {
+    fn on_connections_exhausted(&mut self) {
         if self.queue.is_none() {
             return;
         }
@@ -270,7 +270,7 @@
     }
 
     /// Returns how many connections there may be at a time.
-    fn most_at(&self, now: Instant) -> u32 {
+    fn max_connections_at(&self, now: Instant) -> u32 {
         self.granted.most(self.limit + self.overflow, now)
     }
 
@@ -328,7 +328,7 @@
 
     /// Whether it lagged behind a moment ago.
     pub(crate) fn has_lagged(&self, now: Instant) -> bool {
-        self.lagging_until.is_some_and(|until| now < until + LAGGING_RECENTLY)
+        self.lagging_until.is_some_and(|until| now < until + RECENT_LAG_WINDOW)
     }
 
     /// Whether it holds fewer connections than it may.
@@ -338,7 +338,7 @@
 
     /// Forgets a latency that nothing has confirmed for long.
     pub(crate) fn forget_old_latency(&mut self, now: Instant) {
-        if self.latency_at.is_some_and(|at| now.duration_since(at) > LATENCY_LASTS) {
+        if self.latency_at.is_some_and(|at| now.duration_since(at) > LATENCY_LIFETIME) {
             self.latency = LatencyAverage::default();
             self.latency_at = None;
         }
@@ -347,7 +347,7 @@
     fn next_backoff(&mut self) -> Duration {
         let backoff = FIRST_BACKOFF.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
-        backoff.min(LONGEST_BACKOFF)
+        backoff.min(MAX_BACKOFF)
     }
 
     /// How many connections may be used now; those that stand, after one could not be opened.
@@ -361,7 +361,7 @@
     /// Whether a connection may be opened now, as far as former failures go.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
-        self.in_use < self.most_at(now) && (!is_paused || self.has_tunnel(now))
+        self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
     }
 
     /// Whether there is no connection, and none will be opened before `deadline`.
@@ -393,7 +393,7 @@
     /// in a server at a time is few; more only waits there, where no priority counts.
     pub(crate) fn is_full_for(&self, request: &ConnectionRequest) -> bool {
         let leads = request.primary.as_ref() == Some(&self.entry.server);
-        request.yields && leads && self.yielding >= (self.limit / YIELDING_PART).max(1)
+        request.yields && leads && self.yielding >= (self.limit / YIELDING_DIVISOR).max(1)
     }
 
     pub(crate) fn is_fit(&self, request: &ConnectionRequest, now: Instant) -> bool {
