--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -17,7 +17,7 @@
 use crate::{
     catalog::{Catalog, ServerEntry},
     control::peers::PrimarySample,
-    serve::share::Sharers,
+    serve::share::DaemonCounts,
 };
 
 /// What a primary lease is based on; see `docs/PLATFORM.md`, "Who leads".
@@ -126,9 +126,9 @@
     pub servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
     /// The leaders by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
-    /// The numbers of daemons that share the servers' connections.
-    pub sharers: Sharers,
-    /// Daemons that can open tunnels to servers which this one can't reach.
+    /// Daemons that share the servers' connections.
+    pub sharers: DaemonCounts,
+    /// Ways around to the servers that this daemon can't reach itself.
     pub tunnel_peers: Arc<TunnelPeers>,
     /// The members from which connection owners are chosen, for servers with too few connections for every
     /// daemon.
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -1,4 +1,4 @@
-//! The outage of one group, as this daemon sees it, and who waits for its end.
+//! The outage of one group as seen by this daemon, and the statements held until its end.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,28 +13,28 @@
 
 use crate::control::control_view::ControlView;
 
-/// The outage of one group, and who waits for its end.
+/// The outage of one group, and the statements held until its end.
 #[derive(Default)]
 pub(crate) struct GroupOutage {
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
-    /// How long it was expected to take when it was found.
+    /// The expected total length of the outage, estimated when it was detected.
     pub(crate) expected: Cell<Duration>,
-    pub(crate) line: RefCell<WaitingLine>,
+    pub(crate) queue: RefCell<WaitingLine>,
 }
 
-/// A place in a group's line, which is left when this is dropped.
-pub(crate) struct Place<'a> {
+/// A held statement in the queue of a group; dropping it removes the statement from the queue.
+pub(crate) struct QueuedStatement<'a> {
     outage: &'a GroupOutage,
     ticket: Ticket,
 }
 
 impl GroupOutage {
-    /// Adds a statement to those that wait.
-    pub(crate) fn join(&self, rank: Rank) -> Place<'_> {
-        Place { outage: self, ticket: self.line.borrow_mut().join(rank) }
+    /// Adds a statement to the queue.
+    pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
+        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
     }
 
-    /// Notes that an outage of this kind lasts, since `began_at` if it is new.
+    /// Records that an outage of this kind is ongoing; a new one began at `began_at`.
     pub(crate) fn observe(
         &self,
         outage: Outage,
@@ -51,51 +51,52 @@
         });
         ongoing.observe(now);
         self.ongoing.set(Some(ongoing));
-        self.line.borrow_mut().close();
+        self.queue.borrow_mut().close();
         ongoing
     }
 }
 
-impl Place<'_> {
-    /// Returns how many go before.
+impl QueuedStatement<'_> {
+    /// Returns the number of statements ahead in the queue.
     pub(crate) fn ahead(&self) -> u32 {
-        self.outage.line.borrow().ahead_of(self.ticket) as u32
+        self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
 
-    /// Returns when it goes on, now that there is a primary.
-    pub(crate) fn turn(&self, pace: Duration, latest: Instant, now: Instant) -> Instant {
-        self.outage.line.borrow_mut().turn(self.ticket, pace, latest, now)
+    /// Returns when the statement may continue after a primary has become usable.
+    pub(crate) fn resume_at(&self, interval: Duration, latest: Instant, now: Instant) -> Instant {
+        self.outage.queue.borrow_mut().turn(self.ticket, interval, latest, now)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuedStatement<'_> {
     fn drop(&mut self) {
-        self.outage.line.borrow_mut().leave(self.ticket);
+        self.outage.queue.borrow_mut().leave(self.ticket);
     }
 }
 
-/// Says why no primary may be used, and since when as far as that is known.
-pub(crate) fn outage_of(beliefs: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
-    match beliefs.leaders.get(service) {
-        Some(lead) if lead.is_valid(now) => (Outage::Unreachable, now),
-        Some(lead) if lead.planned => (Outage::PlannedChange, now),
-        Some(lead) if lead.changing => (Outage::Failover, now),
-        Some(lead) => (Outage::LapsedRight, lead.valid_until),
+/// Returns why no primary is usable, and since when; `now` if the start is unknown.
+pub(crate) fn outage_of(view: &ControlView, service: &str, now: Instant) -> (Outage, Instant) {
+    match view.leaders.get(service) {
+        Some(leader) if leader.is_valid(now) => (Outage::Unreachable, now),
+        Some(leader) if leader.planned => (Outage::PlannedChange, now),
+        Some(leader) if leader.changing => (Outage::Failover, now),
+        Some(leader) => (Outage::LapsedRight, leader.valid_until),
         None => (Outage::LapsedRight, now),
     }
 }
 
-/// What is expected of an outage.
+/// The expected course of an ongoing outage.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct OutageForecast {
     pub(crate) outage: Outage,
     pub(crate) elapsed: Duration,
     pub(crate) remaining: Duration,
 }
 
-impl Outlook {
-    /// What a refused caller is told: when the outage is expected to be over, or when to try another daemon.
-    pub(crate) fn come_back(
+impl OutageForecast {
+    /// Returns the retry delay for a refused caller: until the expected end of the outage, or until it should
+    /// try another daemon.
+    pub(crate) fn retry_delay(
         &self,
         route: ComeBack,
         history: &OutageHistory,
@@ -105,7 +106,7 @@
         if self.outage != Outage::LapsedRight {
             return route.after(self.remaining, draw);
         }
-        // The daemons that can still reach the store and the servers replace the primary once every right has ended.
+        // The daemons that still reach the store and the servers replace the primary once every lease has expired.
         let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -22,7 +22,7 @@
     control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
-        lease::{Lease, Terms},
+        lease::{Lease, LeaseOptions},
         link::RelayLink,
         links::RelayLinks,
     },
@@ -30,10 +30,10 @@
         choose::{Candidate, Choice, choose, mark_non_preferred},
         connection::EndpointConnection,
         connection_request::ConnectionRequest,
-        lent::{Held, Lent, OpeningPlace},
+        pooled_connection::{Backing, OpeningPermit, PooledConnection},
         replay::{Environment, SessionValues},
-        server_queue::Turn,
-        share::{Keep, Owned, Share},
+        server_queue::QueuePermit,
+        share::{IdlePolicy, OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
@@ -45,7 +45,7 @@
 }
 
 pub(super) struct PoolState<E: EndpointDialect> {
-    pub(super) keep: Keep,
+    pub(super) idle_policy: IdlePolicy,
     pub(super) servers: Vec<ServerSlot<E>>,
     pub(super) waiters: [VecDeque<Waiter<E>>; PRIORITIES],
     /// Whether daemons own connections for others.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
     /// No server may run the statement.
-    Nowhere,
+    NoServer,
     /// Too many statements wait already.
     QueueFull,
     /// None was free in time.
@@ -76,16 +76,16 @@
     /// More urgent work and that of others leave no room in time.
     Overloaded {
         /// When asking again may help.
-        come_back: Duration,
+        retry_delay: Duration,
     },
 }
 
 /// What a request was answered with.
 pub enum Offer<E: EndpointDialect> {
     /// A connection.
-    Lent(Lent<E>),
+    Ready(PooledConnection<E>),
     /// Leave to open one.
-    Open(OpeningPlace<E>),
+    Open(OpeningPermit<E>),
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
@@ -96,7 +96,7 @@
         overload: OverloadSettings,
     ) -> GroupPool<E> {
         let state = PoolState {
-            keep: Keep::One,
+            idle_policy: IdlePolicy::KeepOne,
             servers: Vec::new(),
             waiters: Default::default(),
             is_owned: false,
@@ -113,7 +113,7 @@
         owners: &Owners,
     ) {
         let mut state = self.state.borrow_mut();
-        state.keep = share.keep;
+        state.idle_policy = share.idle_policy;
         state.is_owned = share.owned.is_some();
         for slot in &mut state.servers {
             slot.listed = entries.iter().any(|entry| entry.server == slot.entry.server);
@@ -129,30 +129,30 @@
             }
         }
         for slot in &mut state.servers {
-            slot.set_detours(detours.get(&slot.entry.server).cloned().unwrap_or_default());
+            slot.set_tunnels(detours.get(&slot.entry.server).cloned().unwrap_or_default());
             let is_near = slot.entry.availability_zone == *self.layout.zone();
             let server = &slot.entry.server;
             let ownership = match share.owned {
                 None => None,
-                Some(Owned::InEachZone(_)) => owners.in_zone(server, self.layout.zone()),
-                Some(Owned::Once { .. }) => owners
+                Some(OwnerQuota::PerZone(_)) => owners.in_zone(server, self.layout.zone()),
+                Some(OwnerQuota::Single { .. }) => owners
                     .in_zone(server, &slot.entry.availability_zone)
                     .or_else(|| owners.in_any_zone(server)),
             };
-            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.keep) {
+            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.idle_policy) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
                     let place = ownership.owners_before.len();
-                    (owned.most_at(place, self.overload.queue), owned.kept_at(place))
+                    (owned.limit_of(place, self.overload.queue), owned.kept_by(place))
                 }
                 (Some(_), _, _) => (share.limit, 0),
-                (None, _, Keep::One) => (share.limit, 1),
-                (None, _, Keep::OneNear) => (share.limit, u32::from(is_near)),
-                (None, _, Keep::Nothing) => (share.limit, 0),
+                (None, _, IdlePolicy::KeepOne) => (share.limit, 1),
+                (None, _, IdlePolicy::KeepOneInZone) => (share.limit, u32::from(is_near)),
+                (None, _, IdlePolicy::KeepNone) => (share.limit, 0),
             };
             slot.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
             slot.paths.keep_only(&slot.owners);
-            slot.loan = share.loan;
-            let most = slot.limit + share.loan;
+            slot.overflow = share.overflow;
+            let most = slot.limit + share.overflow;
             slot.set_queue(self.queue_room(slot, &share));
             slot.set_competing(self.do_accounts_compete(&share));
             let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(most) as usize;
@@ -164,7 +164,7 @@
     }
 
     /// Finds a connection, or leave to open one, waiting until `deadline` if all are in use.
-    pub async fn lend(
+    pub async fn acquire(
         self: &Rc<Self>,
         request: ConnectionRequest,
         values: &SessionValues,
@@ -175,25 +175,25 @@
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
                 Choice::Wait => return self.wait_for_connection(request, deadline).await,
-                Choice::NoServer => return Err(NoConnection::Nowhere),
+                Choice::NoServer => return Err(NoConnection::NoServer),
             };
-            if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
-                return Ok(Offer::Lent(lent));
+            if has_idle && let Some(lent) = self.acquire_remote(index, &request, deadline) {
+                return Ok(Offer::Ready(lent));
             }
-            self.note_try(index, &request);
-            if let Some(offer) = self.lend_queued(index, &request, values, deadline).await? {
+            self.note_attempt(index, &request);
+            if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
         }
     }
 
     /// Returns the right to use a connection of the server's owner, if another daemon owns them and is there.
-    fn lease(
+    fn acquire_remote(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
         wait_until: Instant,
-    ) -> Option<Lent<E>> {
+    ) -> Option<PooledConnection<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last_resort =
@@ -201,27 +201,27 @@
         let slot = &mut state.servers[index];
         let link = self.owner_of(slot, request, now)?;
         slot.paths.on_pass(&link.owner(), now);
-        slot.at_owners += 1;
-        let terms = Terms {
+        slot.in_use_remote += 1;
+        let options = LeaseOptions {
             service: slot.entry.service.clone(),
             server: slot.entry.server.clone(),
             wait_until,
             priority: request.priority,
-            leads: request.primary.as_ref() == Some(&slot.entry.server),
+            at_primary: request.primary.as_ref() == Some(&slot.entry.server),
             yields: request.yields,
-            tried: request.previous_attempts,
+            previous_attempts: request.previous_attempts,
             last_resort,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
-        let lease = Lease::new(self.relays.clone(), link, terms);
-        let held = Held::Owners(lease);
-        Some(Lent {
+        let lease = Lease::new(self.relays.clone(), link, options);
+        let backing = Backing::Remote(lease);
+        Some(PooledConnection {
             pool: self.clone(),
-            held,
-            lent_at: Instant::now(),
+            backing,
+            acquired_at: Instant::now(),
             yields: false,
-            turn: None,
-            step: None,
+            permit: None,
+            statement_permit: None,
         })
     }
 
@@ -250,8 +250,8 @@
     }
 
     /// Notes that nothing runs any more at an owner that ran there.
-    pub(super) fn leave_owner(&self, server: &str) {
-        self.with_slot(server, |slot| slot.at_owners = slot.at_owners.saturating_sub(1));
+    pub(super) fn release_remote(&self, server: &str) {
+        self.with_slot(server, |slot| slot.in_use_remote = slot.in_use_remote.saturating_sub(1));
     }
 
     fn choose_now(&self, request: &ConnectionRequest) -> Choice {
@@ -272,7 +272,7 @@
             }
             candidates = self.candidates(&mut state, request, now);
         }
-        choose(&candidates, state.keep != Keep::One)
+        choose(&candidates, state.idle_policy != IdlePolicy::KeepOne)
     }
 
     fn candidates(
@@ -293,7 +293,7 @@
                     is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                     // Its queue is at the owner, where the whole zone's demand is seen.
                     idle: 1,
-                    in_use: slot.at_owners,
+                    in_use: slot.in_use_remote,
                     limit: u32::MAX,
                     is_full: false,
                     is_non_preferred: false,
@@ -308,7 +308,7 @@
             let queue = slot.queue.as_ref().filter(|_| waits_elsewhere);
             Some(Candidate {
                 index,
-                reach: match slot.detours.is_empty() {
+                reach: match slot.tunnels.is_empty() {
                     true => self.layout.reach(&slot.entry.availability_zone),
                     // Through another daemon nothing is near.
                     false => {
@@ -338,7 +338,7 @@
     ) -> Option<Box<EndpointConnection<E>>> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
-        slot.idle.retain(|(_, connection)| connection.is_quiet());
+        slot.idle.retain(|(_, connection)| connection.is_reusable());
         let fitting = |wanted: fn(&Environment, &SessionValues) -> bool| {
             slot.idle.iter().rposition(|(_, idle)| {
                 request.accepts_principal(&idle.principal) && wanted(&idle.environment, values)
@@ -351,46 +351,53 @@
         Some(slot.idle.remove(best).1)
     }
 
-    pub(super) fn place(
+    pub(super) fn permit_opening(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
-        turn: Option<Turn>,
-    ) -> OpeningPlace<E> {
+        permit: Option<QueuePermit>,
+    ) -> OpeningPermit<E> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.make_room();
         slot.take(request.yields);
-        OpeningPlace {
+        OpeningPermit {
             pool: self.clone(),
             entry: slot.entry.clone(),
             yields: request.yields,
             settled: false,
-            turn,
+            permit,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         }
     }
 
     /// Gives who waits leave to open a connection to a server, if it still waits.
-    pub(super) fn offer_place(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
+    pub(super) fn offer_opening(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
         let place = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| &*slot.entry.server == server)
         };
         let Some(index) = place else { return };
-        let place = self.place(index, &waiter.request, None);
+        let place = self.permit_opening(index, &waiter.request, None);
         // A place that nobody takes any more gives itself up when it is dropped.
         let _ = waiter.grant.send(Offer::Open(place));
     }
 
-    pub(super) fn lent(
+    pub(super) fn pooled(
         self: &Rc<Self>,
         connection: Box<EndpointConnection<E>>,
         yields: bool,
-        turn: Option<Turn>,
-    ) -> Lent<E> {
-        let held = Held::Own(connection);
-        Lent { pool: self.clone(), held, lent_at: Instant::now(), yields, turn, step: None }
+        permit: Option<QueuePermit>,
+    ) -> PooledConnection<E> {
+        let backing = Backing::Local(connection);
+        PooledConnection {
+            pool: self.clone(),
+            backing,
+            acquired_at: Instant::now(),
+            yields,
+            permit,
+            statement_permit: None,
+        }
     }
 
     pub(super) fn with_slot<R>(
@@ -403,12 +410,12 @@
     }
 
     /// Ends connections that nobody has needed for a while; `true` if there may be more to end.
-    pub fn end_rested(&self) -> bool {
+    pub fn close_spare_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let is_scarce = state.keep != Keep::One;
+        let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
         if is_scarce {
             for slot in &mut state.servers {
-                slot.end_spares();
+                slot.close_spare();
             }
         }
         is_scarce
@@ -418,19 +425,19 @@
         let server = connection.server.clone();
         self.with_slot(&server, |slot| {
             slot.leave(false);
-            let is_wanted = (connection.is_direct || !slot.detours.is_empty())
+            let is_wanted = (connection.is_direct || !slot.tunnels.is_empty())
                 && connection.incarnation == slot.entry.incarnation;
             if is_wanted
                 && slot.listed
-                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.loan
+                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.overflow
             {
                 slot.idle.push((Instant::now(), connection));
-                slot.end_spares();
+                slot.close_spare();
             }
         });
     }
 
-    pub(super) fn give_up(self: &Rc<Self>, server: &str, yields: bool) {
+    pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
         self.with_slot(server, |slot| slot.leave(yields));
         self.serve_waiters();
     }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its messages in order, its values and names, its transaction.
+//! The session of one caller: its messages, session values, prepared statements and transaction.
 
 use std::{
     collections::HashMap,
@@ -29,34 +29,34 @@
     },
 };
 
-/// How long a new connection may take to say what it wants.
-const STARTUP_WITHIN: Duration = Duration::from_secs(10);
-/// How long a new session waits while the daemon has no configuration; callers give up after 2 s.
-const CONFIGURATION_WITHIN: Duration = Duration::from_millis(1_500);
-/// What a caller is told to wait whose session is refused; a daemon that starts has read the configuration
-/// by then if the store answers.
-const SESSION_COMES_BACK: Duration = Duration::from_millis(500);
-/// Values and prepared names that one session may hold; they are replayed and kept in memory.
-const MOST_NAMES: usize = 1_024;
+/// How long a new connection may take to send its startup message.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a new session waits for the daemon's first configuration; callers give up after 2 s.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Retry delay sent to a caller whose session is refused. A starting daemon has read its configuration by
+/// then if the store answers.
+const SESSION_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum number of values, and of prepared statements, in one session; they are kept in memory and replayed.
+const MAX_SESSION_NAMES: usize = 1_024;
 
 /// Why a session ends.
 enum End {
-    /// The caller left or said that it ends.
-    Left,
-    /// A planned stop closes sessions that are at rest.
+    /// The caller disconnected.
+    Disconnected,
+    /// The daemon stops and closes idle sessions.
     Stopping,
-    /// The caller sent what can't be read on; it is told why.
+    /// The caller sent a message that can't be decoded; it gets the error.
     Unreadable(StatementError),
 }
 
-/// What came next.
+/// The next event of a session.
 enum Event {
     Message(CallerMessage),
     End(End),
-    /// The open transaction has rested for too long.
-    Rested,
-    /// An open transaction has no more time, since the daemon stops.
-    StopsNow,
+    /// The open transaction was idle for too long.
+    IdleTimeout,
+    /// The daemon stops and the time left for the open transaction is over.
+    StopDeadline,
 }
 
 struct Session<C, E: EndpointDialect> {
@@ -64,8 +64,8 @@
     link: CallerLink<C>,
     database: Name,
     key: AccountKey,
-    /// Whether the session ends with the answer that is under way.
-    is_over: bool,
+    /// Whether the session ends after the current answer.
+    is_ending: bool,
     values: SessionValues,
     prepared: HashMap<Name, PreparedShape>,
     own_points: HashMap<Name, LogPoint>,
@@ -84,7 +84,7 @@
         link,
         database: Name::from(""),
         key: AccountKey::default(),
-        is_over: false,
+        is_ending: false,
         values: SessionValues::new(),
         prepared: HashMap::new(),
         own_points: HashMap::new(),
@@ -109,12 +109,12 @@
                         return;
                     }
                 }
-                Event::Rested => self.fail_transaction("idle_transaction"),
-                Event::StopsNow => {
+                Event::IdleTimeout => self.fail_transaction("idle_transaction"),
+                Event::StopDeadline => {
                     self.fail_transaction("stopping");
                     return;
                 }
-                Event::End(End::Left | End::Stopping) => return,
+                Event::End(End::Disconnected | End::Stopping) => return,
                 Event::End(End::Unreadable(error)) => {
                     let state = self.state();
                     self.link.put_answer(refusal(error, state));
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Reads the first message; `false` if the connection ends with it.
+    /// Handles the startup message; returns `false` if the connection is to be closed.
     async fn start(&mut self) -> bool {
-        let first = tokio::time::timeout(STARTUP_WITHIN, self.link.read_message()).await;
+        let first = tokio::time::timeout(STARTUP_TIMEOUT, self.link.read_message()).await;
         let Ok(Ok(CallerMessage::Startup { database, key })) = first else {
             if let Ok(Ok(_)) = first {
                 let error = StatementError::new(ErrorCode::Malformed, "a startup must come first");
@@ -140,15 +140,15 @@
             self.refuse_session(&database, "this daemon has as many callers as it may").await;
             return false;
         }
-        if !self.configuration_is_known().await {
+        if !self.wait_for_configuration().await {
             self.refuse_session(&database, "this daemon has no configuration yet").await;
             return false;
         }
-        if !self.engine.beliefs().catalog.routes.contains_key(&database) {
+        if !self.engine.control_view().catalog.routes.contains_key(&database) {
             log::info!(
                 event = "unknown_database", database = &*database,
-                configuration = self.engine.beliefs().catalog.version;
-                "a caller named a database that no route has"
+                configuration = self.engine.control_view().catalog.version;
+                "a caller asked for a database without a route"
             );
             let why = "no route has this database";
             self.link.put_error(StatementError::new(ErrorCode::UnknownDatabase, why));
@@ -169,25 +169,25 @@
         self.link.flush().await.is_ok()
     }
 
-    /// Ends a session that has not begun, and tells its caller when to come back.
+    /// Refuses a session at startup and sends its caller a retry delay.
     async fn refuse_session(&mut self, database: &Name, why: &'static str) {
-        let come_back_ms = self.engine.with_jitter(SESSION_COMES_BACK).as_millis() as u64;
+        let retry_after_ms = self.engine.with_jitter(SESSION_RETRY_DELAY).as_millis() as u64;
         log::info!(
             event = "session_refused", database = &**database, why = why,
-            callers = self.engine.callers.get(), retry_after_ms = come_back_ms;
+            callers = self.engine.callers.get(), retry_after_ms = retry_after_ms;
             "a session was refused"
         );
-        let error = StatementError::come_back(ErrorCode::Overloaded, why, come_back_ms);
+        let error = StatementError::come_back(ErrorCode::Overloaded, why, retry_after_ms);
         self.link.put_error(error);
-        // A caller that has gone need not be told.
+        // A caller that has disconnected needs no answer.
         let _ = self.link.flush().await;
     }
 
-    /// Waits for the first configuration: before it, nothing can be said of any database.
-    async fn configuration_is_known(&self) -> bool {
-        let mut beliefs = self.engine.beliefs.clone();
-        let known = beliefs.wait_for(|beliefs| beliefs.is_ready());
-        matches!(tokio::time::timeout(CONFIGURATION_WITHIN, known).await, Ok(Ok(_)))
+    /// Waits for the first configuration, without which no database can be resolved.
+    async fn wait_for_configuration(&self) -> bool {
+        let mut view = self.engine.control_view.clone();
+        let known = view.wait_for(|view| view.is_ready());
+        matches!(tokio::time::timeout(CONFIGURATION_TIMEOUT, known).await, Ok(Ok(_)))
     }
 
     async fn next_event(&mut self) -> Event {
@@ -198,23 +198,23 @@
                 Ok(None) => {}
                 Err(error) => return Event::End(End::Unreadable(error)),
             }
-            let rest_until = self.rest_until();
-            let stop_until = stopping.borrow_and_update().map(|since| since + self.time_to_stop());
-            let at_rest = self.link.is_empty() && self.transaction.is_none();
-            if at_rest && stop_until.is_some_and(|until| until <= Instant::now()) {
+            let idle_until = self.idle_until();
+            let stop_until = stopping.borrow_and_update().map(|since| since + self.stop_grace());
+            let is_idle = self.link.is_empty() && self.transaction.is_none();
+            if is_idle && stop_until.is_some_and(|until| until <= Instant::now()) {
                 return Event::End(End::Stopping);
             }
             tokio::select! {
                 biased;
                 read = self.link.read() => {
                     if read.is_err() {
-                        return Event::End(End::Left);
+                        return Event::End(End::Disconnected);
                     }
                 }
-                () = sleep_until(rest_until) => return Event::Rested,
+                () = sleep_until(idle_until) => return Event::IdleTimeout,
                 () = sleep_until(stop_until) => {
                     if self.transaction.is_some() {
-                        return Event::StopsNow;
+                        return Event::StopDeadline;
                     }
                 }
                 _ = stopping.changed() => {}
@@ -222,9 +222,9 @@
         }
     }
 
-    /// How long after the signal to stop the session may go on: one at rest until the load balancer
-    /// has heard of it and sends its caller elsewhere, a transaction for longer.
-    fn time_to_stop(&self) -> Duration {
+    /// How long the session may continue after the signal to stop. An idle session stays until the load
+    /// balancer has noticed the stop and routes its caller elsewhere; an open transaction gets longer.
+    fn stop_grace(&self) -> Duration {
         let settings = &self.engine.settings;
         match self.transaction {
             Some(_) => settings.stop_transactions_after,
@@ -232,14 +232,14 @@
         }
     }
 
-    /// Until when the open transaction may rest, if it has a connection of its own.
-    fn rest_until(&self) -> Option<Instant> {
+    /// Until when the open transaction may stay idle, if it holds a connection.
+    fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.lent.as_ref()?;
-        Some(Instant::now() + self.engine.beliefs().catalog.idle_transaction?)
+        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
     }
 
-    /// Answers a message; `false` if the connection ends with it.
+    /// Answers a message; returns `false` if the connection is to be closed.
     async fn on_message(&mut self, message: CallerMessage) -> bool {
         let arrived = Instant::now();
         let answer = match message {
@@ -254,8 +254,8 @@
             CallerMessage::Request(request) => self.on_request(request, arrived).await,
         };
         self.link.put_answer(answer);
-        self.link.rest();
-        self.link.flush().await.is_ok() && !self.is_over
+        self.link.release_buffer();
+        self.link.flush().await.is_ok() && !self.is_ending
     }
 
     async fn on_request(&mut self, request: Request, arrived: Instant) -> Answer {
@@ -266,14 +266,14 @@
         match statement {
             Statement::Begin { read_only } => self.on_begin(read_only),
             Statement::Set { name, value } => {
-                if self.values.len() >= MOST_NAMES && !self.values.contains_key(&name) {
+                if self.values.len() >= MAX_SESSION_NAMES && !self.values.contains_key(&name) {
                     return self.local_error(ErrorCode::TooLarge, "too many values");
                 }
                 self.values.insert(name, value);
                 self.local_success()
             }
             Statement::Prepare { name, shape } => {
-                if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(&name) {
+                if self.prepared.len() >= MAX_SESSION_NAMES && !self.prepared.contains_key(&name) {
                     return self.local_error(ErrorCode::TooLarge, "too many prepared names");
                 }
                 self.prepared.insert(name, shape);
@@ -287,17 +287,23 @@
             Statement::Commit if self.transaction.is_none() => {
                 self.local_error(ErrorCode::Malformed, "no transaction is open")
             }
-            Statement::Commit => self.on_work(id, Work::Commit, arrived).await,
-            Statement::Read { body } => self.on_work(id, Work::Read(body), arrived).await,
-            Statement::Write { body } => self.on_work(id, Work::Write(body), arrived).await,
+            Statement::Commit => self.on_server_statement(id, Work::Commit, arrived).await,
+            Statement::Read { body } => {
+                self.on_server_statement(id, Work::Read(body), arrived).await
+            }
+            Statement::Write { body } => {
+                self.on_server_statement(id, Work::Write(body), arrived).await
+            }
             Statement::Execute { name, arguments } => match self.prepared.get(&name).cloned() {
-                Some(shape) => self.on_work(id, Work::Execute { shape, arguments }, arrived).await,
+                Some(shape) => {
+                    self.on_server_statement(id, Work::Execute { shape, arguments }, arrived).await
+                }
                 None => self.local_error(ErrorCode::UnknownStatement, "no such prepared name"),
             },
         }
     }
 
-    /// Only the end of a failed transaction is taken; nothing of it is kept.
+    /// Handles a statement in a failed transaction, which accepts only its end and never commits.
     fn on_failed_transaction(&mut self, statement: &Statement) -> Answer {
         match statement {
             Statement::Rollback => self.on_rollback(),
@@ -343,7 +349,7 @@
         self.local_success()
     }
 
-    async fn on_work(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
+    async fn on_server_statement(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
         let route = match &self.transaction {
             Some(transaction) => Some(transaction.route.clone()),
             None => self.route(),
@@ -356,7 +362,7 @@
         };
         let principal = Principal::of(account.as_ref());
         let is_first = match &self.transaction {
-            // What was begun for one account is not carried on for another one.
+            // A transaction may not continue for another account than the one that opened it.
             Some(transaction) if transaction.principal() != principal => {
                 return self.local_error(ErrorCode::Aborted, "the key belongs to another account");
             }
@@ -417,19 +423,19 @@
     }
 
     fn route(&self) -> Option<Arc<Route>> {
-        self.engine.beliefs().catalog.routes.get(&self.database).cloned()
+        self.engine.control_view().catalog.routes.get(&self.database).cloned()
     }
 
     fn account(&self, route: &Route) -> Result<Option<Arc<Account>>, UnknownKey> {
-        account_of(&self.engine.beliefs().catalog, &self.key, route)
+        account_of(&self.engine.control_view().catalog, &self.key, route)
     }
 
-    /// Ends the session: its key was taken away. Nothing more runs for it, and what is open is rolled back.
+    /// Ends the session because its key was revoked. An open transaction is rolled back.
     fn end_for_unknown_key(&mut self, at: &'static str) -> Answer {
         self.note_unknown_key(at);
         self.fail_if_open();
         self.transaction = None;
-        self.is_over = true;
+        self.is_ending = true;
         refusal(unknown_key(), TransactionState::Idle)
     }
 
@@ -437,8 +443,8 @@
         self.engine.metrics.refused.with_label_values(&["key"]).inc();
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
-            configuration = self.engine.beliefs().catalog.version;
-            "a caller's key belongs to no client account"
+            configuration = self.engine.control_view().catalog.version;
+            "a caller's key does not belong to any client account"
         );
     }
 
@@ -450,7 +456,7 @@
         }
     }
 
-    /// An error that the session gives itself; inside a transaction it fails the transaction.
+    /// Returns an error raised by the session itself; it fails an open transaction.
     fn local_error(&mut self, code: ErrorCode, text: &'static str) -> Answer {
         self.fail_if_open();
         refusal(StatementError::new(code, text), self.state())
@@ -462,7 +468,7 @@
         }
     }
 
-    /// Ends the open transaction at its server; its caller learns of it with its next message.
+    /// Fails the open transaction and rolls it back at its server. The caller is told with its next message.
     fn fail_transaction(&mut self, why: &str) {
         let Some(transaction) = &mut self.transaction else { return };
         transaction.failed = true;
@@ -470,7 +476,7 @@
             log::info!(
                 event = "transaction_ended", service = &*transaction.route.service,
                 server = &**lent.server(), why = why,
-                lent_ms = lent.lent_for().as_millis() as u64;
+                lent_ms = lent.held_for().as_millis() as u64;
                 "an open transaction was rolled back"
             );
             self.engine.roll_back(lent);
