--- a/crates/failover/src/driver.rs
+++ b/crates/failover/src/driver.rs
@@ -2,8 +2,7 @@
 //!
 //! The driver returns one step at a time and receives its result. Every step is idempotent and may be
 //! repeated by any daemon: the claim and the choice are compare-and-swaps of one record, a seal and a
-//! promotion carry their term, and a server refuses a lower term. `tests/driver.rs` interrupts the
-//! driver at each step and lets another one finish.
+//! promotion carry their term, and a server refuses a lower term.
 
 use model::{ServerId, ServerStatus, Term};
 
@@ -33,8 +32,7 @@
         /// The term in which it becomes primary.
         term: Term,
     },
-    /// Make the other servers follow the new primary; the change is complete even if some can't be
-    /// reached.
+    /// Make the other servers follow the new primary, as far as they can be reached.
     Follow {
         /// The new primary.
         primary: ServerId,
@@ -74,8 +72,7 @@
         record: Option<LeadershipRecord>,
         /// The version of the record in the store; 0 when there is none.
         version: u64,
-        /// Whether the change is complete, or this daemon has seen the record unchanged for the
-        /// takeover time.
+        /// Whether the change is complete, or the record has not changed for the takeover time.
         stalled: bool,
     },
     /// The store accepted the new record.
@@ -143,9 +140,8 @@
     pub avoid: Vec<ServerId>,
     /// The server to choose if no other one holds more.
     pub preferred: Option<ServerId>,
-    /// The primary that is considered failed. It can still answer the seal and hold the longest log,
-    /// for example when only its replicas can't reach it. It is chosen only if the other servers that
-    /// were sealed are not a majority.
+    /// The primary that is considered failed. It may still answer and hold the longest log, so it is
+    /// chosen only if the other sealed servers are not a majority.
     pub failed: Option<ServerId>,
 }
 
@@ -165,8 +161,7 @@
 }
 
 impl FailoverDriver {
-    /// Creates a driver that starts by reading the record. `claim_id` must be unique to this attempt
-    /// among all daemons.
+    /// Creates a driver. `claim_id` must be unique among the attempts of all daemons.
     pub fn new(
         group: FailoverGroup,
         host: impl Into<String>,
