--- a/crates/failover/src/record.rs
+++ b/crates/failover/src/record.rs
@@ -23,8 +23,7 @@
 pub struct LeadershipRecord {
     /// The term that is being started, or was started last.
     pub term: Term,
-    /// A unique identifier chosen by the driver. After a lost answer, the driver reads the record back
-    /// and compares it to find out whether its write took effect.
+    /// Unique to each attempt; after a lost answer, it shows whether the driver's write took effect.
     pub claim_id: String,
     /// The host whose daemon drives the change.
     pub driver: String,
