--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -42,10 +42,8 @@
         self.since.contains_key(address)
     }
 
-    /// Returns what an endpoint may be used for.
-    ///
-    /// It accepts new work for `new_work` after the first signal, and running work may then take
-    /// `finish` to end. A `finish` of zero sets no limit.
+    /// Returns what an endpoint may be used for: any work for `new_work` after the first signal, and
+    /// only running work for `finish` after that. A `finish` of zero sets no limit.
     pub fn work_allowed(
         &self,
         address: &SocketAddr,
