--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -71,8 +71,7 @@
 }
 
 impl MemberList {
-    /// Replaces the host list with a newer version and returns whether it did; an older or equal
-    /// version is ignored.
+    /// Replaces the host list with a newer version; returns whether it did.
     pub fn replace(&mut self, version: u64, mut members: Vec<Member>) -> bool {
         if version <= self.version && !self.members.is_empty() {
             return false;
