--- a/crates/model/src/server_status.rs
+++ b/crates/model/src/server_status.rs
@@ -55,8 +55,7 @@
         LogPoint { term: self.log_term, position: self.held_position }
     }
 
-    /// Returns whether the server accepts writes of its own term: it reports the role of primary and is
-    /// not sealed at a higher term.
+    /// Returns whether the server reports that it is primary and is not sealed above its own term.
     pub fn leads(&self) -> bool {
         self.role == ServerRole::Primary && self.promised_term == self.log_term
     }
