--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -36,8 +36,7 @@
         /// The removed request, which must be refused as not run.
         displaced: Ticket,
     },
-    /// The request must be refused as not run: the queue is full, or the expected wait exceeds the
-    /// deadline.
+    /// The request must be refused as not run: the queue is full, or it would wait past its deadline.
     Refused {
         /// When a retry may succeed, in milliseconds from now.
         retry_after_ms: u64,
@@ -49,7 +48,7 @@
 pub enum NextRequest {
     /// The connection is granted to this request.
     Grant(Ticket),
-    /// This request has expired; it must be refused as not run, and the next request requested again.
+    /// This request has expired; refuse it as not run and call [`AdmissionQueue::next`] again.
     Expire(Ticket),
     /// No request is waiting.
     Idle,
@@ -211,8 +210,7 @@
         NextRequest::Idle
     }
 
-    /// Removes a request, for example when its caller has disconnected or its deadline has passed.
-    /// Returns whether the request was still waiting.
+    /// Removes a request whose caller no longer waits; returns whether it was in the queue.
     pub fn withdraw(&mut self, request: &Request, ticket: Ticket) -> bool {
         self.priorities[request.priority.index()].remove(request.caller, ticket)
     }
