--- a/crates/routing/src/latency_average.rs
+++ b/crates/routing/src/latency_average.rs
@@ -26,8 +26,7 @@
         self.average_us.store(updated.max(1), Ordering::Relaxed);
     }
 
-    /// Returns the average in microseconds; 0 before the first response, so that an unused server is
-    /// preferred.
+    /// Returns the average in microseconds; 0 before the first response, to favor an unused server.
     pub fn get_us(&self) -> u32 {
         self.average_us.load(Ordering::Relaxed)
     }
