--- a/crates/routing/src/ownership.rs
+++ b/crates/routing/src/ownership.rs
@@ -38,11 +38,11 @@
     scored.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The share of the granted connections, in tenths, that a single owner may open. The rest is for connections of stopped
-/// daemons that the server still counts, and for commands.
+/// The share of the granted connections, in tenths, that a single owner may open. The rest is for connections of
+/// stopped daemons that the server still counts, and for commands.
 const SINGLE_OWNER_TENTHS: u32 = 8;
-/// The share of the granted connections, in tenths, that a single owner keeps open. A server counts the connections of a
-/// failed host for some seconds, so keeping more would leave a restarted owner too few.
+/// The share of the granted connections, in tenths, that a single owner keeps open. A server counts the connections of
+/// a failed host for some seconds, so keeping more would leave a restarted owner too few.
 const SINGLE_OWNER_KEPT_TENTHS: u32 = 4;
 
 /// Returns how many of `granted` connections the only owner of a server may open, and how many of them it keeps open.
