--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -10,7 +10,6 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u32,
-    /// The saved tokens, in hundredths.
     saved_hundredths: u32,
 }
 
