--- a/crates/routing/src/write_route.rs
+++ b/crates/routing/src/write_route.rs
@@ -10,8 +10,7 @@
     pub primary: Option<ServerId>,
     /// The newest known term.
     pub term: Term,
-    /// Whether the primary may get new work: it answers, is not leaving, and no planned change of primary
-    /// holds its writes.
+    /// Whether the primary answers, is not leaving, and is not paused for a planned change of primary.
     pub usable: bool,
     /// The last known position of the primary.
     pub primary_position: Position,
