--- a/crates/session/src/requirement.rs
+++ b/crates/session/src/requirement.rs
@@ -9,8 +9,7 @@
 pub struct ReadRequirement {
     /// The highest point of the session's own writes; `None` if there are none.
     pub session: Option<LogPoint>,
-    /// The point that a server must have reached to be fresh enough for the kind of read; `None` if any
-    /// staleness is allowed.
+    /// The point from which a server is fresh enough; `None` if any staleness is allowed.
     pub freshness: Option<LogPoint>,
 }
 
