--- a/crates/session/src/staleness.rs
+++ b/crates/session/src/staleness.rs
@@ -56,8 +56,7 @@
         self.samples.clear();
     }
 
-    /// Removes every other sample of the older half when full, so that old samples are kept at wider
-    /// intervals.
+    /// Removes every other sample of the older half when full.
     fn thin_out(&mut self) {
         if self.samples.len() <= self.capacity {
             return;
@@ -83,8 +82,7 @@
         recent.map(|sample| sample.point)
     }
 
-    /// Returns the maximum age of the data of a server at `point`; `None` if the server has reached no
-    /// sample.
+    /// Returns the maximum age of a server's data at `point`; `None` if it has reached no sample.
     pub fn age_of(&self, point: LogPoint, now: Instant) -> Option<Duration> {
         let reached = self.samples.iter().rev().find(|sample| sample.point <= point);
         reached.map(|sample| now.saturating_duration_since(sample.asked_at))
