--- a/crates/failover/tests/driver.rs
+++ b/crates/failover/tests/driver.rs
@@ -94,9 +94,8 @@
 
     /// Returns the servers that are up and accept writes, by their term.
     fn leaders(&self) -> BTreeMap<u64, usize> {
-        self.servers
-            .iter()
-            .enumerate()
+        let servers = self.servers.iter().enumerate();
+        servers
             .filter(|(_, server)| server.up && server.leads && server.log_term == server.promised)
             .map(|(index, server)| (server.log_term, index))
             .collect()
