--- a/crates/proxy/src/serve/mod.rs
+++ b/crates/proxy/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Serving callers: sessions, the choice of a server, shared connections.
+//! Serves callers: sessions, server choice, and connections shared among sessions and daemons.
 
 pub(crate) mod admission;
 pub mod caller_link;
@@ -13,13 +13,13 @@
 pub mod execute;
 pub(crate) mod health;
 pub mod job;
-pub mod lent;
 pub(crate) mod limits;
 mod outage;
 pub(crate) mod paths;
 pub mod placement;
 pub mod pool;
 mod pool_waiters;
+pub mod pooled_connection;
 mod primary_wait;
 mod queued_acquire;
 pub(crate) mod reachability;
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -1,4 +1,5 @@
-//! Connections to servers that have a queue of their own here: a statement has its turn first, and then its connection.
+//! Acquires connections to servers that have a statement queue at this daemon: a statement first waits for
+//! its turn in the queue, then gets a connection.
 
 use std::{
     rc::Rc,
@@ -16,47 +17,47 @@
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
-        server_queue::{NotBegun, Turn},
-        share::{Owned, Share},
+        server_queue::{QueuePermit, QueueRefusal},
+        share::{OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
 
-/// How often it is looked again whether a connection may be opened, or has come to rest, after one could not be opened.
+/// Delay after which the pool is checked again for a connection if none may be opened now.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Returns what a server has room for, if statements are to wait for it in a queue of its own.
+    /// Returns the capacity for the queue of a server, if its statements are to be queued.
     pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
-        let connections = slot.limit + share.loan;
+        let connections = slot.limit + share.overflow;
         let owners = match owned {
-            Owned::Once { .. } => 1,
-            // The owners of all zones share the slots as they share the connections.
-            Owned::InEachZone(count) => slots.div_ceil(count.max(1)),
+            OwnerQuota::Single { .. } => 1,
+            // The owners of all zones share the slots in the same way as the connections.
+            OwnerQuota::PerZone(count) => slots.div_ceil(count.max(1)),
         };
         Some(Room { slots, connections, owners })
     }
 
-    /// Whether statements wait in the queues of servers.
+    /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().is_owned
     }
 
-    /// Whether accounts compete for the connections to a server: none can do another's work.
+    /// Whether accounts compete for the connections to a server, since each connection serves one account.
     pub(super) fn do_accounts_compete(&self, share: &Share) -> bool {
-        self.overload.reuse && matches!(share.owned, Some(Owned::Once { .. }))
+        self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
-    /// Returns the load of a server that has a queue here.
+    /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
         self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
     }
 
-    /// Finds a connection to the server at this place, or leave to open one, once the statement has its turn; `None` if there
-    /// was none after all, and a server has to be chosen again.
-    pub(super) async fn lend_queued(
+    /// Waits for the statement's turn in the queue of the server at `index`, then returns a connection or the
+    /// permission to open one. Returns `None` if there was no connection and a server must be chosen again.
+    pub(super) async fn acquire_queued(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
@@ -68,44 +69,44 @@
             let slot = &state.servers[index];
             (slot.entry.server.clone(), slot.queue.clone())
         };
-        let turn = match (queue, &request.principal) {
+        let permit = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
                 let queue_request = request_for(request, principal, deadline);
-                let waits = queue.await_turn(queue_request);
-                Some(unless_cancelled(request.cancellation.as_ref(), waits).await?)
+                let wait = queue.await_permit(queue_request);
+                Some(unless_cancelled(request.cancellation.as_ref(), wait).await?)
             }
-            // Commands of a daemon, and statements where the server has no queue, wait for nothing but a connection.
+            // Commands of the daemon itself, and statements for a server without a queue, wait only for a connection.
             _ => None,
         };
-        // Servers may have come and gone meanwhile.
-        let place = {
+        // The list of servers may have changed during the wait.
+        let found = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
         };
-        let Some(index) = place else { return Ok(None) };
+        let Some(index) = found else { return Ok(None) };
         if let Some(principal) = &request.principal {
             self.state.borrow_mut().servers[index].note_use(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
-            return Ok(Some(Offer::Lent(self.lent(connection, request.yields, turn))));
+            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, permit))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
-        if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.place(index, request, turn))));
+        if may_open || permit.is_none() {
+            return Ok(Some(Offer::Open(self.permit_opening(index, request, permit))));
         }
-        drop(turn);
+        drop(permit);
         self.await_opening(&server, deadline).await
     }
 
-    /// Waits for a connection where none may be opened now. One that has none and will not open any in time is no server to
-    /// wait for.
+    /// Waits before a server is chosen again if no connection to this one may be opened now. Fails if the server
+    /// stays unreachable until the deadline.
     async fn await_opening(
         &self,
         server: &str,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
         if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
-            return Err(NoConnection::Nowhere);
+            return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
         if recheck_at >= deadline {
@@ -116,16 +117,16 @@
     }
 }
 
-/// Waits for a turn unless its asker takes back what it asked, or is gone.
+/// Waits for a turn, unless the requesting daemon cancels the request or disconnects.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
-    waits: impl Future<Output = Result<Turn, NotBegun>>,
-) -> Result<Turn, NotBegun> {
-    let Some(cancellation) = cancellation else { return waits.await };
+    wait: impl Future<Output = Result<QueuePermit, QueueRefusal>>,
+) -> Result<QueuePermit, QueueRefusal> {
+    let Some(cancellation) = cancellation else { return wait.await };
     tokio::select! {
         biased;
-        turn = waits => turn,
-        () = cancellation.cancelled() => Err(NotBegun::TooLate),
+        permit = wait => permit,
+        () = cancellation.cancelled() => Err(QueueRefusal::TooLate),
     }
 }
 
@@ -135,20 +136,20 @@
     Request { rank: request.rank(), account, stage, until }
 }
 
-impl From<NotBegun> for NoConnection {
-    fn from(why: NotBegun) -> NoConnection {
+impl From<QueueRefusal> for NoConnection {
+    fn from(why: QueueRefusal) -> NoConnection {
         match why {
-            NotBegun::Overloaded { come_back } => NoConnection::Overloaded { come_back },
-            NotBegun::TooLate => NoConnection::TooLate,
+            QueueRefusal::Overloaded { retry_delay } => NoConnection::Overloaded { retry_delay },
+            QueueRefusal::TooLate => NoConnection::TooLate,
         }
     }
 }
 
-impl From<NotBegun> for NotSent {
-    fn from(why: NotBegun) -> NotSent {
+impl From<QueueRefusal> for NotSent {
+    fn from(why: QueueRefusal) -> NotSent {
         match why {
-            NotBegun::Overloaded { .. } => NotSent::Overloaded,
-            NotBegun::TooLate => NotSent::TooLate,
+            QueueRefusal::Overloaded { .. } => NotSent::Overloaded,
+            QueueRefusal::TooLate => NotSent::TooLate,
         }
     }
 }
