--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -126,9 +126,9 @@
     pub servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
     /// The leaders by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
-    /// Daemons that share the servers' connections.
+    /// The numbers of daemons that share the servers' connections.
     pub sharers: DaemonCounts,
-    /// Ways around to the servers that this daemon can't reach itself.
+    /// Daemons that can open tunnels to servers which this one can't reach.
     pub tunnel_peers: Arc<TunnelPeers>,
     /// The members from which connection owners are chosen, for servers with too few connections for every
     /// daemon.
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -255,7 +255,7 @@
         let received_at = Instant::now();
         // The follower may have learned of a restore from another zone first.
         self.store.note_era(request.applied().era());
-        self.merge_samples(request.samples_here(self.incarnation, self.epoch, received_at));
+        self.merge_samples(request.local_samples(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
             self.note_replicas_behind(Name::from(service.as_str()));
         }
@@ -363,7 +363,7 @@
                 let pass_link = move |link| {
                     // The serving thread is overloaded; the other daemon will reconnect.
                     if serving_requests.try_send(ServingRequest::Relay(link)).is_err() {
-                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread is overloaded");
+                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread did not take it");
                     }
                 };
                 serve_peers(listener, answer, find_server, pass_link).await;
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -188,7 +188,7 @@
     /// Returns the samples, dated by this daemon's clock, which counts from `epoch` in this `incarnation`.
     /// Returns none if the requester's last answer came from another incarnation, and leaves out samples that
     /// are dated in the future.
-    pub fn samples_here(
+    pub fn local_samples(
         &self,
         incarnation: u64,
         epoch: Instant,
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -171,7 +171,7 @@
     };
     // To the upstream: the request takes any time.
     let received_at = base + ms(2_500);
-    let here = request.samples_here(9, epoch, received_at);
+    let here = request.local_samples(9, epoch, received_at);
     assert_eq!(here.len(), 1);
     assert_eq!(here[0].1.point, point);
     assert!(here[0].1.asked_at <= taken_at && here[0].1.asked_at >= taken_at - ms(71));
@@ -204,7 +204,7 @@
         ..FollowRequest::default()
     };
     let now = base + ms(500);
-    let here = |received| request(received).samples_here(7, base, now).len();
+    let here = |received| request(received).local_samples(7, base, now).len();
     assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 0 })), 1);
     assert_eq!(here(Some(ClockMessage { incarnation: 8, at_ms: 0 })), 0, "another incarnation");
     assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 450 })), 0, "a time in the future");
--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -164,7 +164,7 @@
 
     fn take_request(&mut self, asked: usize, request: &FollowRequest, received_at: Instant) {
         let Daemon { life, epoch, .. } = self.daemons[asked];
-        for (_, sample) in request.samples_here(life, epoch, received_at) {
+        for (_, sample) in request.local_samples(life, epoch, received_at) {
             self.keep(asked, sample);
         }
     }
