--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -1,4 +1,4 @@
-//! How long a call to the store that failed is not tried again.
+//! Exponential backoff with jitter for failed calls to the store.
 
 use std::time::Duration;
 
@@ -6,23 +6,18 @@
 
 use crate::control::{adapter::Adapter, runner::Control};
 
-/// The pause after a failed call, at first; it doubles with each failure, with jitter.
-const FIRST_PAUSE: Duration = Duration::from_millis(80);
-/// The longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// How much longer the pauses of a daemon are that follows the store through another one, which tries too and
-/// passes on what it reads: a store that is away for five seconds was asked 3,000 times by 295 daemons, a quarter
-/// of all calls of that day.
-const FOLLOWER_PAUSES: u32 = 4;
-/// The same while that one answers, so that it is heard of at once when the store is back. Together with
-/// [`Control::await_store`] for renewals of leases, a day with five such seconds took 295 daemons 5,936 calls in place
-/// of 7,780.
-const LISTENER_PAUSES: u32 = 8;
-/// How long after an answer the daemon that is followed counts as one that answers; a little more than a question
-/// may wait there.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
+/// The backoff after the first failed call; it doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(80);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Multiplies the backoff of a daemon with an upstream, which retries as well and shares what it reads.
+const FOLLOWER_FACTOR: u32 = 4;
+/// The same while the upstream answers and would report the store's recovery immediately.
+const INFORMED_FOLLOWER_FACTOR: u32 = 8;
+/// How long after an answer the upstream counts as answering; slightly longer than it may hold a request.
+const UPSTREAM_ANSWER_TTL: Duration = Duration::from_secs(1);
 
-/// A pause that grows with each failure, with jitter so that daemons do not move in step.
+/// A delay that grows with each failure, with jitter so that daemons don't retry at the same time.
 #[derive(Default)]
 pub(crate) struct Backoff {
     failures: u32,
@@ -38,15 +33,15 @@
         tokio::time::sleep(backoff).await;
     }
 
-    /// The pause of a daemon that hears of the store's return from another one, if that is there.
-    pub(crate) async fn wait_as_follower(&mut self, reader_answers: bool) {
-        let times = if reader_answers { LISTENER_PAUSES } else { FOLLOWER_PAUSES };
-        let backoff = self.next() * times;
+    /// Waits longer than [`Backoff::wait`], since the upstream reports the store's recovery if it answers.
+    pub(crate) async fn wait_as_follower(&mut self, upstream_answers: bool) {
+        let factor = if upstream_answers { INFORMED_FOLLOWER_FACTOR } else { FOLLOWER_FACTOR };
+        let backoff = self.next() * factor;
         tokio::time::sleep(backoff).await;
     }
 
     fn next(&mut self) -> Duration {
-        let longest = FIRST_PAUSE.saturating_mul(1 << self.failures.min(8)).min(LONGEST_PAUSE);
+        let longest = MIN_BACKOFF.saturating_mul(1 << self.failures.min(8)).min(MAX_BACKOFF);
         self.failures += 1;
         let part: f64 = rand::rng().random_range(0.5..1.0);
         longest.mul_f64(part)
@@ -54,21 +49,22 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Whether the daemon that this one follows the store through answered a moment ago.
+    /// Whether this daemon's upstream has answered recently.
     pub(crate) fn does_upstream_answer(&self) -> bool {
         let upstream_progress = self.state.borrow().upstream_progress;
-        upstream_progress.clock.is_some_and(|(_, heard_at)| heard_at.elapsed() < ANSWERED_WITHIN)
+        upstream_progress
+            .clock
+            .is_some_and(|(_, heard_at)| heard_at.elapsed() < UPSTREAM_ANSWER_TTL)
     }
 
-    /// Waits after a call that failed until the store is worth another try: until a reading by whomever shows that it
-    /// is back, or for a while that grows.
+    /// Waits after a failed call until a store read of any daemon shows that the store is back, or until the backoff ends.
     pub(crate) async fn await_store(&self, backoff: &mut Backoff) {
         let is_silent = || self.state.borrow().is_store_silent(self.store_silence_timeout());
         if self.upstream().is_none() {
             return backoff.wait().await;
         }
         if !is_silent() {
-            // Others reach it: only this daemon is turned away, and no reading tells when that ends.
+            // Other daemons reach the store, so a shared read does not show when this one can.
             return backoff.wait_as_follower(false).await;
         }
         let is_back = async {
