--- a/crates/proxy/src/control/probe_schedule.rs
+++ b/crates/proxy/src/control/probe_schedule.rs
@@ -1,7 +1,7 @@
-//! When this daemon looks at servers that others suspect: at once, and then only now and then.
+//! Schedules probes of servers that other daemons suspect: immediately, and then at a limited rate.
 //!
-//! Daemons that suspect a server say so one after the other. A look for each of these words would open as many
-//! connections from each daemon, to a server that may only be slow.
+//! Several daemons may report the same server within a short time. One probe for each report would open as many connections
+//! to a server that may only be slow.
 
 use std::{
     collections::HashMap,
@@ -10,46 +10,46 @@
 
 use model::Name;
 
-/// How long after a look the next word of others is no reason for another one.
+/// The shortest interval between two probes of a server.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A look at a server, and whether somebody has suspected it since.
+/// A probe of a server, and whether another daemon has suspected the server since.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     at: Instant,
-    is_asked_again: bool,
+    is_requested_again: bool,
 }
 
-/// The looks of the last moments, by service and server.
+/// The recent probes, by service and server.
 #[derive(Debug, Default)]
 pub struct ProbeSchedule {
-    made: HashMap<(Name, Name), Probe>,
+    probes: HashMap<(Name, Name), Probe>,
 }
 
 impl ProbeSchedule {
-    /// Notes that somebody suspects a server; whether to look at it now.
+    /// Notes that another daemon suspects a server; returns whether to probe it now.
     pub fn on_suspected(&mut self, pair: &(Name, Name), now: Instant) -> bool {
-        match self.made.get_mut(pair) {
-            Some(look) if now.duration_since(look.at) < PROBE_INTERVAL => {
-                look.is_asked_again = true;
+        match self.probes.get_mut(pair) {
+            Some(probe) if now.duration_since(probe.at) < PROBE_INTERVAL => {
+                probe.is_requested_again = true;
                 false
             }
             _ => {
-                self.made.insert(pair.clone(), Probe { at: now, is_asked_again: false });
+                self.probes.insert(pair.clone(), Probe { at: now, is_requested_again: false });
                 true
             }
         }
     }
 
-    /// Returns the servers that were suspected soon after a look and whose next one is due.
+    /// Returns the servers that were suspected within the interval after a probe and whose next probe is due.
     pub fn take_due(&mut self, now: Instant) -> Vec<(Name, Name)> {
-        let is_recent = |look: &Probe| now.duration_since(look.at) < PROBE_INTERVAL;
-        let is_due = |look: &Probe| look.is_asked_again && !is_recent(look);
-        let made = self.made.iter().filter(|(_, look)| is_due(look));
-        let due: Vec<(Name, Name)> = made.map(|(pair, _)| pair.clone()).collect();
-        self.made.retain(|_, look| is_recent(look));
+        let is_recent = |probe: &Probe| now.duration_since(probe.at) < PROBE_INTERVAL;
+        let is_due = |probe: &Probe| probe.is_requested_again && !is_recent(probe);
+        let probes = self.probes.iter().filter(|(_, probe)| is_due(probe));
+        let due: Vec<(Name, Name)> = probes.map(|(pair, _)| pair.clone()).collect();
+        self.probes.retain(|_, probe| is_recent(probe));
         for pair in &due {
-            self.made.insert(pair.clone(), Probe { at: now, is_asked_again: false });
+            self.probes.insert(pair.clone(), Probe { at: now, is_requested_again: false });
         }
         due
     }
