--- a/crates/proxy/src/control/reported_suspicions.rs
+++ b/crates/proxy/src/control/reported_suspicions.rs
@@ -1,24 +1,24 @@
-//! What this daemon has told the store of its suspicions, and what is still to be told.
+//! The suspicions that this daemon has reported to the store, and those that are still to be written.
 //!
-//! Each suspicion is a key, and each write goes to every daemon. So they are told many at a time, with a rest between, and
-//! nothing is told twice while the first word of it is on its way back.
+//! Each suspicion is a key, and each write is sent to every daemon. So several are written in one transaction, and none is
+//! written again before the watch had time to return it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::{Duration, Instant},
 };
 
-/// How long a write that the store did may take to come back by the watch, before the key is written again.
-const SHOWN_WITHIN: Duration = Duration::from_secs(1);
-/// Keys that one transaction writes at the most; the store takes no more entries than this in one.
-const MOST_AT_ONCE: usize = 32;
+/// How long a committed write may take to arrive through the watch before the key is written again.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// The largest number of keys that one transaction writes, which is the store's limit.
+const MAX_WRITES_PER_TRANSACTION: usize = 32;
 
-/// What is to be written, by one transaction.
+/// The suspicion keys to write in one transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PendingSuspicionWrites {
-    /// Suspicions to be put.
+    /// Suspicions to add.
     pub puts: Vec<String>,
-    /// Suspicions to be taken back.
+    /// Suspicions to remove.
     pub removes: Vec<String>,
 }
 
@@ -29,77 +29,77 @@
     }
 
     fn is_full(&self) -> bool {
-        self.puts.len() + self.removes.len() >= MOST_AT_ONCE
+        self.puts.len() + self.removes.len() >= MAX_WRITES_PER_TRANSACTION
     }
 }
 
-/// The keys of this daemon's suspicions, as the store shows them and as they were told since.
+/// The keys of this daemon's suspicions: those that the store holds, and recent writes to it.
 #[derive(Debug, Default)]
 pub struct ReportedSuspicions {
-    shown: BTreeSet<String>,
-    /// What was written a moment ago: whether the key was put, and when.
+    stored: BTreeSet<String>,
+    /// Recent writes that the watch has not returned yet: whether the key was put, and when.
     written: BTreeMap<String, (bool, Instant)>,
 }
 
 impl ReportedSuspicions {
-    /// Notes whether the store shows a key.
-    pub fn on_shown(&mut self, key: &str, is_there: bool) {
-        match is_there {
-            true => self.shown.insert(key.to_owned()),
-            false => self.shown.remove(key),
+    /// Notes whether the store holds a key.
+    pub fn on_store_change(&mut self, key: &str, is_present: bool) {
+        match is_present {
+            true => self.stored.insert(key.to_owned()),
+            false => self.stored.remove(key),
         };
-        if self.written.get(key).is_some_and(|(put, _)| *put == is_there) {
+        if self.written.get(key).is_some_and(|(put, _)| *put == is_present) {
             self.written.remove(key);
         }
     }
 
-    /// Notes that the store did a write.
-    pub fn on_written(&mut self, untold: &PendingSuspicionWrites, now: Instant) {
-        for key in &untold.puts {
+    /// Notes that the store committed these writes.
+    pub fn on_written(&mut self, pending_writes: &PendingSuspicionWrites, now: Instant) {
+        for key in &pending_writes.puts {
             self.written.insert(key.clone(), (true, now));
         }
-        for key in &untold.removes {
+        for key in &pending_writes.removes {
             self.written.insert(key.clone(), (false, now));
         }
     }
 
-    /// Forgets what was written under a lease that has ended.
+    /// Forgets writes under a lease that has expired.
     pub fn forget_written(&mut self) {
         self.written.clear();
     }
 
-    /// Returns what has to be written so that the store shows these keys, or as much of it as goes into one
-    /// transaction. Of a key that is not there `may_put` says whether it is worth telling.
-    pub fn untold(
+    /// Returns the writes after which the store holds the `wanted` keys, up to the limit of one transaction. A missing key
+    /// is added only if `may_put` allows it.
+    pub fn pending_writes(
         &mut self,
         wanted: &BTreeSet<String>,
         now: Instant,
         mut may_put: impl FnMut(&str) -> bool,
     ) -> PendingSuspicionWrites {
-        self.written.retain(|_, (_, at)| now.duration_since(*at) < SHOWN_WITHIN);
-        let mut untold = PendingSuspicionWrites::default();
-        let put_lately = self.written.iter().filter(|(_, (put, _))| *put).map(|(key, _)| key);
-        let known: BTreeSet<&String> = self.shown.iter().chain(put_lately).collect();
+        self.written.retain(|_, (_, at)| now.duration_since(*at) < WATCH_TIMEOUT);
+        let mut pending_writes = PendingSuspicionWrites::default();
+        let recently_put = self.written.iter().filter(|(_, (put, _))| *put).map(|(key, _)| key);
+        let known: BTreeSet<&String> = self.stored.iter().chain(recently_put).collect();
         for key in known.into_iter().filter(|key| !wanted.contains(*key)) {
-            if untold.is_full() {
-                return untold;
+            if pending_writes.is_full() {
+                return pending_writes;
             }
             if self.written.get(key).is_none_or(|(put, _)| *put) {
-                untold.removes.push(key.clone());
+                pending_writes.removes.push(key.clone());
             }
         }
         for key in wanted {
-            if untold.is_full() {
-                return untold;
+            if pending_writes.is_full() {
+                return pending_writes;
             }
-            let is_told = match self.written.get(key) {
+            let is_reported = match self.written.get(key) {
                 Some((put, _)) => *put,
-                None => self.shown.contains(key),
+                None => self.stored.contains(key),
             };
-            if !is_told && may_put(key) {
-                untold.puts.push(key.clone());
+            if !is_reported && may_put(key) {
+                pending_writes.puts.push(key.clone());
             }
         }
-        untold
+        pending_writes
     }
 }
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -1,4 +1,4 @@
-//! Telling other daemons which servers can't be reached, and writes that need no answer.
+//! Reports unreachable servers to the other daemons, probes the servers that they report, and queues background writes.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -25,24 +25,24 @@
     metadata::{LeaseId, MetadataStore, Transaction, TransactionOutcome},
 };
 
-/// The rest between two writes of suspicions. The first one goes out at once, which is what a lost primary waits for.
-const TELL_EVERY: Duration = Duration::from_millis(100);
-/// Daemons that tell of a server although they are not its witnesses.
-const MOST_OTHERS: usize = 3;
-/// Daemons of each kind, of the same availability zone and of others, that are tried as a way around.
-const DETOURS_EACH: usize = 3;
+/// The delay between two writes of suspicions. The first one is written immediately.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// The number of daemons that report a server although they are not its witnesses.
+const MAX_OTHER_REPORTERS: usize = 3;
+/// The largest number of tunnel peers for a server from the same availability zone, and from the others.
+const MAX_TUNNEL_PEERS: usize = 3;
 
-/// Daemons that can be asked for a way around, with where.
-type Ways<'a> = Vec<(&'a Name, SocketAddr)>;
+/// Daemons that can be asked for a tunnel, with their peer addresses.
+type ReachablePeers<'a> = Vec<(&'a Name, SocketAddr)>;
 
 impl<P: Adapter> Control<P> {
-    /// Takes over what the serving thread observes, and has the other daemons told which primaries this one can't reach.
+    /// Applies the observations of the serving thread, and triggers reports of unreachable servers.
     pub(crate) async fn observation_loop(self: Rc<Self>) {
         while let Ok(observation) = self.observations.recv_async().await {
-            let mut has_changed = self.take_observation(observation);
-            // Hundreds come at once where a region is cut off, and each publication looks at all of them.
+            let mut has_changed = self.apply_observation(observation);
+            // When a region is disconnected, hundreds arrive together; they are published once.
             while let Ok(more) = self.observations.try_recv() {
-                has_changed |= self.take_observation(more);
+                has_changed |= self.apply_observation(more);
             }
             if has_changed {
                 self.publish();
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Takes over one; returns whether a server has come within reach or got out of it.
-    fn take_observation(self: &Rc<Self>, observation: Observation) -> bool {
+    /// Applies an observation; returns whether the reachability of a server changed.
+    fn apply_observation(self: &Rc<Self>, observation: Observation) -> bool {
         match observation {
             Observation::Reachability { service, server, reachable, asked_at } => {
-                return self.take_reachability((service, server), reachable, asked_at);
+                return self.apply_reachability((service, server), reachable, asked_at);
             }
             Observation::PrimarySampled { service, sample } => {
                 self.merge_samples([(service, sample)]);
@@ -69,7 +69,7 @@
         false
     }
 
-    fn take_reachability(&self, pair: (Name, Name), reachable: bool, asked_at: Instant) -> bool {
+    fn apply_reachability(&self, pair: (Name, Name), reachable: bool, asked_at: Instant) -> bool {
         let mut state = self.state.borrow_mut();
         let has_changed = match reachable {
             true => state.suspected.remove(&pair).is_some(),
@@ -81,21 +81,20 @@
         has_changed
     }
 
-    /// Writes what the store does not show of this daemon's suspicions, whenever that may have changed: many at a time, and
-    /// not in the next moment again. A primary that fails while the store is away would never be replaced if they were
-    /// told once, in vain; the daemons' leases may have ended too.
+    /// Writes this daemon's suspicions that the store does not hold, whenever that may have changed, in batches with a delay
+    /// between them.
     ///
-    /// A write for each suspicion, without a rest, is what a large fleet can't bear: daemons that start together and
-    /// are slow to reach many servers fill the store's rate and every daemon's link with them.
+    /// Repeating failed writes ensures that a primary that fails during an outage of the store is replaced. Batching limits
+    /// the load on the store and the links when many daemons suspect many servers.
     pub(crate) async fn suspicion_loop(self: Rc<Self>) {
         let mut backoff = Backoff::default();
         loop {
             self.suspicions_due.notified().await;
-            let Some((untold, lease)) = self.pending_suspicion_writes() else { continue };
+            let Some((pending, lease)) = self.pending_suspicion_writes() else { continue };
             let put = |key: &String| (key.clone(), Bytes::from_static(b"{}"), Some(lease));
             let transaction = Transaction {
-                puts: untold.puts.iter().map(put).collect(),
-                removes: untold.removes.clone(),
+                puts: pending.puts.iter().map(put).collect(),
+                removes: pending.removes.clone(),
                 ..Transaction::default()
             };
             let written = self.store.commit(&transaction, self.write_timeout()).await;
@@ -103,20 +102,23 @@
             match written {
                 Ok(TransactionOutcome::Done(_)) => {
                     backoff.reset();
-                    self.state.borrow_mut().reported_suspicions.on_written(&untold, Instant::now());
-                    // What did not fit is told next.
+                    self.state
+                        .borrow_mut()
+                        .reported_suspicions
+                        .on_written(&pending, Instant::now());
+                    // The writes beyond the limit of a transaction follow.
                     self.suspicions_due.notify_one();
-                    tokio::time::sleep(TELL_EVERY).await;
+                    tokio::time::sleep(REPORT_INTERVAL).await;
                 }
                 Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseOver) => {
-                    log::info!(event = "write_failed", what = "suspicions"; "the lease was over");
+                    log::info!(event = "write_failed", what = "suspicions"; "the lease had expired");
                     backoff.wait().await;
                 }
                 Err(error) => {
                     log::info!(
                         event = "write_failed", what = "suspicions",
                         why = error.to_string().as_str();
-                        "a write to the store may not have been done"
+                        "a write to the store may not have been applied"
                     );
                     backoff.wait().await;
                 }
@@ -124,13 +126,13 @@
         }
     }
 
-    /// Returns what the store should show and does not, with the lease to write it under.
+    /// Returns the suspicion writes that the store needs, with the lease to write them under.
     ///
-    /// What cut a daemon from a server has often cut it from the store as well, and ends for both at once. So
-    /// after a time without the store a suspicion counts only once the server was tried again in vain: else what
-    /// daemons found behind a partition would have a healthy primary replaced.
+    /// A network partition often disconnects a daemon from a server and from the store at the same time. So after an outage
+    /// of the store a suspicion counts only once the server was probed again; otherwise a healthy primary would be
+    /// replaced after a partition.
     ///
-    /// Of daemons that are no witnesses of a server a few are enough to have the witnesses look at it.
+    /// Only a few daemons that are not witnesses report a server, which is enough for the witnesses to probe it.
     fn pending_suspicion_writes(&self) -> Option<(PendingSuspicionWrites, LeaseId)> {
         let mut state = self.state.borrow_mut();
         let lease = state.lease?.id;
@@ -146,27 +148,26 @@
             let Some((below, _)) = key.rsplit_once('/') else { return false };
             let Some((_, server)) = below.rsplit_once('/') else { return false };
             let hosts = || members.keys().map(|host| &**host);
-            let look = || is_witness(server, &self.settings.host, hosts());
-            witness_cache.is_witness(&Name::from(server), *members_version, look)
-                || mirror.below(&format!("{below}/")).nth(MOST_OTHERS - 1).is_none()
+            let compute = || is_witness(server, &self.settings.host, hosts());
+            witness_cache.is_witness(&Name::from(server), *members_version, compute)
+                || mirror.below(&format!("{below}/")).nth(MAX_OTHER_REPORTERS - 1).is_none()
         };
-        let untold = reported_suspicions.untold(&wanted, Instant::now(), may_put);
-        (!untold.is_empty()).then_some((untold, lease))
+        let pending = reported_suspicions.pending_writes(&wanted, Instant::now(), may_put);
+        (!pending.is_empty()).then_some((pending, lease))
     }
 
-    /// Notes that the store shows a suspicion of this daemon's own, or does not any more.
+    /// Notes that one of this daemon's own suspicions was added to or removed from the store.
     pub(crate) fn note_own_suspicion(&self, key: &str) {
         let is_own = key.rsplit_once('/').is_some_and(|(_, host)| *host == *self.settings.host);
         if is_own {
             let mut state = self.state.borrow_mut();
-            let is_there = state.mirror.get(key).is_some();
-            state.reported_suspicions.on_shown(key, is_there);
+            let is_present = state.mirror.get(key).is_some();
+            state.reported_suspicions.on_store_change(key, is_present);
         }
     }
 
-    /// Has a server looked at that another daemon suspects, if this one is a witness: one daemon alone may be wrong, and
-    /// the witnesses may have no reason of their own to notice. A server that this one can't reach either is tried again
-    /// and again anyhow.
+    /// Probes a server that another daemon suspects, if this daemon is a witness and does not suspect the server itself.
+    /// Suspected servers are probed repeatedly by the serving thread.
     pub(crate) fn probe_suspected_server(&self, key: &str, suspicion: &str) {
         let mut parts = suspicion.split('/');
         let (Some(service), Some(server)) = (parts.next(), parts.next()) else { return };
@@ -178,41 +179,41 @@
             }
             let State { witness_cache, members, members_version, probe_schedule, .. } = &mut *state;
             let hosts = || members.keys().map(|host| &**host);
-            let look = || is_witness(server, &self.settings.host, hosts());
-            if !witness_cache.is_witness(&pair.1, *members_version, look)
+            let compute = || is_witness(server, &self.settings.host, hosts());
+            if !witness_cache.is_witness(&pair.1, *members_version, compute)
                 || !probe_schedule.on_suspected(&pair, Instant::now())
             {
                 return;
             }
         }
-        self.have_probed(pair);
+        self.request_probe(pair);
     }
 
-    /// Does what follows from a reading: suspicions that the store should show by now and does not are told, and servers
-    /// that were suspected again are looked at.
+    /// Called after each store read: triggers missing suspicion writes and due probes.
     pub(crate) fn report_and_probe_suspicions(&self) {
         self.suspicions_due.notify_one();
-        self.look_again();
+        self.probe_again();
     }
 
-    /// Looks again at servers that somebody still suspects a while after this daemon found them alive.
-    fn look_again(&self) {
+    /// Probes servers again that other daemons still suspect.
+    fn probe_again(&self) {
         let due = self.state.borrow_mut().probe_schedule.take_due(Instant::now());
         for (service, server) in due {
             let prefix = self.key(&format!("suspicions/{service}/{server}/"));
             let is_suspected = self.state.borrow().mirror.below(&prefix).next().is_some();
             if is_suspected {
-                self.have_probed((service, server));
+                self.request_probe((service, server));
             }
         }
     }
 
-    fn have_probed(&self, (service, server): (Name, Name)) {
-        // A full ring means that the serving thread is behind; it tries by itself soon, or its own traffic shows it.
+    /// Asks the serving thread to probe a server.
+    fn request_probe(&self, (service, server): (Name, Name)) {
+        // If the queue is full, the serving thread is overloaded; later probes or its own traffic show the server's state.
         let _ = self.serving_requests.try_send(ServingRequest::Probe { service, server });
     }
 
-    /// Has the servers tried again that this daemon could not reach before the store was back.
+    /// Probes the servers again that this daemon could not reach before the store recovered.
     pub(crate) fn reprobe_suspected_servers(&self) {
         let unconfirmed: Vec<(Name, Name)> = {
             let state = self.state.borrow();
@@ -221,65 +222,69 @@
             let suspected = state.suspected.iter().filter(|(_, asked_at)| is_older(asked_at));
             suspected.map(|(pair, _)| pair.clone()).collect()
         };
-        unconfirmed.into_iter().for_each(|pair| self.have_probed(pair));
+        unconfirmed.into_iter().for_each(|pair| self.request_probe(pair));
     }
 
-    /// Returns, for each server that this daemon can't reach, some daemons that have not said so too.
+    /// Returns, for each server that this daemon can't reach, some daemons that have not reported it as unreachable.
     pub(crate) fn tunnel_peers(&self, state: &State, now: Instant) -> TunnelPeers {
-        let mut detours = TunnelPeers::new();
+        let mut tunnel_peers = TunnelPeers::new();
         if state.suspected.is_empty() {
-            return detours;
+            return tunnel_peers;
         }
-        let (near, far) = self.ways_around(state, now);
+        let (near, far) = self.tunnel_candidates(state, now);
         for (service, server) in state.suspected.keys() {
             let prefix = self.key(&format!("suspicions/{service}/{server}/"));
-            let cut_off: HashSet<&str> = state
+            let suspecting: HashSet<&str> = state
                 .mirror
                 .below(&prefix)
                 .filter_map(|item| item.key.strip_prefix(&prefix))
                 .collect();
-            let some = |ways: &[(&Name, SocketAddr)]| {
-                let reaching = ways.iter().filter(|(host, _)| !cut_off.contains(&***host));
-                reaching.map(|(_, address)| *address).take(DETOURS_EACH).collect::<Vec<_>>()
+            let some = |peers: &[(&Name, SocketAddr)]| {
+                let reaching = peers.iter().filter(|(host, _)| !suspecting.contains(&***host));
+                reaching.map(|(_, address)| *address).take(MAX_TUNNEL_PEERS).collect::<Vec<_>>()
             };
-            let tried: Vec<SocketAddr> = some(&near).into_iter().chain(some(&far)).collect();
-            if !tried.is_empty() {
-                detours.insert(server.clone(), Arc::from(tried));
+            let chosen: Vec<SocketAddr> = some(&near).into_iter().chain(some(&far)).collect();
+            if !chosen.is_empty() {
+                tunnel_peers.insert(server.clone(), Arc::from(chosen));
             }
         }
-        detours
+        tunnel_peers
     }
 
-    /// Returns the daemons that can be asked, those of this availability zone and the others. Each daemon begins behind
-    /// itself in the list, so that one that many need is not the same for all of them.
-    fn ways_around<'a>(&self, state: &'a State, now: Instant) -> (Ways<'a>, Ways<'a>) {
+    /// Returns the daemons that may provide a tunnel, those of this availability zone and the others. Each daemon starts
+    /// after its own place in the list, so that the requests are distributed.
+    fn tunnel_candidates<'a>(
+        &self,
+        state: &'a State,
+        now: Instant,
+    ) -> (ReachablePeers<'a>, ReachablePeers<'a>) {
         let own = &self.settings.host;
         let behind = state.members.range::<Name, _>((Excluded(own), Unbounded));
-        let around = behind.chain(state.members.range::<Name, _>(..own));
-        let askable = around.filter_map(|(host, member)| {
+        let others = behind.chain(state.members.range::<Name, _>(..own));
+        let reachable = others.filter_map(|(host, member)| {
             let address = member.peer_address.filter(|it| !self.requester.is_silent(*it, now))?;
             Some((&*member.availability_zone, (host, address)))
         });
         let (near, far): (Vec<_>, Vec<_>) =
-            askable.partition(|(zone, _)| *zone == &*self.settings.availability_zone);
-        let ways =
+            reachable.partition(|(zone, _)| *zone == &*self.settings.availability_zone);
+        let peers =
             |of: Vec<(&str, (&'a Name, SocketAddr))>| of.into_iter().map(|it| it.1).collect();
-        (ways(near), ways(far))
+        (peers(near), peers(far))
     }
 
     fn suspicion_key(&self, service: &Name, server: &Name) -> String {
         self.key(&format!("suspicions/{service}/{server}/{}", self.settings.host))
     }
 
-    /// Starts a write whose failure costs time and nothing else.
+    /// Queues a background write that may fail without consequences except a delay.
     pub(crate) fn queue_write(&self, transaction: Transaction, what: &'static str) {
-        // A full ring means that the store has been silent for long; a later reading makes up for it.
+        // The queue is full only after a long outage of the store; the write is repeated after a later store read.
         if self.pending_writes.0.try_send((transaction, what)).is_err() {
-            log::warn!(event = "write_dropped", what = what; "too many writes wait for the store");
+            log::warn!(event = "write_dropped", what = what; "too many pending writes to the store");
         }
     }
 
-    /// Carries those writes out, each as soon as it comes.
+    /// Executes the queued writes in order.
     pub(crate) async fn write_loop(self: Rc<Self>) {
         while let Ok((transaction, what)) = self.pending_writes.1.recv_async().await {
             let written = self.store.commit(&transaction, self.write_timeout()).await;
@@ -287,7 +292,7 @@
             if let Err(error) = written {
                 log::info!(
                     event = "write_failed", what = what, why = error.to_string().as_str();
-                    "a write to the store may not have been done"
+                    "a write to the store may not have been applied"
                 );
             }
         }
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -73,7 +73,7 @@
     let mut writes = 0;
     let mut put = BTreeSet::new();
     loop {
-        let untold = told.untold(&wanted, start, |_| true);
+        let untold = told.pending_writes(&wanted, start, |_| true);
         if untold.is_empty() {
             break;
         }
@@ -94,20 +94,28 @@
     let put = PendingSuspicionWrites { puts: vec![key.clone()], removes: Vec::new() };
     let take_back = PendingSuspicionWrites { puts: Vec::new(), removes: vec![key.clone()] };
     let mut told = ReportedSuspicions::default();
-    assert_eq!(told.untold(&wanted, at(0), |_| true), put);
+    assert_eq!(told.pending_writes(&wanted, at(0), |_| true), put);
     told.on_written(&put, at(0));
-    assert!(told.untold(&wanted, at(500), |_| true).is_empty(), "it is on its way back");
-    assert_eq!(told.untold(&none, at(600), |_| true), take_back, "before the store shows it");
-    assert_eq!(told.untold(&wanted, at(1_100), |_| true), put, "it never came");
-    told.on_shown(&key, true);
-    assert!(told.untold(&wanted, at(1_200), |_| true).is_empty());
-    assert_eq!(told.untold(&none, at(1_300), |_| true), take_back);
+    assert!(told.pending_writes(&wanted, at(500), |_| true).is_empty(), "it is on its way back");
+    assert_eq!(
+        told.pending_writes(&none, at(600), |_| true),
+        take_back,
+        "before the store shows it"
+    );
+    assert_eq!(told.pending_writes(&wanted, at(1_100), |_| true), put, "it never came");
+    told.on_store_change(&key, true);
+    assert!(told.pending_writes(&wanted, at(1_200), |_| true).is_empty());
+    assert_eq!(told.pending_writes(&none, at(1_300), |_| true), take_back);
     told.on_written(&take_back, at(1_300));
-    assert!(told.untold(&none, at(1_400), |_| true).is_empty());
+    assert!(told.pending_writes(&none, at(1_400), |_| true).is_empty());
     // It came back under the same name while that was on its way.
-    assert_eq!(told.untold(&wanted, at(1_500), |_| true), put);
-    told.on_shown(&key, false);
-    assert_eq!(told.untold(&wanted, at(1_600), |_| true), put, "the lease it stood under ended");
+    assert_eq!(told.pending_writes(&wanted, at(1_500), |_| true), put);
+    told.on_store_change(&key, false);
+    assert_eq!(
+        told.pending_writes(&wanted, at(1_600), |_| true),
+        put,
+        "the lease it stood under ended"
+    );
 }
 
 #[test]
@@ -116,7 +124,7 @@
     let wanted = keys(3);
     let key = wanted.first().unwrap().clone();
     let mut told = ReportedSuspicions::default();
-    told.on_shown(&key, true);
-    assert!(told.untold(&wanted, start, |_| false).is_empty());
-    assert_eq!(told.untold(&BTreeSet::new(), start, |_| false).removes, [key]);
+    told.on_store_change(&key, true);
+    assert!(told.pending_writes(&wanted, start, |_| false).is_empty());
+    assert_eq!(told.pending_writes(&BTreeSet::new(), start, |_| false).removes, [key]);
 }
