--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -216,7 +216,7 @@
             }
             // If the store was restored meanwhile, the write used a promoter lease of an earlier era.
             Err(MetadataError::EraChanged(_)) => {
-                self.note_unwritten(service, record);
+                self.note_unconfirmed_write(service, record);
                 Err(ChangeFailure::Superseded)
             }
             Ok(TransactionOutcome::LeaseOver) => Err(ChangeFailure::Superseded),
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/confirming.rs
@@ -79,7 +79,7 @@
             return self.change_primary(service, reason).await;
         }
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
-        let era_age = self.state.borrow().restore.age(Instant::now());
+        let era_age = self.state.borrow().restore.era_age(Instant::now());
         if era_age < settles * QUERY_ORDER_PERIODS {
             return Err(ChangeFailure::NoMajority);
         }
--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -1,8 +1,8 @@
-//! Writing again what the store lost when it was restored: records of leadership and the newest configuration, by whoever
-//! knows later ones than it holds.
+//! Republishes what the store lost in a restore: leadership records and the newest configuration, by any daemon that knows
+//! later ones than the store holds.
 //!
-//! Each write expects what it found, so the latest of what daemons know stands there in the end, in whatever order they
-//! come. A daemon that was away and knows more does the same when it is back. See `docs/design/store-restored.md`.
+//! Each write is conditional on the revision that was read, so the latest known value remains, independent of the order
+//! of the writes. A daemon that was disconnected does the same when it is back. See `docs/design/store-restored.md`.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,63 +18,64 @@
     },
 };
 
-/// Where the newest configuration is kept while the operators' own key holds an older one: daemons may not write that.
-pub(crate) const BACKUP_CONFIGURATION_KEY: &str = "configuration";
-/// Records in one transaction, of a condition and a value each; the store takes 32 of both together.
-const RECORDS_AT_ONCE: usize = 16;
-/// The time between the turns of two daemons: a write, and its news on the way through the fleet.
-const TURN_LASTS: Duration = Duration::from_millis(100);
-/// Daemons that have a turn of their own; the others come after them, spread over [`LAST_TURN_LASTS`].
-const TURNS: usize = 5;
-/// How long the turn of all others lasts.
-const LAST_TURN_LASTS: Duration = Duration::from_millis(500);
-
-/// Which configurations the store holds, by their versions, and the newest that was seen.
+/// The key of the newest configuration while the operators' own key, which daemons must not write, holds an older one.
+pub(crate) const RETAINED_CONFIGURATION_KEY: &str = "configuration";
+/// The largest number of records in one transaction. Each needs a condition and a value, and the store limits their sum
+/// to 32.
+const MAX_RECORDS_PER_TRANSACTION: usize = 16;
+/// The offset between the write slots of two daemons: the time for a write to reach the whole fleet.
+const SLOT_DURATION: Duration = Duration::from_millis(100);
+/// The number of daemons with a slot of their own; all others share a last one of [`LAST_SLOT_DURATION`].
+const SLOTS: usize = 5;
+/// The duration of the last slot.
+const LAST_SLOT_DURATION: Duration = Duration::from_millis(500);
+
+/// The versions of the configurations that the store holds, and the newest known configuration.
 #[derive(Default)]
 pub(crate) struct ConfigurationVersions {
-    /// The version of the operators'; 0 for none that can be read.
+    /// The version of the operators' configuration; 0 if there is none that can be read.
     pub(crate) operators: u64,
-    /// That of the one that daemons keep for them.
-    kept: u64,
+    /// The version of the configuration that daemons retain; 0 if there is none.
+    retained: u64,
     newest: u64,
     newest_value: Bytes,
 }
 
 impl ConfigurationVersions {
-    /// Notes a configuration of the store; returns whether something is to be written because of it.
+    /// Notes a configuration from the store; returns whether the retained one has to be written or removed.
     pub(crate) fn note(&mut self, version: u64, value: &Bytes, is_operators: bool) -> bool {
         match is_operators {
             true => self.operators = version,
-            false => self.kept = version,
+            false => self.retained = version,
         }
         if version > self.newest {
             self.newest = version;
             self.newest_value = value.clone();
         }
-        self.due() != BackupAction::Keep
+        self.due_action() != RetainedAction::Keep
     }
 
-    fn due(&self) -> BackupAction {
-        if self.newest > self.operators.max(self.kept) {
-            return BackupAction::Write;
+    fn due_action(&self) -> RetainedAction {
+        if self.newest > self.operators.max(self.retained) {
+            return RetainedAction::Write;
         }
-        if self.kept > 0 && self.operators >= self.kept {
-            return BackupAction::Remove;
+        if self.retained > 0 && self.operators >= self.retained {
+            return RetainedAction::Remove;
         }
-        BackupAction::Keep
+        RetainedAction::Keep
     }
 }
 
-/// What is to become of the configuration that daemons keep.
+/// What has to be done with the retained configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum BackupAction {
+enum RetainedAction {
     Keep,
     Write,
-    /// The operators have written one that is as new.
+    /// The operators have written a configuration that is at least as new.
     Remove,
 }
 
-/// A write that is due, and what it is for.
+/// A write that is due, with the label of its purpose.
 struct DueWrite {
     transaction: Transaction,
     what: &'static str,
@@ -82,13 +83,13 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Writes what the store lost, whenever something was found missing, until nothing is.
+    /// Writes what the store lost, whenever something is found missing, until nothing is.
     pub(crate) async fn republish_loop(self: Rc<Self>) {
         loop {
             self.republish.notified().await;
             let mut backoff = Backoff::default();
             loop {
-                self.await_turn_to_write().await;
+                self.await_write_slot().await;
                 let Some(due) = self.due_write() else { break };
                 let written = self.store.commit(&due.transaction, self.write_timeout()).await;
                 self.count_call("commit", &written);
@@ -96,20 +97,20 @@
                 if matches!(written, Ok(TransactionOutcome::Done(_))) {
                     backoff.reset();
                 }
-                // The mirror hears of it by the watch; others may have been first.
+                // The watch updates the mirror, also with the writes of other daemons.
                 backoff.wait().await;
             }
         }
     }
 
-    /// Waits so that daemons write one after the other, and nearly always the first one's writes are heard by the others
-    /// in time.
-    async fn await_turn_to_write(&self) {
+    /// Waits for this daemon's write slot, so that the other daemons usually receive the first one's writes before they
+    /// write themselves.
+    async fn await_write_slot(&self) {
         let part: f64 = rand::rng().random_range(0.0..1.0);
         let before = self.members_before();
-        let lasts = if before < TURNS { TURN_LASTS / 2 } else { LAST_TURN_LASTS };
-        let begins = TURN_LASTS * before.min(TURNS) as u32;
-        tokio::time::sleep(begins + lasts.mul_f64(part)).await;
+        let slot_duration = if before < SLOTS { SLOT_DURATION / 2 } else { LAST_SLOT_DURATION };
+        let slot_start = SLOT_DURATION * before.min(SLOTS) as u32;
+        tokio::time::sleep(slot_start + slot_duration.mul_f64(part)).await;
     }
 
     fn due_write(&self) -> Option<DueWrite> {
@@ -125,16 +126,16 @@
         for (service, known) in &state.records {
             let stored = self.stored_record(service);
             let stored_record = stored.as_ref().map(|stored| &stored.record);
-            let counts =
+            let source =
                 RecordSource::choose(Some(&known.record), stored_record, state.mirror.era());
-            if counts == RecordSource::Stored {
+            if source == RecordSource::Stored {
                 continue;
             }
             let key = self.record_key(service);
             let value = serde_json::to_vec(&known.record).expect("a record is plain data");
-            transaction.expected.push((key.clone(), expected_of(state.mirror.get(&key))));
+            transaction.expected.push((key.clone(), expected_revision(state.mirror.get(&key))));
             transaction.puts.push((key, Bytes::from(value), None));
-            if transaction.puts.len() == RECORDS_AT_ONCE {
+            if transaction.puts.len() == MAX_RECORDS_PER_TRANSACTION {
                 break;
             }
         }
@@ -143,13 +144,15 @@
     }
 
     fn due_configuration(&self, state: &State) -> Option<DueWrite> {
-        let heard = &state.configurations;
-        let key = self.key(BACKUP_CONFIGURATION_KEY);
-        let expected = vec![(key.clone(), expected_of(state.mirror.get(&key)))];
-        let (puts, removes) = match heard.due() {
-            BackupAction::Keep => return None,
-            BackupAction::Write => (vec![(key, heard.newest_value.clone(), None)], Vec::new()),
-            BackupAction::Remove => (Vec::new(), vec![key]),
+        let configurations = &state.configurations;
+        let key = self.key(RETAINED_CONFIGURATION_KEY);
+        let expected = vec![(key.clone(), expected_revision(state.mirror.get(&key)))];
+        let (puts, removes) = match configurations.due_action() {
+            RetainedAction::Keep => return None,
+            RetainedAction::Write => {
+                (vec![(key, configurations.newest_value.clone(), None)], Vec::new())
+            }
+            RetainedAction::Remove => (Vec::new(), vec![key]),
         };
         let what = if puts.is_empty() { "configuration_removed" } else { "configuration" };
         let transaction = Transaction { expected, puts, removes };
@@ -163,28 +166,28 @@
                 self.metrics.restores.with_label_values(&[due.what]).inc_by(count);
                 log::info!(
                     event = "put_back", what = due.what, count = count;
-                    "what the store lost when it was restored was written again"
+                    "republished what the store lost in a restore"
                 );
             }
             // Another daemon was first.
             Ok(TransactionOutcome::Conflict | TransactionOutcome::LeaseOver) => {}
             Err(error) => log::info!(
                 event = "write_failed", what = due.what, why = error.to_string().as_str();
-                "a write to the store may not have been done"
+                "a write to the store may not have been applied"
             ),
         }
     }
 
-    /// Takes over the configuration that daemons keep: it counts as the operators' would.
-    pub(crate) fn on_backup_configuration(&self, key: &str) {
+    /// Applies the retained configuration in the same way as the operators' one.
+    pub(crate) fn on_retained_configuration(&self, key: &str) {
         let item = self.state.borrow().mirror.get(key).cloned();
         match item {
             Some(item) => self.on_configuration(&item),
-            None => self.state.borrow_mut().configurations.kept = 0,
+            None => self.state.borrow_mut().configurations.retained = 0,
         }
     }
 }
 
-fn expected_of(item: Option<&Item>) -> Revision {
+fn expected_revision(item: Option<&Item>) -> Revision {
     item.map_or(Revision::ABSENT, |item| item.revision)
 }
--- a/crates/proxy/src/control/shared_keys.rs
+++ b/crates/proxy/src/control/shared_keys.rs
@@ -1,4 +1,4 @@
-//! What changes of the daemons' shared keys mean to this daemon.
+//! Applies changes of the keys that the daemons share through the store.
 
 use std::{
     sync::Arc,
@@ -15,16 +15,16 @@
         change::VersionedRecord,
         control_view::{Basis, GroupLeader},
         record::{LeadershipRecord, PrimaryChange, RecordSource},
-        republish::BACKUP_CONFIGURATION_KEY,
+        republish::RETAINED_CONFIGURATION_KEY,
         runner::Control,
         state::{MemberValue, SeenMember, State},
     },
     metadata::{Revision, Transaction},
 };
 
-/// How long a daemon counts among those that share the servers' connections after its key was last
-/// seen: one that is cut off from the store keeps its connections, and a cut may last this long.
-const MEMBER_LASTS: Duration = Duration::from_secs(20);
+/// How long a daemon counts for the sharing of server connections after its key was last seen. A daemon that is
+/// disconnected from the store keeps its connections.
+const MEMBER_RETENTION: Duration = Duration::from_secs(20);
 
 impl<P: Adapter> Control<P> {
     /// Notes when each member was last seen.
@@ -37,11 +37,11 @@
             let is_near = member.availability_zone == own_zone;
             members_seen.insert(host.clone(), SeenMember { seen_at: now, is_near });
         }
-        members_seen.retain(|_, member| now.duration_since(member.seen_at) < MEMBER_LASTS);
+        members_seen.retain(|_, member| now.duration_since(member.seen_at) < MEMBER_RETENTION);
     }
 
-    /// Takes over a change of a key that daemons share; returns the service if it is a leadership record, which
-    /// [`Control::apply_records`] takes over with the others that changed at the same time.
+    /// Applies a change of a shared key. Returns the service if it is a leadership record, which
+    /// [`Control::apply_records`] applies together with the others that changed at the same time.
     pub(crate) fn on_shared_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
         if let Some(service) = rest.strip_prefix("groups/") {
@@ -49,8 +49,8 @@
         }
         if let Some(host) = rest.strip_prefix("members/") {
             self.on_member(key, host);
-        } else if rest == BACKUP_CONFIGURATION_KEY {
-            self.on_backup_configuration(key);
+        } else if rest == RETAINED_CONFIGURATION_KEY {
+            self.on_retained_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
             self.note_own_suspicion(key);
             self.probe_suspected_server(key, suspicion);
@@ -58,8 +58,8 @@
         None
     }
 
-    /// Takes over that a member's key came, changed or went. One whose value can't be read, as of a later version,
-    /// counts as a member of no zone and is not asked for anything.
+    /// Applies an added, changed or removed member key. A member whose value can't be read, such as one of a later version,
+    /// counts as a member without a zone or peer address.
     fn on_member(&self, key: &str, host: &str) {
         let mut state = self.state.borrow_mut();
         state.members_version += 1;
@@ -74,7 +74,7 @@
             Err(error) => {
                 log::warn!(
                     event = "member_unreadable", host = host, why = error.to_string().as_str();
-                    "what a member says of itself can't be read"
+                    "member value can't be read"
                 );
                 MemberValue::default()
             }
@@ -82,12 +82,11 @@
         state.members.insert(Name::from(host), Arc::new(member));
     }
 
-    /// Takes over leadership records that changed, all of them before anything is published: a daemon that reads the
-    /// records of a thousand groups would else make and publish its beliefs a thousand times.
+    /// Applies changed leadership records, and publishes the control view once for all of them.
     pub(crate) fn apply_records(&self, services: &[Name]) {
         let changed: Vec<(Name, Arc<VersionedRecord>)> = services
             .iter()
-            .filter_map(|service| Some((service.clone(), self.read_record(service)?)))
+            .filter_map(|service| Some((service.clone(), self.resolve_record(service)?)))
             .collect();
         if changed.is_empty() {
             return;
@@ -95,7 +94,7 @@
         for (service, known) in &changed {
             self.on_record(service.clone(), &known.record);
         }
-        // The right is given up before the answer says so.
+        // The primary lease is dropped before the stop is acknowledged.
         self.publish();
         let mut is_settled = false;
         for (service, known) in changed {
@@ -104,24 +103,24 @@
                 None => is_settled = true,
             }
         }
-        // Whoever is followed reads the store now and passes that on within milliseconds.
+        // A daemon with an upstream receives the read of that one within milliseconds.
         if is_settled && self.upstream().is_none() {
             self.refresh_now.notify_one();
         }
     }
 
-    /// Reads a leadership record as it lies in the mirror; `None` if there is none, or none that can be read. Where the
-    /// store was restored to an earlier one, the one that is known goes on, to be written over what stands there.
-    fn read_record(&self, service: &Name) -> Option<Arc<VersionedRecord>> {
+    /// Returns the authoritative leadership record of a service; `None` if there is none that can be read. If the store was
+    /// restored to an earlier record, the known one remains authoritative and is republished.
+    fn resolve_record(&self, service: &Name) -> Option<Arc<VersionedRecord>> {
         let stored = self.stored_record(service);
         let mut state = self.state.borrow_mut();
         let known = state.records.remove(service);
         let (before, now) = (known.as_ref().map(|it| &it.record), stored.as_ref());
-        let counting = RecordSource::choose(before, now.map(|it| &it.record), state.mirror.era());
-        let counts = match counting {
+        let source = RecordSource::choose(before, now.map(|it| &it.record), state.mirror.era());
+        let authoritative = match source {
             RecordSource::Stored => {
                 if let (Some(known), Some(stored)) = (before, &stored) {
-                    self.tell_given_up(service, known, &stored.record);
+                    self.log_lost_term(service, known, &stored.record);
                 }
                 stored?
             }
@@ -132,14 +131,14 @@
                 VersionedRecord { record: known?.record.clone(), revision }
             }
         };
-        state.note_edition(service, &counts.record);
-        let counts = Arc::new(counts);
-        state.records.insert(service.clone(), counts.clone());
-        Some(counts)
+        state.note_edition(service, &authoritative.record);
+        let authoritative = Arc::new(authoritative);
+        state.records.insert(service.clone(), authoritative.clone());
+        Some(authoritative)
     }
 
-    /// Tells the log where a daemon that was away knows of a later term than those knew who confirmed the record meanwhile.
-    fn tell_given_up(&self, service: &Name, known: &LeadershipRecord, stored: &LeadershipRecord) {
+    /// Logs that this daemon knows a later term than the record that was confirmed after a restore.
+    fn log_lost_term(&self, service: &Name, known: &LeadershipRecord, stored: &LeadershipRecord) {
         if known.era >= stored.era || known.term <= stored.term {
             return;
         }
@@ -147,11 +146,11 @@
         log::warn!(
             event = "record_given_up", service = &**service, known_term = known.term,
             term = stored.term, primary = stored.primary.as_str();
-            "a term that the store lost was not known to those who confirmed who leads"
+            "a term that the store lost is missing in the confirmed leadership record"
         );
     }
 
-    /// Returns a leadership record as it lies in the mirror, if it can be read.
+    /// Returns a leadership record from the mirror, if it can be read.
     pub(crate) fn stored_record(&self, service: &Name) -> Option<VersionedRecord> {
         let state = self.state.borrow();
         let item = state.mirror.get(&self.record_key(service))?;
@@ -161,30 +160,31 @@
                 log::error!(
                     event = "record_unreadable", service = &**service,
                     why = error.to_string().as_str();
-                    "a leadership record can't be read"
+                    "leadership record can't be read"
                 );
                 None
             }
         }
     }
 
-    /// Takes over a changed leadership record; the right by the store ends with the change it tells of.
+    /// Applies a changed leadership record. A lease on the basis of the store ends when the record shows a change.
     fn on_record(&self, service: Name, record: &LeadershipRecord) {
         let now = Instant::now();
         {
             let mut state = self.state.borrow_mut();
             let known = state.leaders.get(&service);
-            let unchanged = known
-                .is_some_and(|lead| *lead.server == *record.primary && lead.term.0 == record.term);
-            // A right by evidence may be of a later term than the record; it ends by itself.
-            let ahead = known.is_some_and(|lead| lead.term.0 > record.term);
+            let unchanged = known.is_some_and(|leader| {
+                *leader.server == *record.primary && leader.term.0 == record.term
+            });
+            // A lease on evidence may be of a later term than the record; it expires by itself.
+            let ahead = known.is_some_and(|leader| leader.term.0 > record.term);
             if !ahead {
                 let known = known.filter(|_| unchanged);
-                let valid_until = known.map_or(now, |lead| lead.valid_until);
-                // Once the change is over, the first right to the new primary ends the gap.
-                let was_planned = state.leaders.get(&service).is_some_and(|lead| lead.planned);
+                let valid_until = known.map_or(now, |leader| leader.valid_until);
+                // `planned` remains set after the change, until the first lease for the new primary is granted.
+                let was_planned = state.leaders.get(&service).is_some_and(|leader| leader.planned);
                 let planned = record.change.as_ref().map_or(was_planned, PrimaryChange::is_planned);
-                let lead = GroupLeader {
+                let leader = GroupLeader {
                     server: Name::from(record.primary.as_str()),
                     term: Term(record.term),
                     valid_until,
@@ -193,7 +193,7 @@
                     planned,
                     history: Arc::new(TermHistory::new(record.starts.clone())),
                 };
-                Arc::make_mut(&mut state.leaders).insert(service.clone(), lead);
+                Arc::make_mut(&mut state.leaders).insert(service.clone(), leader);
             }
         }
         log::info!(
@@ -203,7 +203,7 @@
         );
     }
 
-    /// Tells whoever changes the primary that this daemon has stopped using the old one.
+    /// Acknowledges to the promoter that this daemon has stopped using the old primary.
     pub(crate) fn acknowledge_stop(&self, service: Name, change_id: String) {
         let lease = {
             let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -24,7 +24,7 @@
         reported_suspicions::ReportedSuspicions,
         republish::ConfigurationVersions,
         servers::{ServerList, ServersByService},
-        store_restore::Restore,
+        store_restore::StoreRestore,
         witnesses::WitnessCache,
     },
     metadata::{LeaseId, Revision},
@@ -132,7 +132,7 @@
     /// Availability zones that have members.
     pub(crate) zones: u32,
     /// What the store's last restore asks for.
-    pub(crate) restore: Restore,
+    pub(crate) restore: StoreRestore,
     /// The latest edition of each record that was seen or written here.
     pub(crate) editions: HashMap<Name, u64>,
     /// Records that this daemon wrote last; the watch may not have told of them yet.
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -1,8 +1,8 @@
-//! What a daemon does when the store comes back from an older copy of itself, in a new era.
+//! Handles a store that was restored from a backup and therefore starts a new era.
 //!
-//! What it believed because the store said so is not believed because of that any more: leases are taken anew, records of
-//! leadership give no right before somebody has confirmed them, and what the copy says against what is known waits until
-//! those who wrote it had time to write again. See `docs/design/store-restored.md`.
+//! Leases are requested again, leadership records grant no primary lease until they are confirmed, and entries of the
+//! backup that contradict known ones are deferred until their writers had time to write again. See
+//! `docs/design/store-restored.md`.
 
 use std::{
     collections::BTreeSet,
@@ -26,42 +26,41 @@
     metadata::{Era, Item, MetadataError, MetadataStore, Revision},
 };
 
-/// For how long members that the copy does not have are still counted: about the lease of a member, within which every one
-/// that reaches the store has joined again.
-const MEMBERS_RETURN_WITHIN: Duration = Duration::from_secs(9);
-/// The time between two members that join again, so that all of them together ask the store for a fifth of the writes that
-/// a small store takes in a second.
-const JOIN_EVERY: Duration = Duration::from_millis(10);
-/// The longest that a member waits for its turn to join; within a third of a lease others don't miss it.
-const JOIN_WITHIN: Duration = Duration::from_secs(3);
+/// How long members that are missing in the backup remain members. Every daemon that reaches the store rejoins within this
+/// time, which is about the lease of a member.
+const MEMBER_REJOIN_TIMEOUT: Duration = Duration::from_secs(9);
+/// The average interval between two rejoining members, which limits the load on the store.
+const JOIN_INTERVAL: Duration = Duration::from_millis(10);
+/// The longest delay before a member rejoins. Other members don't notice an absence of a third of a lease.
+const MAX_JOIN_DELAY: Duration = Duration::from_secs(3);
 
-/// The store's last restore, as this daemon saw it.
+/// The last restore of the store that this daemon observed.
 #[derive(Default)]
-pub(crate) struct Restore {
-    /// When this daemon entered the present era; `None` where the store tells of none.
+pub(crate) struct StoreRestore {
+    /// When this daemon entered the current era; `None` if the store has no eras.
     entered_at: Option<Instant>,
-    /// Whether it knew the store before, so that it can tell what was lost.
+    /// Whether it had read the store in an earlier era, so that it can determine what was lost.
     knew_earlier_era: bool,
-    /// The store's revision as it was first read in this era: what stands there or below came out of the copy.
-    copied_to: Revision,
-    /// Servers' entries in the copy that go against what is known.
+    /// The store's revision at the first read in this era. Items up to it come from the backup.
+    backup_revision: Revision,
+    /// Keys of server entries in the backup that contradict known entries.
     deferred: BTreeSet<String>,
 }
 
-impl Restore {
-    /// Returns for how long this daemon has known of the present era.
-    pub(crate) fn age(&self, now: Instant) -> Duration {
+impl StoreRestore {
+    /// Returns how long this daemon has known of the current era.
+    pub(crate) fn era_age(&self, now: Instant) -> Duration {
         self.entered_at.map_or(Duration::MAX, |at| now.saturating_duration_since(at))
     }
 }
 
 impl State {
-    /// Whether a record was written in the present era, so that it may give rights.
+    /// Whether a record was written in the current era, so that it may grant a primary lease.
     pub(crate) fn is_confirmed(&self, record: &LeadershipRecord) -> bool {
         record.era == self.mirror.era().0
     }
 
-    /// Returns a record as it is to be written next.
+    /// Returns a record with the current era and its next edition, to be written.
     pub(crate) fn next_edition(
         &mut self,
         service: &Name,
@@ -76,9 +75,9 @@
         LeadershipRecord { era: era.0, edition: *latest, ..record.clone() }
     }
 
-    /// Counts what this daemon wrote and the watch did not tell of before the era ended as known, so that it is put back:
-    /// nobody else may have heard of it, and an order may have followed.
-    fn keep_unheard_records(&mut self, received_revision: Revision) {
+    /// Adds records that this daemon wrote, but that the watch did not return before the era ended, to the known ones, so
+    /// that they are republished. No other daemon may know them, and a promotion may have been ordered.
+    fn keep_unconfirmed_writes(&mut self, received_revision: Revision) {
         for (service, written) in std::mem::take(&mut self.written) {
             let known = self.records.get(&service);
             let is_later = known.is_none_or(|known| written.record.is_later_than(&known.record));
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Notes the edition of a record that was heard of.
+    /// Notes the edition of a record that was received.
     pub(crate) fn note_edition(&mut self, service: &Name, record: &LeadershipRecord) {
         if record.edition > 0 {
             let latest = self.editions.entry(service.clone()).or_default();
@@ -96,18 +95,18 @@
         }
     }
 
-    /// Whether a key that is not there was missing in the copy already, and its writer may be about to write it again.
+    /// Whether a missing key was already missing in the backup, so that its writer may still write it again.
     pub(crate) fn is_lost_by_restore(&self, key: &str) -> bool {
         let restore = &self.restore;
         let now = Instant::now();
         restore.knew_earlier_era
-            && restore.age(now) < MEMBERS_RETURN_WITHIN
-            && self.mirror.removed_at(key) == Some(restore.copied_to)
+            && restore.era_age(now) < MEMBER_REJOIN_TIMEOUT
+            && self.mirror.removed_at(key) == Some(restore.backup_revision)
     }
 
-    /// Drops members that were missing in the copy and have not joined again in time.
+    /// Removes members that were missing in the backup and have not rejoined in time.
     pub(crate) fn drop_lost_members(&mut self, prefix: &str, now: Instant) {
-        if !self.restore.knew_earlier_era || self.restore.age(now) < MEMBERS_RETURN_WITHIN {
+        if !self.restore.knew_earlier_era || self.restore.era_age(now) < MEMBER_REJOIN_TIMEOUT {
             return;
         }
         let State { members, mirror, .. } = self;
@@ -119,13 +118,13 @@
             self.members_version += 1;
             log::info!(
                 event = "members_lost", members = dropped;
-                "members did not join again after the store was restored"
+                "members did not rejoin after the store was restored"
             );
         }
     }
 
-    /// Whether an entry of the copy goes against what is known of its server: that it is gone, leaves, or has started again
-    /// since. It counts once its server had time to write again, if it then still stands there.
+    /// Whether an entry of the backup contradicts what is known of its server: that it was removed, is leaving, or has
+    /// restarted since. Such an entry is deferred until its server had time to write again.
     pub(crate) fn contradicts_known_server(
         &mut self,
         item: &Item,
@@ -133,26 +132,26 @@
         grace: Duration,
     ) -> bool {
         let restore = &self.restore;
-        let is_copied = restore.knew_earlier_era && item.revision <= restore.copied_to;
-        if !is_copied || restore.age(Instant::now()) >= grace {
+        let is_from_backup = restore.knew_earlier_era && item.revision <= restore.backup_revision;
+        if !is_from_backup || restore.era_age(Instant::now()) >= grace {
             return false;
         }
-        let is_against = match self.servers.at(&item.key) {
+        let is_contradiction = match self.servers.at(&item.key) {
             None => true,
             Some(known) if known.incarnation != entry.incarnation => {
                 known.incarnation > entry.incarnation
             }
             Some(known) => known.leaving && !entry.leaving,
         };
-        if is_against {
+        if is_contradiction {
             self.restore.deferred.insert(item.key.clone());
         }
-        is_against
+        is_contradiction
     }
 }
 
 impl<P: Adapter> Control<P> {
-    /// Begins the era of a whole reading that stands at this revision, if it is a later one.
+    /// Enters the era of a complete store read at this revision, if it is a later one.
     pub(crate) fn enter_era(&self, revision: Revision) {
         let era = revision.era();
         let mut state = self.state.borrow_mut();
@@ -161,17 +160,17 @@
             return;
         }
         let knew_earlier_era = state.mirror.applied_revision() != Revision::ABSENT;
-        let lost_from = state.mirror.applied_revision();
+        let last_known = state.mirror.applied_revision();
         state.mirror.enter(era);
-        state.keep_unheard_records(lost_from);
+        state.keep_unconfirmed_writes(last_known);
         let now = Instant::now();
-        state.restore = Restore {
+        state.restore = StoreRestore {
             entered_at: Some(now),
             knew_earlier_era,
-            copied_to: revision,
+            backup_revision: revision,
             deferred: BTreeSet::new(),
         };
-        // The duty ended with its lease, and what was missing while nothing was heard can't be known.
+        // The promoter role ended with its lease, and changes of members may have been missed.
         state.promoter_lease = None;
         state.watching_since = Some(now);
         state.latest_read = None;
@@ -179,21 +178,21 @@
         drop(state);
         self.metrics.now.with_label_values(&["store_era"]).set(era.0 as i64);
         if !knew_earlier_era {
-            log::info!(event = "store_era", era = era.0; "the store tells its era");
+            log::info!(event = "store_era", era = era.0; "the store reports its era");
             return;
         }
         self.metrics.restores.with_label_values(&["seen"]).inc();
         log::warn!(
             event = "store_restored", era = era.0, before = before.0,
-            revision = revision.number(), known_to = lost_from.number();
-            "the store came back from an older copy; what it lost is put back"
+            revision = revision.number(), known_to = last_known.number();
+            "the store was restored from a backup; republishing what it lost"
         );
         self.rejoin.notify_one();
         self.republish.notify_one();
     }
 
-    /// Does what follows from a reading of this daemon's own that is of a later era than what is known. Whoever follows
-    /// nobody reads everything; the others hear it from whom they follow, or ask once that takes too long.
+    /// Handles an own store read of a later era. A daemon without an upstream loads the store; the others wait for their
+    /// upstream, and read the store themselves if that takes too long.
     pub(crate) async fn handle_newer_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
         if self.upstream().is_none() {
             return self.load_from_store().await;
@@ -202,14 +201,14 @@
         Ok(())
     }
 
-    /// Notes a record that the store took from this daemon.
+    /// Notes a record of this daemon that the store committed.
     pub(crate) fn note_written(&self, service: &Name, written: VersionedRecord) {
         self.state.borrow_mut().written.insert(service.clone(), written);
     }
 
-    /// Notes a record that was to be written as the store was restored. One without a change says what the group's servers
-    /// showed, which is so whether the store took it or not; a change that it may not have taken was never begun.
-    pub(crate) fn note_unwritten(&self, service: &Name, record: LeadershipRecord) {
+    /// Notes a record whose write was in progress when the store was restored. A record without a change states what the
+    /// servers reported, so it is valid even if it was not stored. One with a change is ignored, since it was never acted on.
+    pub(crate) fn note_unconfirmed_write(&self, service: &Name, record: LeadershipRecord) {
         if record.change.is_some() {
             return;
         }
@@ -218,7 +217,7 @@
             let mut state = self.state.borrow_mut();
             let has_entered = state.mirror.era() >= self.store.era();
             if has_entered {
-                state.keep_unheard_records(Revision::ABSENT);
+                state.keep_unconfirmed_writes(Revision::ABSENT);
             }
             has_entered
         };
@@ -227,27 +226,27 @@
         }
     }
 
-    /// Waits for this daemon's turn to join again: all daemons of the fleet have lost their leases at the same moment.
+    /// Waits for a random delay before rejoining, since all daemons have lost their leases at the same time.
     pub(crate) async fn await_join_slot(&self) {
         let members = self.state.borrow().members.len() as u32;
-        let longest = (JOIN_EVERY * members).min(JOIN_WITHIN);
+        let longest = (JOIN_INTERVAL * members).min(MAX_JOIN_DELAY);
         let part: f64 = rand::rng().random_range(0.0..1.0);
         tokio::time::sleep(longest.mul_f64(part)).await;
     }
 
-    /// Whether a group's leadership is left as it is for now.
+    /// Whether a group must not be changed yet because of orders from before the restore.
     pub(crate) fn must_wait_for_orders(&self, service: &Name, now: Instant) -> bool {
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let state = self.state.borrow();
         let seen = EraView {
             era: state.mirror.era(),
-            known_for: state.restore.age(now),
+            known_for: state.restore.era_age(now),
             knew_earlier_era: state.restore.knew_earlier_era,
         };
         seen.must_wait_for_orders(state.records.get(service).map(|known| &known.record), settles)
     }
 
-    /// Takes over that a server's entry is not there any more.
+    /// Applies the removal of a server's entry.
     pub(crate) fn on_server_removed(&self, key: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -259,11 +258,12 @@
         }
     }
 
-    /// Takes over what the copy said of servers against what was known, where they did not write again in time.
+    /// Applies the deferred server entries whose servers did not write again in time.
     pub(crate) fn apply_deferred_entries(&self, now: Instant) {
         let deferred: Vec<Item> = {
             let mut state = self.state.borrow_mut();
-            if state.restore.deferred.is_empty() || state.restore.age(now) < self.lapse_grace() {
+            if state.restore.deferred.is_empty() || state.restore.era_age(now) < self.lapse_grace()
+            {
                 return;
             }
             let keys = std::mem::take(&mut state.restore.deferred);
@@ -272,18 +272,18 @@
         for item in deferred {
             log::info!(
                 event = "entry_taken_back", key = item.key.as_str();
-                "a server's entry of before the restore counts again, as nothing else was written"
+                "applied a server's entry from the backup, as its server wrote no newer one"
             );
             self.on_server(&item);
         }
     }
 
-    /// How long a server's entry may be missing before its server counts as leaving.
+    /// Returns how long a server's entry may be missing before its server counts as leaving.
     pub(crate) fn lapse_grace(&self) -> Duration {
         Duration::from_millis(self.settings.leadership.lapse_grace_ms)
     }
 
-    /// Whether a key is where the operators' configuration lies.
+    /// Whether a key is the one of the operators' configuration.
     pub(crate) fn is_operators_configuration(&self, key: &str) -> bool {
         key == self.format.configuration_key()
     }
