--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -38,7 +38,7 @@
         }
         loop {
             // Updated here because this loop also runs while no update arrives.
-            let age_ms = i64::try_from(self.knowledge_age_ms()).unwrap_or(i64::MAX);
+            let age_ms = i64::try_from(self.store_data_age_ms()).unwrap_or(i64::MAX);
             self.metrics.now.with_label_values(&["knowledge_age_ms"]).set(age_ms);
             if let Some(until) = self.next_read_at(interval) {
                 tokio::select! {
@@ -95,7 +95,8 @@
     /// Returns when the next read is due, if the last own read is still recent enough.
     fn next_read_at(&self, interval: Duration) -> Option<Instant> {
         let state = self.state.borrow();
-        let read_at = state.own_read_at.filter(|read_at| state.member_put_at < Some(*read_at))?;
+        let read_at =
+            state.own_read_at.filter(|read_at| state.member_written_at < Some(*read_at))?;
         let until = read_at + interval;
         (Instant::now() < until).then_some(until)
     }
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -78,7 +78,7 @@
     /// Adds records that this daemon wrote, but that the watch did not return before the era ended, to the known ones, so
     /// that they are republished. No other daemon may know them, and a promotion may have been ordered.
     fn keep_unconfirmed_writes(&mut self, received_revision: Revision) {
-        for (service, written) in std::mem::take(&mut self.written) {
+        for (service, written) in std::mem::take(&mut self.written_records) {
             let known = self.records.get(&service);
             let is_later = known.is_none_or(|known| written.record.is_later_than(&known.record));
             if written.revision > received_revision && is_later {
@@ -161,7 +161,7 @@
         }
         let knew_earlier_era = state.mirror.applied_revision() != Revision::ABSENT;
         let last_known = state.mirror.applied_revision();
-        state.mirror.enter(era);
+        state.mirror.enter_era(era);
         state.keep_unconfirmed_writes(last_known);
         let now = Instant::now();
         state.restore = StoreRestore {
@@ -203,7 +203,7 @@
 
     /// Notes a record of this daemon that the store committed.
     pub(crate) fn note_written(&self, service: &Name, written: VersionedRecord) {
-        self.state.borrow_mut().written.insert(service.clone(), written);
+        self.state.borrow_mut().written_records.insert(service.clone(), written);
     }
 
     /// Notes a record whose write was in progress when the store was restored. A record without a change states what the
