--- a/crates/failover/tests/driver.rs
+++ b/crates/failover/tests/driver.rs
@@ -102,7 +102,7 @@
     }
 }
 
-fn cluster(failed: Option<u16>) -> FailoverGroup {
+fn group(failed: Option<u16>) -> FailoverGroup {
     FailoverGroup {
         servers: vec!["a".to_owned(), "b".to_owned(), "c".to_owned()],
         avoid: Vec::new(),
@@ -112,7 +112,7 @@
 }
 
 fn driver(name: &str) -> FailoverDriver {
-    FailoverDriver::new(cluster(Some(0)), name, format!("claim-{name}"), Term(1))
+    FailoverDriver::new(group(Some(0)), name, format!("claim-{name}"), Term(1))
 }
 
 fn finish(
