--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -24,7 +24,7 @@
         reported_suspicions::ReportedSuspicions,
         republish::ConfigurationVersions,
         servers::{ServerList, ServersByService},
-        store_restore::Restore,
+        store_restore::StoreRestore,
         witnesses::WitnessCache,
     },
     metadata::{LeaseId, Revision},
@@ -133,7 +133,7 @@
     /// Number of availability zones that have members.
     pub(crate) zone_count: u32,
     /// The state of the last restore of the store.
-    pub(crate) restore: Restore,
+    pub(crate) restore: StoreRestore,
     /// The latest edition of each record that this daemon has seen or written.
     pub(crate) editions: HashMap<Name, u64>,
     /// Records that this daemon wrote and the watch may not have delivered yet.
