--- a/crates/proxy/src/control/adapter.rs
+++ b/crates/proxy/src/control/adapter.rs
@@ -1,7 +1,6 @@
 //! The external interfaces of the control thread, bundled into one type parameter.
 //!
-//! One adapter supplies the store client, the promotion orders, the catalog format and the server dialect
-//! together.
+//! One adapter supplies the store client, the promotion orders, the catalog format and the server dialect together.
 
 use std::marker::PhantomData;
 
--- a/crates/proxy/src/control/compression.rs
+++ b/crates/proxy/src/control/compression.rs
@@ -1,7 +1,7 @@
 //! Compresses large values that are sent between daemons.
 //!
-//! A large configuration is sent by each daemon to up to eight others, over links that may carry only 1 MB/s.
-//! It is repetitive text and compresses to about a tenth.
+//! A large configuration is sent by each daemon to up to eight others, over links that may carry only 1 MB/s. It is
+//! repetitive text and compresses to about a tenth.
 
 use std::{
     cell::RefCell,
@@ -31,12 +31,12 @@
 /// Changes of at least this total size are compressed together, as when many servers start at once.
 const COMPRESS_BATCH_MIN_BYTES: usize = 32 * 1024;
 
-/// How long a compressed snapshot is reused, followed by the changes since: daemons that start together
-/// request it one after the other, and each of them changes the store by joining.
+/// How long a compressed snapshot is reused, followed by the changes since: daemons that start together request it
+/// one after the other, and each of them changes the store by joining.
 const SNAPSHOT_TTL: Duration = Duration::from_secs(2);
 
-/// All keys that the store held at a revision, compressed together: server entries are small and similar, so
-/// they compress well together and hardly at all one by one.
+/// All keys that the store held at a revision, compressed together: server entries are small and similar, so they
+/// compress well together and hardly at all one by one.
 #[derive(Clone)]
 pub(crate) struct CompressedSnapshot {
     compressed_at: Instant,
@@ -61,7 +61,6 @@
 }
 
 impl Compressor {
-    /// Returns the message for a change.
     pub(crate) fn compress(&self, change: Change) -> ChangeMessage {
         let revision = change.revision();
         let mut message = ChangeMessage::from(change);
@@ -100,8 +99,8 @@
         new_snapshot
     }
 
-    /// Compresses the changes of a span together if they are large. Returns the changes to be sent
-    /// uncompressed, and the compressed batch.
+    /// Compresses the changes of a span together if they are large. Returns the changes to be sent uncompressed, and
+    /// the compressed batch.
     pub(crate) fn compress_batch(
         &self,
         span: (Revision, Revision),
--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -1,7 +1,7 @@
 //! The control thread's view of the fleet, published as one immutable value.
 //!
-//! The control thread publishes it and the serving thread reads it. Primary leases in it expire by
-//! themselves, see [`GroupLeader::valid_until`].
+//! The control thread publishes it and the serving thread reads it. Primary leases in it expire by themselves, see
+//! [`GroupLeader::valid_until`].
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -73,15 +73,15 @@
 pub struct Ownership {
     /// Whether this daemon is one of the owners.
     pub is_owner: bool,
-    /// The owners ranked before this daemon, best first. An owner uses its own connections only while those
-    /// ranked before it do not answer, so that one queue sees the demand of the whole zone.
+    /// The owners ranked before this daemon, best first. An owner uses its own connections only while those ranked
+    /// before it do not answer, so that one queue sees the demand of the whole zone.
     pub owners_before: Arc<[SocketAddr]>,
 }
 
 /// The members by zone, from which the owners of a server's connections are chosen.
 ///
-/// Owners are computed when a server is used: computing them for every server at each membership change is
-/// too expensive in a large fleet.
+/// Owners are computed when a server is used: computing them for every server at each membership change is too
+/// expensive in a large fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owners {
     /// This daemon's host.
@@ -130,8 +130,7 @@
     pub sharers: DaemonCounts,
     /// Daemons that can open tunnels to servers which this one can't reach.
     pub tunnel_peers: Arc<TunnelPeers>,
-    /// The members from which connection owners are chosen, for servers with too few connections for every
-    /// daemon.
+    /// The members from which connection owners are chosen, for servers with too few connections for every daemon.
     pub owners: Arc<Owners>,
     /// The latest log samples of primaries, by service, from any daemon of the zone.
     pub samples: Arc<HashMap<Name, PrimarySample>>,
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -29,11 +29,11 @@
     metadata::{Change, MetadataStore, Revision, Snapshot},
 };
 
-/// How long a request to the upstream may wait for updates; slightly longer than the interval between two
-/// store reads, each of which is an update.
+/// How long a request to the upstream may wait for updates; slightly longer than the interval between two store
+/// reads, each of which is an update.
 const UPDATE_WAIT: Duration = Duration::from_millis(750);
-/// Factor of `right_ms` for which a shared read replaces a read of this daemon's own; the rest is left for
-/// reading the store.
+/// Factor of `right_ms` for which a shared read replaces a read of this daemon's own; the rest is left for reading
+/// the store.
 const SHARED_READ_TTL_FACTOR: f64 = 0.7;
 /// Factor of `right_ms` after which a shared read is too old to renew primary leases.
 const USEFUL_READ_FACTOR: f64 = 0.5;
@@ -55,16 +55,16 @@
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(3);
 
 impl<P: Adapter> Control<P> {
-    /// Returns the daemon through which this one follows the store. `None` if it reads the store itself, as
-    /// the first daemon of the fleet and the promoter do.
+    /// Returns the daemon through which this one follows the store. `None` if it reads the store itself, as the first
+    /// daemon of the fleet and the promoter do.
     pub(crate) fn upstream(&self) -> Option<SocketAddr> {
         if self.held_promoter_lease().is_some() {
             return None;
         }
         let now = Instant::now();
         let state = self.state.borrow();
-        // A link between regions may be congested while the store is reachable, so an upstream in another
-        // region is used only while the store does not answer.
+        // A link between regions may be congested while the store is reachable, so an upstream in another region is
+        // used only while the store does not answer.
         let crosses_regions = state.is_store_silent(self.store_silence_timeout());
         let candidates: Vec<TreeMember<'_>> = state
             .members
@@ -88,8 +88,8 @@
         state.shared_read_at.is_some_and(|at| at.elapsed() < ttl)
     }
 
-    /// Returns the maximum age of the store data held here, in milliseconds; 0 before the first read, when no
-    /// caller is served.
+    /// Returns the maximum age of the store data held here, in milliseconds; 0 before the first read, when no caller
+    /// is served.
     pub(crate) fn store_data_age_ms(&self) -> u64 {
         let age = self.state.borrow().freshness.age(Instant::now());
         age.map_or(0, |age| age.as_millis() as u64)
@@ -338,8 +338,8 @@
         answer.split(compressed)
     }
 
-    /// Returns the address of the server that a tunnel is requested to; `None` while this daemon stops,
-    /// because its connections are about to close.
+    /// Returns the address of the server that a tunnel is requested to; `None` while this daemon stops, because its
+    /// connections are about to close.
     fn server_address(&self, request: &TunnelRequest) -> Option<SocketAddr> {
         if self.stopping.borrow().is_some() {
             return None;
--- a/crates/proxy/src/control/freshness.rs
+++ b/crates/proxy/src/control/freshness.rs
@@ -1,30 +1,30 @@
 //! Tracks the age of a daemon's store data by its own clock.
 //!
 //! A daemon that follows the store through others can't tell by itself whether it misses changes, because its
-//! upstream may be silent or behind. A store read by any daemon shows the store's revision at a point in
-//! time; a daemon that has applied every change up to that revision held all data as of then. See
-//! `docs/PLATFORM.md`, "Following the store".
+//! upstream may be silent or behind. A store read by any daemon shows the store's revision at a point in time; a
+//! daemon that has applied every change up to that revision held all data as of then. See `docs/PLATFORM.md`,
+//! "Following the store".
 
 use std::time::{Duration, Instant};
 
 use crate::metadata::Revision;
 
-/// How long a change shown by a store read may be missing before it is read from the store; enough for it to
-/// pass through three levels of daemons together with the next read.
+/// How long a change shown by a store read may be missing before it is read from the store; enough for it to pass
+/// through three levels of daemons together with the next read.
 pub(crate) const MAX_BEHIND: Duration = Duration::from_millis(900);
-/// The same for a daemon that follows another one. It is longer, so that the upstream reads first and passes
-/// the changes on.
+/// The same for a daemon that follows another one. It is longer, so that the upstream reads first and passes the
+/// changes on.
 const FOLLOWER_MAX_BEHIND: Duration = Duration::from_millis(1_400);
-/// How long changes that the upstream is already sending are waited for, such as a large configuration over
-/// slow links.
+/// How long changes that the upstream is already sending are waited for, such as a large configuration over slow
+/// links.
 const MAX_RECEIVING: Duration = Duration::from_millis(2_500);
 
 /// Added delay for each doubling of the daemons that read first.
 const CATCH_UP_STEP: Duration = Duration::from_millis(300);
 
-/// Returns how much later than the first daemon of its zone a daemon of a large fleet reads missing changes
-/// from the store. The first ones pass the changes on, so a zone that is behind as a whole reads them once or
-/// twice instead of once per daemon.
+/// Returns how much later than the first daemon of its zone a daemon of a large fleet reads missing changes from the
+/// store. The first ones pass the changes on, so a zone that is behind as a whole reads them once or twice instead of
+/// once per daemon.
 pub fn catch_up_delay(daemons_before: usize) -> Duration {
     CATCH_UP_STEP * (daemons_before + 1).ilog2()
 }
@@ -43,8 +43,8 @@
 pub struct Freshness {
     /// All data as of this time has been applied.
     complete_at: Option<Instant>,
-    /// The first and the latest observed revision that is not yet applied. Two are enough: once the first is
-    /// applied, the latest takes its place.
+    /// The first and the latest observed revision that is not yet applied. Two are enough: once the first is applied,
+    /// the latest takes its place.
     missing: Option<(ObservedRevision, ObservedRevision)>,
 }
 
@@ -85,8 +85,8 @@
     }
 }
 
-/// Whether a daemon that misses a change for `behind_for` reads it from the store. `follows` tells whether it
-/// has an upstream, and `receiving_for` for how long changes have been arriving from it.
+/// Whether a daemon that misses a change for `behind_for` reads it from the store. `follows` tells whether it has an
+/// upstream, and `receiving_for` for how long changes have been arriving from it.
 ///
 /// Changes that are already arriving come sooner than a read over the same congested link would.
 pub fn must_read_store(
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether this daemon has a lease and a member key, as far as it knows. Without them it may not use a
-    /// primary based on store reads.
+    /// Whether this daemon has a lease and a member key, as far as it knows. Without them it may not use a primary
+    /// based on store reads.
     fn is_member(&self) -> bool {
         let state = self.state.borrow();
         state.lease.is_some() && state.members.contains_key(&self.settings.host)
@@ -99,15 +99,14 @@
         Ok(())
     }
 
-    /// Whether a read after the member key was written shows that the key is missing, as when the store
-    /// removed it while the lease is still valid.
+    /// Whether a read after the member key was written shows that the key is missing, as when the store removed it
+    /// while the lease is still valid.
     pub(crate) fn is_member_key_missing(&self) -> bool {
         let state = self.state.borrow();
         let read_since = state.last_read_at > state.member_written_at;
         read_since && state.mirror.get(&self.member_key()).is_none()
     }
 
-    /// Returns the value of the member key.
     pub(crate) fn member_value(&self) -> Bytes {
         let value = MemberValue {
             availability_zone: self.settings.availability_zone.to_string(),
@@ -116,7 +115,6 @@
         Bytes::from(serde_json::to_vec(&value).expect("a member's value is plain data"))
     }
 
-    /// Writes the member key.
     pub(crate) async fn write_member_key(&self, id: LeaseId) -> Result<(), MetadataError> {
         let transaction = Transaction {
             puts: vec![(self.member_key(), self.member_value(), Some(id))],
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -35,8 +35,8 @@
 }
 
 impl Mirror {
-    /// Enters a later era. The items stay until the next full read replaces them; followers of earlier eras
-    /// are sent a full snapshot from now on.
+    /// Enters a later era. The items stay until the next full read replaces them; followers of earlier eras are sent
+    /// a full snapshot from now on.
     pub fn enter_era(&mut self, era: Era) {
         self.era = self.era.max(era);
         for (key, revision) in std::mem::take(&mut self.removed_at) {
@@ -50,8 +50,8 @@
         self.era
     }
 
-    /// Applies a change and returns whether it took effect; ignores changes of other eras and those older
-    /// than the key's last change.
+    /// Applies a change and returns whether it took effect; ignores changes of other eras and those older than the
+    /// key's last change.
     pub fn apply(&mut self, change: Change) -> bool {
         if change.revision().era() != self.era {
             return false;
@@ -80,8 +80,8 @@
         self.applied_revision = self.applied_revision.max(revision);
     }
 
-    /// Returns the revision up to which every change has been applied; [`Revision::ABSENT`] before the first
-    /// full read.
+    /// Returns the revision up to which every change has been applied; [`Revision::ABSENT`] before the first full
+    /// read.
     pub fn applied_revision(&self) -> Revision {
         self.applied_revision
     }
--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread: its view of the configuration, the servers, the other daemons and the group leaders,
-//! and how that view is kept up to date.
+//! The control thread: its view of the configuration, the servers, the other daemons and the group leaders, and how
+//! that view is kept up to date.
 
 pub mod adapter;
 mod backoff;
--- a/crates/proxy/src/control/move_times.rs
+++ b/crates/proxy/src/control/move_times.rs
@@ -6,8 +6,8 @@
 const BEHIND_REPORT_TTL: Duration = Duration::from_millis(600);
 /// Time between two such moves of a group, since each one interrupts writes.
 const MOVE_INTERVAL: Duration = Duration::from_secs(12);
-/// Time between two checks for a replica that could lead. A check queries every server of the group, and a
-/// lagging replica may catch up soon.
+/// Time between two checks for a replica that could lead. A check queries every server of the group, and a lagging
+/// replica may catch up soon.
 const CHECK_INTERVAL: Duration = Duration::from_millis(800);
 
 /// The times that decide whether a leader may be moved.
--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -29,17 +29,15 @@
     links::bound_silence,
 };
 
-/// Time for a peer to accept a connection, and to answer beyond the time for which it may hold the request: a
-/// round trip within a zone plus scheduling delays of a busy host.
+/// Time for a peer to accept a connection, and to answer beyond the time for which it may hold the request: a round
+/// trip within a zone plus scheduling delays of a busy host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
-/// The same for a daemon that is starting, whose answer queues behind those to the other daemons that start
-/// with it.
+/// The same for a daemon that is starting, whose answer queues behind those to the other daemons that start with it.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time to receive the changes after an answer: eight followers may share a link of 1 MB/s with other
-/// traffic.
+/// Time to receive the changes after an answer: eight followers may share a link of 1 MB/s with other traffic.
 const CHANGES_TIMEOUT: Duration = Duration::from_secs(5);
-/// Open tunnels per daemon, with two file descriptors each. The bound keeps descriptors free for callers when
-/// a partition leaves only a few daemons with a path to a server.
+/// Open tunnels per daemon, with two file descriptors each. The bound keeps descriptors free for callers when a
+/// partition leaves only a few daemons with a path to a server.
 const MAX_TUNNELS: usize = 128;
 /// How long a daemon that did not answer is not contacted.
 const UNRESPONSIVE_PEER_BACKOFF: Duration = Duration::from_secs(3);
@@ -187,8 +185,8 @@
         self.unresponsive_until.borrow_mut().insert(address, now + UNRESPONSIVE_PEER_BACKOFF);
     }
 
-    /// Sends a request to a daemon. Returns `None` and excludes the daemon for a while if the answer or its
-    /// changes do not arrive in time.
+    /// Sends a request to a daemon. Returns `None` and excludes the daemon for a while if the answer or its changes
+    /// do not arrive in time.
     pub(crate) async fn request(
         &self,
         address: SocketAddr,
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -1,12 +1,12 @@
 //! Messages that the daemons of an availability zone exchange about the metadata store.
 //!
-//! One daemon of each zone watches and reads the store. The others form a tree below it and long-poll their
-//! upstream for changes and for the age of its latest store read.
+//! One daemon of each zone watches and reads the store. The others form a tree below it and long-poll their upstream
+//! for changes and for the age of its latest store read.
 //!
-//! An answer is dated to the earliest time at which it can have been made: the time the request was sent plus
-//! the time it waited at the peer. Network delays therefore only make data look older, and data may pass
-//! through any number of daemons. A store read renews primary leases only for the members and records that it
-//! showed. See `docs/PLATFORM.md`, "Who leads" and "Following the store".
+//! An answer is dated to the earliest time at which it can have been made: the time the request was sent plus the
+//! time it waited at the peer. Network delays therefore only make data look older, and data may pass through any
+//! number of daemons. A store read renews primary leases only for the members and records that it showed. See
+//! `docs/PLATFORM.md`, "Who leads" and "Following the store".
 
 use std::{
     collections::HashMap,
@@ -36,8 +36,8 @@
     /// Asks for store updates. Answered by [`FollowAnswer`]; more requests may follow on the connection.
     #[prost(message, tag = "1")]
     Follow(FollowRequest),
-    /// Asks for a tunnel to a server. Answered by [`TunnelAnswer`]; if the server was reached, all later
-    /// bytes are exchanged with it.
+    /// Asks for a tunnel to a server. Answered by [`TunnelAnswer`]; if the server was reached, all later bytes are
+    /// exchanged with it.
     #[prost(message, tag = "2")]
     Tunnel(TunnelRequest),
     /// Asks to run statements over the peer's server connections. The messages of [`crate::relay`] follow.
@@ -132,9 +132,9 @@
     /// The log position that the primary reported.
     #[prost(uint64, tag = "3")]
     pub position: u64,
-    /// In an answer, the time since the primary was asked, in milliseconds, rounded up. In a request, the
-    /// time from the answer named by `last_clock` until the primary was asked, rounded down. Both directions
-    /// make a sample look older, never younger.
+    /// In an answer, the time since the primary was asked, in milliseconds, rounded up. In a request, the time from
+    /// the answer named by `last_clock` until the primary was asked, rounded down. Both directions make a sample look
+    /// older, never younger.
     #[prost(uint64, tag = "4")]
     pub ms: u64,
 }
@@ -154,8 +154,8 @@
         self.message(service, age_ms(self.asked_at, now))
     }
 
-    /// Returns the message for the peer whose answer arrived at `answered_at`; `None` if the sample is older
-    /// than that answer and so can't be dated by the peer's clock.
+    /// Returns the message for the peer whose answer arrived at `answered_at`; `None` if the sample is older than
+    /// that answer and so can't be dated by the peer's clock.
     pub fn to_message_since(&self, service: &Name, answered_at: Instant) -> Option<SampleMessage> {
         let after = self.asked_at.checked_duration_since(answered_at)?;
         Some(self.message(service, after.as_millis() as u64))
@@ -185,9 +185,9 @@
         Revision::new(Era(self.received_era), self.received_revision)
     }
 
-    /// Returns the samples, dated by this daemon's clock, which counts from `epoch` in this `incarnation`.
-    /// Returns none if the requester's last answer came from another incarnation, and leaves out samples that
-    /// are dated in the future.
+    /// Returns the samples, dated by this daemon's clock, which counts from `epoch` in this `incarnation`. Returns
+    /// none if the requester's last answer came from another incarnation, and leaves out samples that are dated in
+    /// the future.
     pub fn local_samples(
         &self,
         incarnation: u64,
@@ -215,8 +215,8 @@
     /// The latest store read known to the answering daemon.
     #[prost(message, optional, tag = "2")]
     pub store_read: Option<StoreReadMessage>,
-    /// Changes that the requester may not have received, oldest first. They are sent in a frame of their own
-    /// after the answer, see [`FollowAnswer::split`].
+    /// Changes that the requester may not have received, oldest first. They are sent in a frame of their own after
+    /// the answer, see [`FollowAnswer::split`].
     #[prost(message, repeated, tag = "3")]
     pub changes: Vec<ChangeMessage>,
     /// Whether the changes are a full snapshot of all keys.
@@ -365,8 +365,8 @@
 }
 
 impl FollowAnswer {
-    /// Splits off the changes, to be sent after the answer. The answer itself is small and shows at once that
-    /// the daemon responds, while a large configuration may take seconds over a slow link.
+    /// Splits off the changes, to be sent after the answer. The answer itself is small and shows at once that the
+    /// daemon responds, while a large configuration may take seconds over a slow link.
     ///
     /// `compressed` is sent before the changes, to a requester that has no data yet; it is empty otherwise.
     pub fn split(mut self, compressed: Bytes) -> (FollowAnswer, Option<ChangesMessage>) {
@@ -481,8 +481,8 @@
     Useless,
 }
 
-/// Evaluates another daemon's store read. A daemon that has applied every change up to the read's revision
-/// knows what the read showed without receiving its content.
+/// Evaluates another daemon's store read. A daemon that has applied every change up to the read's revision knows what
+/// the read showed without receiving its content.
 pub fn evaluate_read(
     read: &StoreRead,
     now: Instant,
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -1,5 +1,5 @@
-//! Reports between daemons other than store changes: samples of primaries' logs, and groups whose replicas
-//! are too far behind.
+//! Reports between daemons other than store changes: samples of primaries' logs, and groups whose replicas are too
+//! far behind.
 
 use std::{
     net::SocketAddr,
@@ -20,16 +20,15 @@
     metadata::Revision,
 };
 
-/// Shortest interval between reports to the promoter that a service's replicas are behind; the promoter uses
-/// a report for twice as long.
+/// Shortest interval between reports to the promoter that a service's replicas are behind; the promoter uses a report
+/// for twice as long.
 const BEHIND_REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// Shortest interval between requests for samples from another zone; a fraction of the staleness bounds of
-/// routes.
+/// Shortest interval between requests for samples from another zone; a fraction of the staleness bounds of routes.
 const SAMPLE_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<P: Adapter> Control<P> {
-    /// Reports to the promoter that a service's replicas are too far behind for its reads. The promoter's own
-    /// callers may use that service too rarely to show it.
+    /// Reports to the promoter that a service's replicas are too far behind for its reads. The promoter's own callers
+    /// may use that service too rarely to show it.
     pub(crate) fn report_replicas_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
         if self.held_promoter_lease().is_some() {
@@ -83,8 +82,8 @@
     }
 
     /// Requests log samples from a daemon of another zone. After a restart a server may count so many former
-    /// connections that no daemon of this zone gets one to the primary; with samples from another zone its
-    /// reads can run at replicas meanwhile.
+    /// connections that no daemon of this zone gets one to the primary; with samples from another zone its reads can
+    /// run at replicas meanwhile.
     pub(crate) fn request_samples(self: &Rc<Self>) {
         let now = Instant::now();
         {
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -1,5 +1,5 @@
-//! The control thread. It watches the store, keeps this daemon's lease, renews primary leases and publishes
-//! the control view.
+//! The control thread. It watches the store, keeps this daemon's lease, renews primary leases and publishes the
+//! control view.
 
 use std::{
     cell::{Cell, RefCell},
@@ -151,7 +151,6 @@
 /// A write and a description of its purpose.
 pub(crate) type PendingWrite = (Transaction, &'static str);
 
-/// Writes that may wait for the store.
 const MAX_PENDING_WRITES: usize = 64;
 
 /// Runs the control thread's tasks until the daemon has stopped.
@@ -249,7 +248,6 @@
         self.metrics.store_calls.with_label_values(&[kind, outcome]).inc();
     }
 
-    /// Publishes the current control view.
     pub(crate) fn publish(&self) {
         let now = Instant::now();
         self.apply_deferred_entries(now);
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -1,9 +1,9 @@
 //! Loads the store's content when a daemon starts.
 //!
-//! In a small fleet each daemon reads the whole store. In a large one, hundreds of daemons that start at once
-//! would congest their links with it, so that servers and peers seem unreachable. There only the first daemon
-//! of each availability zone reads the store; the others receive a compressed snapshot from their upstream.
-//! See `docs/PLATFORM.md`, "Following the store".
+//! In a small fleet each daemon reads the whole store. In a large one, hundreds of daemons that start at once would
+//! congest their links with it, so that servers and peers seem unreachable. There only the first daemon of each
+//! availability zone reads the store; the others receive a compressed snapshot from their upstream. See
+//! `docs/PLATFORM.md`, "Following the store".
 
 use std::time::{Duration, Instant};
 
@@ -17,15 +17,14 @@
     metadata::{Consistency, MetadataError, MetadataStore, ReadTimeouts, Revision},
 };
 
-/// Members up to which each daemon reads the whole store itself when it starts, which takes one step instead
-/// of one per level of the tree.
+/// Members up to which each daemon reads the whole store itself when it starts, which takes one step instead of one
+/// per level of the tree.
 const MAX_DIRECT_READERS: usize = 90;
 
 /// Reads of the member list by a daemon that starts together with others, and the pause between them.
 const MAX_LIST_READS: usize = 4;
 const LIST_READ_PAUSE: Duration = Duration::from_millis(200);
-/// A list that has grown by more than this factor since the last read belongs to a fleet that is just
-/// starting.
+/// A list that has grown by more than this factor since the last read belongs to a fleet that is just starting.
 const GROWTH_FACTOR: usize = 2;
 
 /// The greatest data age at which a daemon begins to serve callers.
@@ -35,7 +34,6 @@
 
 /// How much of the store's content was received from another daemon.
 enum LoadProgress {
-    /// Nothing.
     Nothing,
     /// Everything, but its age is not known to be small.
     Stale,
@@ -59,8 +57,8 @@
         self.load_from_store().await
     }
 
-    /// Loads the store's content from another daemon of the zone; `false` if the fleet is small or this
-    /// daemon should read the store itself.
+    /// Loads the store's content from another daemon of the zone; `false` if the fleet is small or this daemon should
+    /// read the store itself.
     ///
     /// If the member list can't be read, the whole store is not read either, because that is far larger.
     async fn load_from_peer(&self) -> Result<bool, MetadataError> {
@@ -90,8 +88,8 @@
         }
     }
 
-    /// Reads this daemon's own key, which shows whether the content is complete. The upstream's store reads
-    /// arrive too late for that if links are congested.
+    /// Reads this daemon's own key, which shows whether the content is complete. The upstream's store reads arrive
+    /// too late for that if links are congested.
     async fn read_own_key(&self) {
         if let Err(error) = self.renew_primary_leases(Instant::now()).await {
             log::info!(
@@ -117,9 +115,9 @@
         self.publish();
     }
 
-    /// Reads the member list. A daemon that was a member before accepts a list that is some seconds old,
-    /// which is cheap to read. A new daemon may have been started together with all the others, so it waits
-    /// until the list stops growing.
+    /// Reads the member list. A daemon that was a member before accepts a list that is some seconds old, which is
+    /// cheap to read. A new daemon may have been started together with all the others, so it waits until the list
+    /// stops growing.
     async fn list_stable_members(&self) -> Result<Vec<ListedMember>, MetadataError> {
         let mut members = self.list_members(Consistency::Stale).await?;
         let is_listed = members.iter().any(|member| *member.host == *self.settings.host);
@@ -188,9 +186,9 @@
     }
 }
 
-/// Returns how many of the zone's first daemons a waiting daemon skips, in case none of them reaches the
-/// store. Every `read_duration` the number of daemons that read the store roughly doubles, so that a slow
-/// start does not make a whole zone read at once.
+/// Returns how many of the zone's first daemons a waiting daemon skips, in case none of them reaches the store. Every
+/// `read_duration` the number of daemons that read the store roughly doubles, so that a slow start does not make a
+/// whole zone read at once.
 pub fn skipped_peers(waited: Duration, read_duration: Duration) -> usize {
     let rounds = waited.as_millis() / read_duration.as_millis().max(1);
     (1_usize << rounds.min(MAX_ROUNDS)) - 1
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -50,12 +50,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldLease {
     pub(crate) id: LeaseId,
-    /// Counted from the time the last renewal was sent, so that the lease ends here before it ends in the
-    /// store.
+    /// Counted from the time the last renewal was sent, so that the lease ends here before it ends in the store.
     pub(crate) valid_until: Instant,
 }
 
-/// State shared by the tasks of the control thread.
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) mirror: Mirror,
@@ -97,7 +95,6 @@
     pub(crate) samples: Arc<HashMap<Name, PrimarySample>>,
     /// When log samples were last requested from another zone.
     pub(crate) samples_requested_at: Option<Instant>,
-    /// When each other daemon was last known to be a member.
     pub(crate) members_seen: HashMap<Name, SeenMember>,
     /// The start of the current member watch; earlier departures may have been missed.
     pub(crate) watching_since: Option<Instant>,
@@ -157,7 +154,6 @@
         has_recovered
     }
 
-    /// Notes that every change up to a revision has been applied.
     pub(crate) fn note_applied(&mut self, revision: Revision) {
         self.mirror.note_applied(revision);
         self.freshness.note_applied(self.mirror.applied_revision());
@@ -169,8 +165,7 @@
         self.freshness.note_store_read(observed, self.mirror.applied_revision());
     }
 
-    /// Discards what was known of a server's former process: its primary lease, the evidence and the
-    /// suspicion.
+    /// Discards what was known of a server's former process: its primary lease, the evidence and the suspicion.
     pub(crate) fn forget_incarnation(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
         if let Some(leader) = Arc::make_mut(&mut self.leaders).get_mut(service)
--- a/crates/proxy/src/control/tree.rs
+++ b/crates/proxy/src/control/tree.rs
@@ -1,10 +1,8 @@
-//! Selects the daemon through which another one follows the store; see `docs/PLATFORM.md`, "Following the
-//! store".
+//! Selects the daemon through which another one follows the store; see `docs/PLATFORM.md`, "Following the store".
 
 use std::net::SocketAddr;
 
-/// Followers per daemon. Each change is sent to every follower over the daemon's link; a wider tree has fewer
-/// levels.
+/// Followers per daemon. Each change is sent to every follower over the daemon's link; a wider tree has fewer levels.
 const MAX_FOLLOWERS: usize = 8;
 
 /// A daemon that accepts requests of other daemons.
@@ -18,11 +16,11 @@
     pub address: SocketAddr,
 }
 
-/// Returns the daemon through which `host` follows the store; `None` if it reads the store itself. `members`
-/// are sorted by host and leave out daemons that did not answer recently.
+/// Returns the daemon through which `host` follows the store; `None` if it reads the store itself. `members` are
+/// sorted by host and leave out daemons that did not answer recently.
 ///
-/// A daemon follows an earlier one of its zone. The first daemon of a zone follows the earliest daemon of any
-/// zone, so that only one daemon of the fleet, and the promoter, read the store directly.
+/// A daemon follows an earlier one of its zone. The first daemon of a zone follows the earliest daemon of any zone,
+/// so that only one daemon of the fleet, and the promoter, read the store directly.
 pub fn select_upstream(
     members: &[TreeMember<'_>],
     host: &str,
--- a/crates/proxy/src/control/tunnel.rs
+++ b/crates/proxy/src/control/tunnel.rs
@@ -1,9 +1,8 @@
 //! Reaches a server through another daemon while this one has no network path to it.
 //!
-//! A partition often cuts off some daemons from a server that others can still reach. Such a daemon asks one
-//! of the others for a tunnel: a connection that forwards bytes unread. Primary leases, minimum log points
-//! and answers are checked by the daemon that serves the caller, as on a direct connection. See
-//! `docs/PLATFORM.md`, "Detours".
+//! A partition often cuts off some daemons from a server that others can still reach. Such a daemon asks one of the
+//! others for a tunnel: a connection that forwards bytes unread. Primary leases, minimum log points and answers are
+//! checked by the daemon that serves the caller, as on a direct connection. See `docs/PLATFORM.md`, "Detours".
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -19,15 +19,14 @@
     },
 };
 
-/// A watch that is answered within this time is taken as part of a burst, such as many daemons starting or
-/// stopping.
+/// A watch that is answered within this time is taken as part of a burst, such as many daemons starting or stopping.
 const BURST_WITHIN: Duration = Duration::from_millis(50);
 /// Interval between checks for missing changes.
 const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// Pause after a burst, so that the next watch returns several changes at once.
 const BURST_PAUSE: Duration = Duration::from_millis(20);
-/// How long the initial load waits for this daemon to become a member. A read made as a member grants primary
-/// leases at once; otherwise a second read is needed.
+/// How long the initial load waits for this daemon to become a member. A read made as a member grants primary leases
+/// at once; otherwise a second read is needed.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl<P: Adapter> Control<P> {
@@ -56,8 +55,8 @@
         }
     }
 
-    /// Reads the whole store in one call, because the watch has to begin at a revision at which the
-    /// configuration, the servers and the daemons' own keys were all read.
+    /// Reads the whole store in one call, because the watch has to begin at a revision at which the configuration,
+    /// the servers and the daemons' own keys were all read.
     pub(crate) async fn load_from_store(&self) -> Result<(), MetadataError> {
         let asked_at = Instant::now();
         let timeouts =
@@ -116,8 +115,8 @@
         }
     }
 
-    /// Whether a failed watch is repeated from the same revision. No change is missed that way. In a large
-    /// fleet, loading the store instead would congest the link further.
+    /// Whether a failed watch is repeated from the same revision. No change is missed that way. In a large fleet,
+    /// loading the store instead would congest the link further.
     fn can_resume_watch(&self, error: &MetadataError) -> bool {
         let must_reload = match error {
             MetadataError::NotDone(_) | MetadataError::NoAnswer(_) | MetadataError::Unfinished => {
@@ -146,9 +145,9 @@
 
     /// Reads missing changes from the store if neither the upstream nor the watch has delivered them in time.
     ///
-    /// This bounds the age of the configuration while the store answers: 0.7 of `right_ms` until a read is
-    /// requested, plus [`FOLLOWER_MAX_BEHIND`](super::freshness), plus one check interval; 2.3 s by default.
-    /// Primary leases are renewed independently. See `docs/CONFIGURATION-SPREAD.md`.
+    /// This bounds the age of the configuration while the store answers: 0.7 of `right_ms` until a read is requested,
+    /// plus [`FOLLOWER_MAX_BEHIND`](super::freshness), plus one check interval; 2.3 s by default. Primary leases are
+    /// renewed independently. See `docs/CONFIGURATION-SPREAD.md`.
     pub(crate) async fn catch_up_loop(self: Rc<Self>) {
         let mut backoff = Backoff::default();
         loop {
@@ -198,15 +197,14 @@
 
     /// Reads the missing changes, or the whole store if that brings none, because a watch may return late.
     ///
-    /// If an answer has begun but did not end, the changes are requested again: the whole store is larger and
-    /// would use the same link.
+    /// If an answer has begun but did not end, the changes are requested again: the whole store is larger and would
+    /// use the same link.
     async fn catch_up(&self) -> Result<(), MetadataError> {
         let before = self.state.borrow().mirror.applied_revision();
         let outcome = self.watch_once(Duration::ZERO).await;
         let has_progressed = self.state.borrow().mirror.applied_revision() > before;
         match outcome {
-            // In a large fleet, store reads may advance while a long answer arrives; the next catch-up reads
-            // on.
+            // In a large fleet, store reads may advance while a long answer arrives; the next catch-up reads on.
             Ok(()) if !self.is_behind() || (has_progressed && self.is_fleet_large()) => {
                 self.publish();
                 Ok(())
@@ -247,14 +245,13 @@
         self.updates_available.notify_waiters();
     }
 
-    /// Whether followers are told of a change of this key at once. Keys that change in bulk, as when many
-    /// daemons start, are sent along with the next answer.
+    /// Whether followers are told of a change of this key at once. Keys that change in bulk, as when many daemons
+    /// start, are sent along with the next answer.
     fn is_urgent(&self, key: &str) -> bool {
         let bulk_prefixes = [self.key("members/"), self.key("stopped/")];
         !bulk_prefixes.iter().any(|prefix| key.starts_with(prefix))
     }
 
-    /// Applies a change written by an operator or a server.
     fn on_operator_or_server_change(&self, change: Change) {
         match change {
             Change::Put(item) if self.is_operators_configuration(&item.key) => {
@@ -303,7 +300,6 @@
         state.catalog = Arc::new(catalog);
     }
 
-    /// Applies a server's entry.
     pub(crate) fn on_server(&self, item: &Item) {
         match self.format.decode_server(&item.key, &item.value) {
             Ok(entry) => {
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -53,8 +53,8 @@
     assert_eq!(freshness.behind_for(base + ms(600)), None);
 }
 
-/// In a busy store nearly every read shows a change that is not applied yet. Guards against a daemon that
-/// receives each change a moment later being treated as behind.
+/// In a busy store nearly every read shows a change that is not applied yet. Guards against a daemon that receives
+/// each change a moment later being treated as behind.
 #[test]
 fn a_daemon_that_keeps_up_with_a_busy_store_is_not_behind() {
     let base = Instant::now();
@@ -77,8 +77,8 @@
 }
 
 proptest! {
-    /// Checks the age against its definition: the time since the latest read whose revision has been applied.
-    /// It may be overestimated but never underestimated.
+    /// Checks the age against its definition: the time since the latest read whose revision has been applied. It may
+    /// be overestimated but never underestimated.
     #[test]
     fn age_is_never_underestimated(
         steps in prop::collection::vec((0u64..20, any::<bool>()), 1..60),
@@ -112,8 +112,8 @@
     }
 }
 
-/// Guards against every daemon of a fleet reading the whole store while a large configuration is still
-/// arriving from its upstream over congested links.
+/// Guards against every daemon of a fleet reading the whole store while a large configuration is still arriving from
+/// its upstream over congested links.
 #[test]
 fn changes_that_are_arriving_are_not_read_from_the_store() {
     let cases = [
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -63,8 +63,7 @@
     }
 }
 
-/// Guards against equal revision numbers of different eras being compared, because a restored store reuses
-/// them.
+/// Guards against equal revision numbers of different eras being compared, because a restored store reuses them.
 #[test]
 fn a_shared_read_of_another_era_renews_nothing() {
     let base = Instant::now() + ms(10_000);
@@ -151,8 +150,8 @@
     assert!(!head.changes_follow && changes.is_none());
 }
 
-/// Clocks of different daemons can't be compared. Guards against a sample looking younger after it passed
-/// between daemons; it may look older by the network delay.
+/// Clocks of different daemons can't be compared. Guards against a sample looking younger after it passed between
+/// daemons; it may look older by the network delay.
 #[test]
 fn a_sample_never_looks_younger_after_passing_between_daemons() {
     let base = Instant::now() + ms(10_000);
