--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -1,4 +1,4 @@
-//! One server as the pool knows it: its connections, how it has answered lately, and whether it is fit.
+//! The pool's state of one server: its connections, its recent answers and whether it may be used.
 
 use std::{
     net::SocketAddr,
@@ -20,54 +20,53 @@
     },
 };
 
-/// How long a server that lagged behind a bounded floor is passed over.
+/// How long a server is avoided after its log lacked the required point.
 const LAGGING_PAUSE: Duration = Duration::from_millis(150);
-/// How long after that a server still counts as behind where all of a group are looked at.
+/// How long after that pause the server still counts as lagging when the whole group is assessed.
 const RECENT_LAG_WINDOW: Duration = Duration::from_millis(500);
-/// A latency that has not been confirmed for so long is forgotten, so that the server is tried again.
+/// A latency without a newer measurement is dropped after this time, so that the server is tried again.
 const LATENCY_LIFETIME: Duration = Duration::from_secs(2);
-/// One part in so many of a primary's connections may be used by statements that leave room for others.
+/// Statements that yield to others may use this fraction (1/n) of a primary's connections.
 const YIELDING_DIVISOR: u32 = 2;
-/// How long a server that could not be reached is passed over, at first; it doubles with each failure.
+/// How long a server that could not be reached is avoided at first. Doubles with each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest time that a server which can't be reached is passed over.
+/// Longest time for which an unreachable server is avoided.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
-/// The longest time that nobody opens a connection to a server which grants no more: those of daemons
-/// that died end after some seconds, and then there is room at once.
+/// Longest pause before opening a connection again after the server refused one. Connections of dead daemons end
+/// after some seconds and make room.
 const MAX_REFUSED_BACKOFF: Duration = Duration::from_millis(250);
-/// How long a connection beyond the first may rest. Connections that are not needed leave room for
-/// those of daemons that start anew while their former ones still count.
+/// How long a connection above the kept minimum may stay idle. Closing it makes room for daemons that restart while
+/// the server still counts their old connections.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The same where accounts compete for an owner's connections: long enough for the next statement of an account that asks
-/// every few seconds, which would else open one.
+/// The same where accounts compete for an owner's connections. Spans the time between statements of an account that
+/// sends one every few seconds.
 const COMPETED_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long a connection may rest where there are more daemons than connections to a server, so that
-/// the others get their turn.
+/// How long a connection may stay idle where there are more daemons than connections to a server.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long nothing is borrowed of a server that grants no more: longer than a loan rests, so that the
-/// room goes to daemons that have less than their own share.
+/// How long the overflow is not used after the server refused a connection. Longer than an overflow connection
+/// stays idle, so that daemons below their share get the room.
 const OVERFLOW_PAUSE: Duration = Duration::from_millis(2_000);
 
-/// How long no detour is tried after all of them failed: other daemons need as long to find out that they
-/// have no path either, and tell so then.
+/// How long no tunnel is tried after all of them failed. Other daemons need about as long to detect and report that
+/// they have no path either.
 const TUNNEL_PAUSE: Duration = Duration::from_millis(500);
 
-/// A server with the connections to it.
+/// One server and the connections to it.
 pub(crate) struct ServerSlot<E> {
     pub(crate) entry: Arc<ServerEntry>,
-    /// Idle connections with the time since when; the one that rested least is used first.
+    /// Idle connections and since when each is idle, the longest idle first.
     pub(crate) idle: Vec<(Instant, Box<EndpointConnection<E>>)>,
     pub(crate) in_use: u32,
-    /// Those in use by statements that leave room for others.
+    /// Connections in use by statements that yield to others.
     pub(crate) yielding: u32,
     pub(crate) limit: u32,
-    /// Connections beyond the limit that may be borrowed, and until when none may.
+    /// Number of connections beyond the limit that may be opened, and until when none may.
     pub(crate) overflow: u32,
     pub(crate) no_overflow_until: Option<Instant>,
-    /// Connections that may rest for good.
-    pub(crate) keeps: u32,
-    /// The daemons that own the connections to it, if this one does not; asked in this order.
+    /// Number of connections that are kept however long they are idle.
+    pub(crate) min_idle: u32,
+    /// The daemons that own the connections to this server, in order of preference; empty if this one does.
     pub(crate) owners: Arc<[SocketAddr]>,
     /// Statements and transactions that run on connections of owners.
     pub(crate) in_use_remote: u32,
@@ -76,25 +75,25 @@
     pub(crate) point: Option<LogPoint>,
     pub(crate) lagging_until: Option<Instant>,
     pub(crate) failures: u32,
-    /// Until when no connection is opened, after one could not be.
+    /// Until when no connection is opened after a failure to open one.
     pub(crate) no_opening_until: Option<Instant>,
-    pub(crate) away_until: Option<Instant>,
-    /// Daemons through which it may be reached while this one has no path to it, which of them is tried
-    /// next, and until when none is, after all of them failed.
+    pub(crate) avoid_until: Option<Instant>,
+    /// Daemons that can tunnel to the server while this one has no path to it, the index of the next to try, and
+    /// until when none is tried after all of them failed.
     pub(crate) tunnels: Arc<[SocketAddr]>,
     pub(crate) next_tunnel: usize,
     pub(crate) no_tunnel_until: Option<Instant>,
-    /// Whether it does what it is given, by what this daemon ran there for others.
+    /// Circuit breaker on the server's results, as seen on the connections of this daemon.
     pub(crate) health: Circuit,
-    /// Which ways to it work.
+    /// Which paths to the server work.
     pub(crate) paths: ServerPaths,
-    /// What waits for it, where this daemon's connections are not everybody's.
+    /// The queue of statements for this server, if this daemon has one.
     pub(crate) queue: Option<Rc<ServerQueue>>,
-    /// How many connections the server grants at present.
+    /// Estimate of how many connections the server grants at present.
     pub(crate) granted: Granted,
-    /// How often accounts use connections to it, where they compete for them.
+    /// How often each account uses connections to the server; `None` if accounts don't compete for them.
     pub(crate) reuse: Option<Reuse>,
-    /// Whether it is still listed; one that is not gets no new work.
+    /// Whether the server is still listed; otherwise it gets no new work.
     pub(crate) listed: bool,
 }
 
@@ -108,7 +107,7 @@
             limit: 1,
             overflow: 0,
             no_overflow_until: None,
-            keeps: 1,
+            min_idle: 1,
             owners: Arc::default(),
             in_use_remote: 0,
             latency: LatencyAverage::default(),
@@ -117,7 +116,7 @@
             lagging_until: None,
             failures: 0,
             no_opening_until: None,
-            away_until: None,
+            avoid_until: None,
             tunnels: Arc::default(),
             next_tunnel: 0,
             no_tunnel_until: None,
@@ -130,25 +129,25 @@
         }
     }
 
-    /// Ends connections that have rested for long; the last only where none may be kept.
+    /// Closes connections that have been idle for too long, down to the number that is kept.
     pub(crate) fn close_spare(&mut self) {
         let now = Instant::now();
         let others = self.in_use as usize;
-        let rests = match (self.keeps, &self.reuse) {
+        let idle_timeout = match (self.min_idle, &self.reuse) {
             (0, _) => SCARCE_IDLE_TIMEOUT,
             (_, None) => SPARE_IDLE_TIMEOUT,
             (_, Some(_)) => COMPETED_IDLE_TIMEOUT,
         };
-        while self.idle.len() + others > self.keeps as usize {
-            let rested =
-                self.idle.iter().take_while(|(since, _)| now.duration_since(*since) > rests);
-            let Some(least) = self.least_likely(rested.count(), now) else { return };
+        while self.idle.len() + others > self.min_idle as usize {
+            let expired =
+                self.idle.iter().take_while(|(since, _)| now.duration_since(*since) > idle_timeout);
+            let Some(least) = self.least_likely(expired.count(), now) else { return };
             self.idle.remove(least);
         }
     }
 
-    /// Takes over what the server says of itself. One that started again is another server under the same name: what was
-    /// known of its former incarnation, and the connections to that, are dropped.
+    /// Applies a new entry of the server. If the server has restarted, its recorded state and the connections to
+    /// its former incarnation are dropped.
     pub(crate) fn set_entry(&mut self, entry: Arc<ServerEntry>) {
         if self.entry.incarnation != entry.incarnation {
             self.idle.clear();
@@ -158,7 +157,7 @@
             self.lagging_until = None;
             self.failures = 0;
             self.no_opening_until = None;
-            self.away_until = None;
+            self.avoid_until = None;
             self.health = Circuit::default();
             self.paths = ServerPaths::default();
             self.granted = Granted::default();
@@ -166,88 +165,87 @@
         self.entry = entry;
     }
 
-    /// Returns how many resting connections will do for a request.
+    /// Returns the number of idle connections that a request may use.
     pub(crate) fn idle_for(&self, request: &ConnectionRequest) -> u32 {
         self.idle.iter().filter(|(_, idle)| request.accepts_principal(&idle.principal)).count()
             as u32
     }
 
-    /// Ends the connection that is least likely to be used again where another one is to be opened and all places are
-    /// taken.
+    /// Closes the idle connections that are least likely to be used again until one more can be opened.
     pub(crate) fn make_room(&mut self) {
         let now = Instant::now();
-        let most = self.max_connections_at(now);
-        while self.idle.len() as u32 + self.in_use >= most {
+        let max = self.max_connections_at(now);
+        while self.idle.len() as u32 + self.in_use >= max {
             let Some(least) = self.least_likely(self.idle.len(), now) else { return };
             self.idle.remove(least);
         }
     }
 
-    /// Returns which of the first so many connections at rest is least likely to be used again: the one that rested
-    /// longest where accounts don't compete.
+    /// Returns the index of the connection that is least likely to be used again among the first `of_first`. If
+    /// accounts don't compete, that is the longest idle one.
     fn least_likely(&self, of_first: usize, now: Instant) -> Option<usize> {
         let Some(reuse) = &self.reuse else { return (of_first > 0).then_some(0) };
-        let resting = self.idle.iter().take(of_first);
-        let resting: Vec<Resting<'_>> = resting
+        let idle = self.idle.iter().take(of_first);
+        let idle: Vec<Resting<'_>> = idle
             .map(|(since, idle)| Resting { account: idle.principal.told(), since: *since })
             .collect();
-        reuse.least_likely(&resting, now)
+        reuse.least_likely(&idle, now)
     }
 
-    /// Notes for whom a connection is used.
+    /// Records that a connection is used for a principal.
     pub(crate) fn note_use(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
             reuse.on_used(principal.told(), Instant::now());
         }
     }
 
-    /// Takes over whether accounts compete for its connections.
-    pub(crate) fn set_competing(&mut self, do_compete: bool) {
-        match do_compete {
+    /// Sets whether accounts compete for the connections to this server.
+    pub(crate) fn set_competing(&mut self, is_competing: bool) {
+        match is_competing {
             true => drop(self.reuse.get_or_insert_default()),
             false => self.reuse = None,
         }
     }
 
-    pub(crate) fn take(&mut self, yields: bool) {
+    pub(crate) fn on_acquired(&mut self, yields: bool) {
         self.in_use += 1;
         self.yielding += u32::from(yields);
     }
 
-    pub(crate) fn leave(&mut self, yields: bool) {
+    pub(crate) fn on_released(&mut self, yields: bool) {
         self.in_use = self.in_use.saturating_sub(1);
         self.yielding = self.yielding.saturating_sub(u32::from(yields));
     }
 
-    /// Notes that it answered, with its point. An error comes faster than an answer and says nothing of how long one takes:
-    /// counted, it would draw more statements to a server that fails.
+    /// Records an answer and the log point in it. `took` is `None` for an error: errors arrive faster than results,
+    /// and counting them would draw more statements to a failing server.
     pub(crate) fn note_answer(&mut self, point: Option<LogPoint>, took: Option<Duration>) {
         if let Some(took) = took {
             self.latency.add(took.as_micros() as u64);
             self.latency_at = Some(Instant::now());
         }
         self.failures = 0;
-        self.away_until = None;
+        self.avoid_until = None;
         self.no_opening_until = None;
         if point.is_some() {
             self.point = point;
         }
     }
 
-    /// Notes that its log lacked the point that was asked for.
+    /// Records that the server's log lacked the required point.
     pub(crate) fn note_lagging(&mut self) {
         self.lagging_until = Some(Instant::now() + LAGGING_PAUSE);
     }
 
-    /// Notes that it could not be reached or failed; it is passed over for a while.
+    /// Records that the server could not be reached or failed, and avoids it for a while.
     pub(crate) fn note_failure(&mut self) {
-        self.away_until = Some(Instant::now() + self.next_backoff());
+        self.avoid_until = Some(Instant::now() + self.next_backoff());
     }
 
-    /// Notes that a connection could not be opened; returns how long nobody tries again.
+    /// Records that a connection could not be opened; returns how long no other is opened.
     pub(crate) fn note_open_failed(&mut self, refused: bool) -> Duration {
-        let longest = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
-        let backoff = self.next_backoff().min(longest);
+        let max_backoff = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
+        let backoff = self.next_backoff().min(max_backoff);
         self.no_opening_until = Some(Instant::now() + backoff);
         if refused {
             self.no_overflow_until = Some(Instant::now() + OVERFLOW_PAUSE);
@@ -256,8 +254,8 @@
         backoff
     }
 
-    /// Notes that the server grants no more connections. Behind a queue one may be ended for each that is opened, so that who
-    /// has none gets one.
+    /// Handles a refusal for too many connections. With a queue an idle connection may be closed for each new one,
+    /// so that an account without a connection gets one.
     fn on_connections_exhausted(&mut self) {
         if self.queue.is_none() {
             return;
@@ -269,18 +267,17 @@
         }
     }
 
-    /// Returns how many connections there may be at a time.
+    /// Returns how many connections there may be now.
     fn max_connections_at(&self, now: Instant) -> u32 {
         self.granted.most(self.limit + self.overflow, now)
     }
 
-    /// Notes that its owner sets it aside.
-    pub(crate) fn note_set_aside(&mut self) {
-        self.away_until = Some(Instant::now() + FIRST_BACKOFF);
+    /// Records that the owner's circuit breaker for this server is open.
+    pub(crate) fn note_circuit_open(&mut self) {
+        self.avoid_until = Some(Instant::now() + FIRST_BACKOFF);
     }
 
-    /// Takes over the ways around to it. Connections through other daemons end once there is a direct path,
-    /// which is shorter and needs nobody else.
+    /// Sets the daemons that can tunnel to the server. Tunneled connections are closed once there is a direct path.
     pub(crate) fn set_tunnels(&mut self, tunnels: Arc<[SocketAddr]>) {
         if tunnels.is_empty() {
             self.idle.retain(|(_, connection)| connection.is_direct);
@@ -291,18 +288,17 @@
         }
     }
 
-    /// Whether it may be tried through another daemon now.
+    /// Whether a tunnel may be tried now.
     pub(crate) fn has_tunnel(&self, now: Instant) -> bool {
         !self.tunnels.is_empty() && self.no_tunnel_until.is_none_or(|until| now >= until)
     }
 
-    /// Returns the daemon through which it is to be reached, if it is.
+    /// Returns the daemon whose tunnel is to be used, if any.
     pub(crate) fn tunnel(&self, now: Instant) -> Option<SocketAddr> {
         self.tunnels.get(self.next_tunnel).copied().filter(|_| self.has_tunnel(now))
     }
 
-    /// Notes that no connection came about through another daemon: the next one is tried, and after the
-    /// last there is a pause.
+    /// Records that a tunnel failed. The next daemon is tried; after the last one there is a pause.
     pub(crate) fn note_tunnel_failed(&mut self, peer: SocketAddr) {
         if self.tunnels.get(self.next_tunnel) != Some(&peer) {
             return;
@@ -314,29 +310,29 @@
         }
     }
 
-    /// Whether it does what it is given, where a request of this daemon's own callers may be met elsewhere. The wishes of others
-    /// were looked at as they came ([`super::health`]).
+    /// Whether the circuit breaker lets a request of this daemon's own callers pass. Forwarded requests were
+    /// checked on arrival ([`super::health`]).
     pub(crate) fn is_healthy_for(&self, request: &ConnectionRequest, now: Instant) -> bool {
         request.only.is_some() || request.is_forwarded || self.health.may_pass(now)
     }
 
-    /// Whether nothing can reach it from here, by what this daemon's probe says.
+    /// Whether the last probe failed and no tunnel works.
     pub(crate) fn is_unreachable(&self, now: Instant) -> bool {
         let has_tunnel = self.paths.has_tunnel() && self.has_tunnel(now);
         self.paths.is_unreachable() && !has_tunnel
     }
 
-    /// Whether it lagged behind a moment ago.
+    /// Whether it lagged recently.
     pub(crate) fn has_lagged(&self, now: Instant) -> bool {
         self.lagging_until.is_some_and(|until| now < until + RECENT_LAG_WINDOW)
     }
 
-    /// Whether it holds fewer connections than it may.
+    /// Whether there may be more connections than there are.
     pub(crate) fn has_room(&self, now: Instant) -> bool {
         self.listed && (self.idle.len() as u32) + self.in_use < self.limit_at(now)
     }
 
-    /// Forgets a latency that nothing has confirmed for long.
+    /// Drops a latency that is too old.
     pub(crate) fn forget_old_latency(&mut self, now: Instant) {
         if self.latency_at.is_some_and(|at| now.duration_since(at) > LATENCY_LIFETIME) {
             self.latency = LatencyAverage::default();
@@ -350,7 +346,7 @@
         backoff.min(MAX_BACKOFF)
     }
 
-    /// How many connections may be used now; those that stand, after one could not be opened.
+    /// Returns how many connections may be used now; only those in use while the pause after a failed open lasts.
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
             Some(until) if now < until && !self.has_tunnel(now) => self.limit.min(self.in_use),
@@ -358,19 +354,19 @@
         }
     }
 
-    /// Whether a connection may be opened now, as far as former failures go.
+    /// Whether a connection may be opened now.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
         self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
     }
 
-    /// Whether there is no connection, and none will be opened before `deadline`.
+    /// Whether there is no connection and none may be opened before `deadline`.
     pub(crate) fn is_out_of_reach_until(&self, deadline: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| until >= deadline);
         is_paused && self.in_use == 0 && self.idle.is_empty()
     }
 
-    /// Takes over whether statements wait in a queue of this server's own, and what it has room for.
+    /// Creates, updates or removes the server's own queue.
     pub(crate) fn set_queue(&mut self, room: Option<Room>) {
         match (&self.queue, room) {
             (Some(queue), Some(room)) => queue.set_room(room),
@@ -381,7 +377,7 @@
         }
     }
 
-    /// How many connections beyond the limit may be borrowed now.
+    /// Returns how many connections beyond the limit may be opened now.
     fn overflow_at(&self, now: Instant) -> u32 {
         match self.no_overflow_until {
             Some(until) if now < until => 0,
@@ -389,11 +385,11 @@
         }
     }
 
-    /// Whether a statement that leaves room at the primary would take room that others need. What runs
-    /// in a server at a time is few; more only waits there, where no priority counts.
+    /// Whether a request that yields at the primary would take room that others need. A server runs few statements
+    /// at a time; more of them wait inside the server, where priorities have no effect.
     pub(crate) fn is_full_for(&self, request: &ConnectionRequest) -> bool {
-        let leads = request.primary.as_ref() == Some(&self.entry.server);
-        request.yields && leads && self.yielding >= (self.limit / YIELDING_DIVISOR).max(1)
+        let is_primary = request.primary.as_ref() == Some(&self.entry.server);
+        request.yields && is_primary && self.yielding >= (self.limit / YIELDING_DIVISOR).max(1)
     }
 
     pub(crate) fn is_fit(&self, request: &ConnectionRequest, now: Instant) -> bool {
@@ -403,11 +399,11 @@
         if let Some(only) = &request.only {
             return *only == self.entry.server;
         }
-        let away = self.away_until.is_some_and(|until| now < until) && !self.has_tunnel(now);
-        let behind = self.lagging_until.is_some_and(|until| now < until)
+        let is_avoided = self.avoid_until.is_some_and(|until| now < until) && !self.has_tunnel(now);
+        let is_lagging = self.lagging_until.is_some_and(|until| now < until)
             && request
                 .min_point
                 .is_some_and(|min_point| self.point.is_none_or(|point| point < min_point));
-        !self.entry.leaving && !away && !behind
+        !self.entry.leaving && !is_avoided && !is_lagging
     }
 }
