--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -1,8 +1,8 @@
 //! The connections of this daemon to the servers of one service, and the statements that wait for one.
 //!
-//! Connections are few and belong to all daemons together: each may have its share of what a server
-//! grants ([`super::share`]). Who finds none free waits, the most urgent first, and gets whatever suitable
-//! connection is given back next. `docs/PLATFORM.md`, "Connections", says what was weighed.
+//! Connections are scarce and shared by all daemons: each has its share of what a server grants ([`super::share`]).
+//! A statement that finds none free waits, the most urgent first, and gets the next suitable connection that is
+//! released. `docs/PLATFORM.md`, "Connections", explains the design.
 
 use std::{
     cell::RefCell,
@@ -48,48 +48,48 @@
     pub(super) idle_policy: IdlePolicy,
     pub(super) servers: Vec<ServerSlot<E>>,
     pub(super) waiters: [VecDeque<Waiter<E>>; PRIORITIES],
-    /// Whether daemons own connections for others.
-    pub(super) is_owned: bool,
+    /// Whether some daemons own the connections on behalf of others.
+    pub(super) has_owners: bool,
 }
 
-/// Priorities that are told apart; less urgent ones count as the last.
+/// Number of priority levels; less urgent priorities share the last one.
 pub(super) const PRIORITIES: usize = 4;
 
-/// The pool of one service.
+/// The connection pool of one service.
 pub struct GroupPool<E: EndpointDialect> {
     layout: Rc<Layout>,
     relays: Rc<RelayLinks>,
-    /// Which decisions under load are made.
+    /// Which overload decisions are enabled.
     pub(super) overload: OverloadSettings,
     pub(super) state: RefCell<PoolState<E>>,
 }
 
-/// Why no connection was given.
+/// Why no connection was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// No server may run the statement.
+    /// No server can run the statement.
     NoServer,
-    /// Too many statements wait already.
+    /// Too many statements are waiting.
     QueueFull,
-    /// None was free in time.
+    /// No connection was free before the deadline.
     TooLate,
-    /// More urgent work and that of others leave no room in time.
+    /// More urgent work or the work of other accounts leaves no room before the deadline.
     Overloaded {
-        /// When asking again may help.
+        /// How long to wait before retrying.
         retry_delay: Duration,
     },
 }
 
-/// What a request was answered with.
+/// The result of acquiring: a connection or the permission to open one.
 pub enum Offer<E: EndpointDialect> {
-    /// A connection.
+    /// A connection that is ready for use.
     Ready(PooledConnection<E>),
-    /// Leave to open one.
+    /// Permission to open a connection.
     Open(OpeningPermit<E>),
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Makes a pool without servers for a daemon that stands somewhere in a layout.
+    /// Creates a pool without servers. `layout` says in which zone and region this daemon runs.
     pub fn new(
         layout: Rc<Layout>,
         relays: Rc<RelayLinks>,
@@ -99,22 +99,22 @@
             idle_policy: IdlePolicy::KeepOne,
             servers: Vec::new(),
             waiters: Default::default(),
-            is_owned: false,
+            has_owners: false,
         };
         GroupPool { layout, relays, overload, state: RefCell::new(state) }
     }
 
-    /// Takes over which servers there are, how many connections each may have and who owns them.
+    /// Applies the current list of servers, the connection limit of each and the owners of its connections.
     pub fn update(
         self: &Rc<Self>,
         entries: &[Arc<ServerEntry>],
         share: Share,
-        detours: &TunnelPeers,
+        tunnels: &TunnelPeers,
         owners: &Owners,
     ) {
         let mut state = self.state.borrow_mut();
         state.idle_policy = share.idle_policy;
-        state.is_owned = share.owned.is_some();
+        state.has_owners = share.owned.is_some();
         for slot in &mut state.servers {
             slot.listed = entries.iter().any(|entry| entry.server == slot.entry.server);
             if !slot.listed {
@@ -129,7 +129,7 @@
             }
         }
         for slot in &mut state.servers {
-            slot.set_tunnels(detours.get(&slot.entry.server).cloned().unwrap_or_default());
+            slot.set_tunnels(tunnels.get(&slot.entry.server).cloned().unwrap_or_default());
             let is_near = slot.entry.availability_zone == *self.layout.zone();
             let server = &slot.entry.server;
             let ownership = match share.owned {
@@ -139,10 +139,10 @@
                     .of(server, &slot.entry.availability_zone)
                     .or_else(|| owners.elsewhere(server)),
             };
-            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.idle_policy) {
+            (slot.limit, slot.min_idle) = match (&ownership, share.owned, share.idle_policy) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
-                    let place = ownership.asked.len();
-                    (owned.limit_of(place, self.overload.queue), owned.kept_by(place))
+                    let rank = ownership.asked.len();
+                    (owned.limit_of(rank, self.overload.queue), owned.kept_by(rank))
                 }
                 (Some(_), _, _) => (share.limit, 0),
                 (None, _, IdlePolicy::KeepOne) => (share.limit, 1),
@@ -152,10 +152,10 @@
             slot.owners = ownership.map(|it| it.asked).unwrap_or_default();
             slot.paths.keep_only(&slot.owners);
             slot.overflow = share.overflow;
-            let most = slot.limit + share.overflow;
+            let max = slot.limit + share.overflow;
             slot.set_queue(self.queue_room(slot, &share));
             slot.set_competing(self.do_accounts_compete(&share));
-            let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(most) as usize;
+            let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(max) as usize;
             let kept = slot.idle.len().saturating_sub(surplus);
             slot.idle.truncate(kept);
         }
@@ -163,7 +163,7 @@
         self.serve_waiters();
     }
 
-    /// Finds a connection, or leave to open one, waiting until `deadline` if all are in use.
+    /// Acquires a connection or the permission to open one. Waits until `deadline` if all are in use.
     pub async fn acquire(
         self: &Rc<Self>,
         request: ConnectionRequest,
@@ -177,8 +177,8 @@
                 Choice::Wait => return self.wait_for_connection(request, deadline).await,
                 Choice::NoServer => return Err(NoConnection::NoServer),
             };
-            if has_idle && let Some(lent) = self.acquire_remote(index, &request, deadline) {
-                return Ok(Offer::Ready(lent));
+            if has_idle && let Some(connection) = self.acquire_remote(index, &request, deadline) {
+                return Ok(Offer::Ready(connection));
             }
             self.note_attempt(index, &request);
             if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Returns the right to use a connection of the server's owner, if another daemon owns them and is there.
+    /// Returns a lease on a connection of the server's owner, if another daemon owns them and is reachable.
     fn acquire_remote(
         self: &Rc<Self>,
         index: usize,
@@ -237,19 +237,20 @@
         self.owner_in_use(slot, now)
     }
 
-    /// Returns the link to the first owner that is there and has a way to the server.
+    /// Returns the link to the first owner that is reachable and has a working path to the server.
     pub(super) fn owner_in_use(&self, slot: &ServerSlot<E>, now: Instant) -> Option<Rc<RelayLink>> {
         let owners = slot.owners.iter().filter(|owner| slot.paths.may_pass(owner, now));
         self.relays.to_first(owners.copied(), now)
     }
 
-    /// Returns the link to the daemon that owns the connections to a server, if that is another one and there.
+    /// Returns the link to the daemon that owns the connections to a server; `None` if it is this one or
+    /// unreachable.
     pub(crate) fn owner_link(&self, server: &str) -> Option<Rc<RelayLink>> {
         let now = Instant::now();
         self.with_slot(server, |slot| self.owner_in_use(slot, now))?
     }
 
-    /// Notes that nothing runs any more at an owner that ran there.
+    /// Counts down the work that runs on connections of an owner.
     pub(super) fn release_remote(&self, server: &str) {
         self.with_slot(server, |slot| slot.in_use_remote = slot.in_use_remote.saturating_sub(1));
     }
@@ -265,9 +266,9 @@
             });
         }
         if candidates.is_empty() && request.only.is_none() {
-            // Better a server that was away a moment ago than none.
+            // No server is left: consider those that are avoided after recent failures too.
             for slot in &mut state.servers {
-                slot.away_until = None;
+                slot.avoid_until = None;
                 slot.lagging_until = None;
             }
             candidates = self.candidates(&mut state, request, now);
@@ -291,7 +292,7 @@
                     index,
                     reach: self.layout.reach(&slot.entry.availability_zone),
                     is_primary: request.primary.as_ref() == Some(&slot.entry.server),
-                    // Its queue is at the owner, where the whole zone's demand is seen.
+                    // The owner has the queue, since it sees the demand of the whole zone.
                     idle: 1,
                     in_use: slot.in_use_remote,
                     limit: u32::MAX,
@@ -310,7 +311,7 @@
                 index,
                 reach: match slot.tunnels.is_empty() {
                     true => self.layout.reach(&slot.entry.availability_zone),
-                    // Through another daemon nothing is near.
+                    // A connection through another daemon is never the nearest.
                     false => {
                         Reach::SameRegion.max(self.layout.reach(&slot.entry.availability_zone))
                     }
@@ -318,7 +319,7 @@
                 is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                 idle: slot.idle_for(request),
                 in_use: queue.map_or(slot.in_use, |queue| queue.outstanding()),
-                // Where it has a queue, statements wait in that one.
+                // Statements wait in the server's own queue, if it has one.
                 limit: queue.map_or_else(|| slot.limit_at(now), |_| u32::MAX),
                 is_full: slot.is_full_for(request),
                 is_non_preferred: false,
@@ -329,7 +330,7 @@
         .collect()
     }
 
-    /// Takes the idle connection that needs the least to be sent before the statement.
+    /// Takes the idle connection that needs the fewest commands before the statement.
     pub(super) fn take_idle(
         &self,
         index: usize,
@@ -347,7 +348,7 @@
         let best = fitting(Environment::has_values)
             .or_else(|| fitting(Environment::can_become))
             .or_else(|| fitting(|_, _| true))?;
-        slot.take(request.yields);
+        slot.on_acquired(request.yields);
         Some(slot.idle.remove(best).1)
     }
 
@@ -360,27 +361,27 @@
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.make_room();
-        slot.take(request.yields);
+        slot.on_acquired(request.yields);
         OpeningPermit {
             pool: self.clone(),
             entry: slot.entry.clone(),
             yields: request.yields,
-            settled: false,
+            is_opened: false,
             permit,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         }
     }
 
-    /// Gives who waits leave to open a connection to a server, if it still waits.
+    /// Offers a waiting statement the permission to open a connection to a server.
     pub(super) fn offer_opening(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
-        let place = {
+        let found = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| &*slot.entry.server == server)
         };
-        let Some(index) = place else { return };
-        let place = self.permit_opening(index, &waiter.request, None);
-        // A place that nobody takes any more gives itself up when it is dropped.
-        let _ = waiter.grant.send(Offer::Open(place));
+        let Some(index) = found else { return };
+        let permit = self.permit_opening(index, &waiter.request, None);
+        // If the waiter is gone, dropping the permit releases its place.
+        let _ = waiter.grant.send(Offer::Open(permit));
     }
 
     pub(super) fn pooled(
@@ -409,7 +410,7 @@
         state.servers.iter_mut().find(|slot| &*slot.entry.server == server).map(act)
     }
 
-    /// Ends connections that nobody has needed for a while; `true` if there may be more to end.
+    /// Closes connections that have been idle for too long. Returns `true` if more may have to be closed later.
     pub fn close_spare_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
@@ -424,7 +425,7 @@
     pub(super) fn put_idle(&self, connection: Box<EndpointConnection<E>>) {
         let server = connection.server.clone();
         self.with_slot(&server, |slot| {
-            slot.leave(false);
+            slot.on_released(false);
             let is_wanted = (connection.is_direct || !slot.tunnels.is_empty())
                 && connection.incarnation == slot.entry.incarnation;
             if is_wanted
@@ -438,7 +439,7 @@
     }
 
     pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
-        self.with_slot(server, |slot| slot.leave(yields));
+        self.with_slot(server, |slot| slot.on_released(yields));
         self.serve_waiters();
     }
 }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -42,7 +42,7 @@
 
     /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
-        self.overload.queue && self.state.borrow().is_owned
+        self.overload.queue && self.state.borrow().has_owners
     }
 
     /// Whether accounts compete for the connections to a server, since each connection serves one account.
