--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use std::{
     net::SocketAddr,
@@ -24,25 +24,25 @@
     statement::{Answer, EndpointCommand, ErrorCode, Outcome, StatementError, TransactionState},
 };
 
-/// The room that a read from a socket gets; most answers are under a kilobyte.
+/// Size by which the read buffer grows; most answers are below 1 KiB.
 const READ_RESERVE_BYTES: usize = 4 * 1024;
 
-/// What a server is told behind the host's name where another daemon is between, for whoever looks at its
+/// Suffix that is appended to the host's name on tunneled connections, to mark them in the server's list of
 /// connections.
 const TUNNEL_SUFFIX: &str = ".detour";
 
-/// Why a connection is of no more use.
+/// Why a connection can't be used any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionLost {
-    /// It broke off, or was refused.
+    /// The connection could not be opened or broke.
     Broken(String),
-    /// Nothing came within the time.
+    /// There was no answer before the deadline.
     TimedOut,
     /// The server refused the connection with an error.
     Refused(ErrorCode),
-    /// The server sent what can't be understood.
+    /// The server sent a message that can't be parsed or was not expected.
     Malformed(String),
-    /// The owner of the connections let it go no further.
+    /// The owner of the connections did not send the statement to the server.
     NotGranted(NotSent),
     /// The link to the owner ended.
     OwnerLost,
@@ -61,17 +61,17 @@
     }
 }
 
-/// Who connects to a server.
+/// The identity that a daemon gives to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientIdentity<'a> {
     /// This daemon's host.
     pub host: &'a Name,
-    /// For whom the connection works.
+    /// The principal that the connection works for.
     pub principal: &'a Principal,
 }
 
 impl ClientIdentity<'_> {
-    /// Returns what the server is told.
+    /// Returns the name that is sent to the server.
     fn name(&self, is_direct: bool) -> Name {
         match self.principal {
             Principal::Account(name) => name.clone(),
@@ -81,38 +81,38 @@
     }
 }
 
-/// The server at the other end of a connection, and how it is reached.
+/// The server of a connection and the route to it.
 #[derive(Clone, Debug)]
 pub struct ServerRoute {
-    /// The server.
+    /// The server's identity.
     pub server: Name,
-    /// Whether no other daemon is between, so that an answer shows that the server is in reach.
+    /// Whether no other daemon is in between, so that an answer proves that the server is reachable.
     pub is_direct: bool,
-    /// Whether the connection is this daemon's own, be it through another one; else its owner looks after it.
+    /// Whether the connection, direct or tunneled, belongs to this daemon. Otherwise its owner takes care of it.
     pub is_own: bool,
-    /// Where its owner is, if it is another daemon's.
+    /// Address of the owner, if the connection belongs to another daemon.
     pub owner: Option<SocketAddr>,
 }
 
-/// A connection that has been accepted by the server.
+/// A connection that the server has accepted.
 pub struct EndpointConnection<E> {
     dialect: E,
     stream: TcpStream,
     incoming: BytesMut,
     outgoing: BytesMut,
-    /// Commands whose answers have not come whole.
+    /// Commands whose answers have not been read completely.
     unanswered: u32,
-    /// The server's identity, as it was expected and confirmed.
+    /// The server's identity, as confirmed by the server.
     pub server: Name,
-    /// For whom it works, for as long as it stands.
+    /// The principal that the connection works for; it never changes.
     pub principal: Principal,
     /// The server's incarnation as its entry stated it when the connection was opened.
     pub incarnation: Option<ServerIncarnation>,
-    /// What the server's side holds for sessions.
+    /// The session state at the server's side of the connection.
     pub environment: Environment,
-    /// Whether it goes to the server itself, and not through another daemon.
+    /// Whether the connection goes to the server itself and not through another daemon.
     pub is_direct: bool,
-    /// The point that the server showed last.
+    /// The last log point that the server reported.
     pub last_point: Option<LogPoint>,
 }
 
@@ -133,7 +133,7 @@
         EndpointConnection::accept(dialect, stream, true, entry, identity, deadline).await
     }
 
-    /// The same through the daemon at `peer`, for a server that can't be reached from here.
+    /// Connects through a tunnel of the daemon at `peer`, for a server that is not reachable from here.
     pub async fn open_tunneled(
         peer: SocketAddr,
         dialect: &E,
@@ -152,7 +152,7 @@
         EndpointConnection::accept(dialect, stream, false, entry, identity, deadline).await
     }
 
-    /// Tells the server at the other end what is wanted and waits until it agrees.
+    /// Sends the startup message and waits until the server accepts the connection.
     async fn accept(
         dialect: &E,
         stream: TcpStream,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Whether an idle connection is still good: nothing has come and it has not ended.
+    /// Whether an idle connection is still open and has no unexpected input.
     pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         matches!(
@@ -209,13 +209,13 @@
         )
     }
 
-    /// Adds a command to what the next flush sends.
+    /// Appends a command to the data that the next flush sends.
     pub fn queue(&mut self, command: &EndpointCommand) {
         self.dialect.encode(command, &mut self.outgoing);
         self.unanswered += 1;
     }
 
-    /// Sends what is queued, in one write where the socket takes it.
+    /// Sends the queued commands, in one write if the socket takes it.
     pub async fn flush(&mut self, deadline: Instant) -> Result<(), ConnectionLost> {
         let outgoing = self.outgoing.split();
         match timeout_at(deadline.into(), self.stream.write_all(&outgoing)).await {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Reads the whole answer to the oldest command that is not answered yet.
+    /// Reads the complete answer to the oldest unanswered command.
     pub async fn read_answer(&mut self, deadline: Instant) -> Result<Answer, ConnectionLost> {
         let mut rows = Vec::new();
         let mut outcome = None;
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Gives the read buffer's memory back while the connection rests.
+    /// Frees the buffers while the connection is idle.
     pub fn release_buffers(&mut self) {
         self.incoming = BytesMut::new();
         self.outgoing = BytesMut::new();
@@ -292,7 +292,7 @@
     }
 }
 
-/// Makes the answer for a statement that the engine refuses itself.
+/// Returns the answer to a statement that the engine itself refuses.
 pub fn refusal(error: StatementError, state: TransactionState) -> Answer {
     Answer { rows: Vec::new(), outcome: Outcome::Error(error), state, point: None }
 }
