--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -412,7 +412,7 @@
         TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => false,
     };
     let service = Name::from(request.service.as_str());
-    let reached = lent.reached();
+    let route = lent.server_route();
     let known = group.samples.borrow().latest();
     let sent_at = Instant::now();
     // Whether a second server is tried is for the asker to say.
@@ -421,19 +421,19 @@
     match engine.run_watched(group, task, lent, deadline, watch).await {
         Ok(answer) => {
             let took = answer.error_code().is_none().then(|| sent_at.elapsed());
-            engine.note_health(group, &reached.server, outcome_of(answer.error_code()));
-            engine.note_answer(group, &service, &reached, answer.point, took);
+            engine.note_health(group, &route.server, outcome_of(answer.error_code()));
+            engine.note_answer(group, &service, &route, answer.point, took);
             if request.at_primary && answer.error_code().is_none() {
                 let sample = Sample { sent_at, known, point: answer.point };
-                engine.note_handed_over(group, &service, &reached.server, sample);
+                engine.note_handed_over(group, &service, &route.server, sample);
             }
             let state = answer.state;
             (RelayOutcome::Answered(AnswerMessage::of(answer)), Some(state))
         }
         Err((progress, lost)) => {
-            engine.note_loss(group, &service, &reached, &lost);
+            engine.note_loss(group, &service, &route, &lost);
             if progress == Progress::Sent {
-                engine.note_health(group, &reached.server, PathOutcome::Missed);
+                engine.note_health(group, &route.server, PathOutcome::Missed);
             }
             let outcome = match progress {
                 Progress::NotSent => not_sent(NotSent::Unreachable),
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -68,7 +68,7 @@
     // Session values on the connection do not affect a status command.
     let lent = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
     let mut lent = lent.ok()?;
-    let reached = lent.reached();
+    let reached = lent.server_route();
     let task = EndpointTask::internal(TaskKind::Command(command.text.clone()));
     match lent.run(&task, command.deadline).await {
         Ok(answer) => {
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -93,7 +93,7 @@
             let sent = self
                 .send(&group, job, &mut assignment.lent, assignment.min_point, may_run_again)
                 .await;
-            let reached = assignment.lent.reached();
+            let reached = assignment.lent.server_route();
             let server = reached.server.clone();
             self.note_own_health(&group, &reached, &sent);
             let next = match sent {
@@ -156,7 +156,7 @@
         let is_primary_read =
             job.work.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
-            || assignment.lent.reached().is_own
+            || assignment.lent.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
@@ -349,7 +349,7 @@
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        let reached = lent.reached();
+        let reached = lent.server_route();
         let answered = lent.run(task, deadline);
         tokio::pin!(answered);
         tokio::select! {
@@ -404,7 +404,7 @@
         answer: Answer,
         sent_at: Instant,
     ) -> Answer {
-        let reached = assignment.lent.reached();
+        let reached = assignment.lent.server_route();
         assignment.lent.release();
         let service = &job.route.service;
         self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -1,5 +1,5 @@
-//! A connection that one statement or transaction has for itself, and the place of one that is about to be
-//! opened. Either goes back to its pool when it is dropped, however that comes about.
+//! A pooled connection in use by one statement or transaction, and the permit to open one. Both return to the pool
+//! when dropped.
 
 use std::{
     rc::Rc,
@@ -25,44 +25,44 @@
     statement::Answer,
 };
 
-/// The place of a connection that is about to be opened.
+/// Permission to open one connection. Dropped unused, it releases its place in the pool.
 pub struct OpeningPermit<E: EndpointDialect> {
     pub(super) pool: Rc<GroupPool<E>>,
     /// The server to connect to.
     pub entry: Arc<ServerEntry>,
     pub(super) yields: bool,
-    pub(super) settled: bool,
-    /// The permit in the server's queue, where there is one.
+    pub(super) is_opened: bool,
+    /// The permit of the server's queue, if it has one.
     pub(super) permit: Option<QueuePermit>,
-    /// For whom the connection will work.
+    /// The principal that the connection will work for.
     pub principal: Principal,
 }
 
-/// What one statement or transaction has for itself.
+/// A connection in exclusive use by one statement or transaction.
 pub struct PooledConnection<E: EndpointDialect> {
     pub(super) pool: Rc<GroupPool<E>>,
     pub(super) backing: Backing<E>,
     pub(super) acquired_at: Instant,
     pub(super) yields: bool,
-    /// The permit that the connection goes with, and that of the transaction's present statement.
+    /// The queue permit that comes with the connection, and the one of the transaction's current statement.
     pub(super) permit: Option<QueuePermit>,
     pub(super) statement_permit: Option<QueuePermit>,
 }
 
-/// A connection, or the right to use another daemon's.
+/// What a pooled connection runs on.
 pub(super) enum Backing<E: EndpointDialect> {
     /// A connection of this daemon.
     Local(Box<EndpointConnection<E>>),
-    /// One of the daemon that owns the connections to this server.
+    /// A lease on a connection of the daemon that owns them.
     Remote(Lease),
-    /// It was given back.
+    /// Nothing; the connection was released.
     Released,
 }
 
 impl<E: EndpointDialect> OpeningPermit<E> {
-    /// Takes the new connection.
+    /// Turns the permit into the opened connection.
     pub fn opened(mut self, connection: EndpointConnection<E>) -> PooledConnection<E> {
-        self.settled = true;
+        self.is_opened = true;
         let permit = self.permit.take();
         self.pool.pooled(Box::new(connection), self.yields, permit)
     }
@@ -70,7 +70,7 @@
 
 impl<E: EndpointDialect> Drop for OpeningPermit<E> {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.is_opened {
             self.pool.forget_connection(&self.entry.server, self.yields);
         }
     }
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Returns the server and how it is reached.
-    pub fn reached(&self) -> ServerRoute {
+    /// Returns the server and the route to it.
+    pub fn server_route(&self) -> ServerRoute {
         let is_direct = match &self.backing {
             Backing::Local(connection) => connection.is_direct,
             Backing::Remote(_) | Backing::Released => false,
@@ -103,12 +103,12 @@
         matches!(self.backing, Backing::Local(_))
     }
 
-    /// How long it has been lent.
+    /// Returns how long the connection has been in use.
     pub fn held_for(&self) -> Duration {
         self.acquired_at.elapsed()
     }
 
-    /// Runs something on it.
+    /// Runs a task on the connection.
     pub async fn run(
         &mut self,
         task: &EndpointTask,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Waits until the next statement of a transaction may begin, where the server has a queue here.
+    /// Waits until the next statement of a transaction may begin, if the server has a queue at this daemon.
     pub async fn await_permit(&mut self, until: Instant) -> Result<(), QueueRefusal> {
         if let Some(permit) = self.permit.as_ref().filter(|permit| !permit.has_slot()) {
             self.statement_permit = Some(permit.await_next_statement(until).await?);
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    /// Lets others have the slot. Only what the server ran to its end tells how long it takes for a statement.
+    /// Releases the server's slot to others. Only statements that ran to completion count for the service time.
     fn release_slot(
         &mut self,
         task: &EndpointTask,
@@ -150,7 +150,7 @@
         self.statement_permit = None;
     }
 
-    /// Gives it back for the next statement. Whatever is not given back is closed.
+    /// Returns the connection to the pool. A connection that is dropped without this is closed.
     pub fn release(mut self) {
         match std::mem::replace(&mut self.backing, Backing::Released) {
             Backing::Remote(lease) => {
@@ -166,13 +166,14 @@
         }
     }
 
-    /// Gives a connection of this daemon to whoever waits for it, or lets it rest.
+    /// Passes the connection to a waiting request, or returns it to the idle ones.
     fn pass_to_waiter(mut self) {
         if self.is_stale() {
-            // Dropped, it makes room for a connection to the server as it is now.
+            // Dropping it makes room for a connection to the server's current incarnation.
             return;
         }
-        // Whoever has the next permit finds the connection at rest: nothing else runs before this ends.
+        // The next statement with a permit finds the connection idle: no other task runs before this function
+        // returns.
         self.permit = None;
         self.acquired_at = Instant::now();
         if std::mem::take(&mut self.yields) {
@@ -188,8 +189,8 @@
             }
             match waiter.grant.send(Offer::Ready(self)) {
                 Ok(()) => return,
-                Err(Offer::Ready(lent)) => {
-                    self = lent;
+                Err(Offer::Ready(connection)) => {
+                    self = connection;
                     if std::mem::take(&mut self.yields) {
                         self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
                     }
@@ -205,14 +206,14 @@
 }
 
 impl<E: EndpointDialect> PooledConnection<E> {
-    /// Whether the server at the other end has started again since this connection was opened.
+    /// Whether the server has restarted since this connection was opened.
     fn is_stale(&self) -> bool {
         let Backing::Local(connection) = &self.backing else { return false };
         let now = self.pool.entry_of(&connection.server).and_then(|entry| entry.incarnation);
         connection.incarnation != now
     }
 
-    /// Whether whoever has this request may use this very connection.
+    /// Whether a request may use this connection.
     fn may_serve(&self, request: &ConnectionRequest) -> bool {
         match &self.backing {
             Backing::Local(connection) => request.accepts_principal(&connection.principal),
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Ends this connection, so that another one can be opened in its place for who waits and may not use it.
+    /// Closes this connection and lets a waiting request that can't use it open another in its place.
     fn replace_for(mut self, waiter: Waiter<E>) {
         let Backing::Local(connection) = std::mem::replace(&mut self.backing, Backing::Released)
         else {
@@ -228,7 +229,7 @@
         };
         let server = connection.server.clone();
         drop(connection);
-        self.pool.with_slot(&server, |slot| slot.leave(false));
+        self.pool.with_slot(&server, |slot| slot.on_released(false));
         self.pool.offer_opening(&server, waiter);
     }
 }
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -100,7 +100,7 @@
                 return answer;
             }
             let Some(lent) = transaction.lent.as_mut() else { continue };
-            let reached = lent.reached();
+            let reached = lent.server_route();
             let sent_at = Instant::now();
             match self.send(&group, job, lent, None, false).await {
                 Ok(answer) => {
@@ -171,7 +171,7 @@
                 EndpointTask { min_point: assignment.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             attempts.sent += 1;
-            let reached = assignment.lent.reached();
+            let reached = assignment.lent.server_route();
             // At an owner, the wait for a connection comes first.
             let has_queues = group.pool.has_queues();
             let max_wait = if reached.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
@@ -236,7 +236,7 @@
     /// for longer than the primary lease under which it was sent.
     fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         assignment.leader.is_none()
-            || assignment.lent.reached().is_own
+            || assignment.lent.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
