--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -1,7 +1,9 @@
-//! The ways from this daemon to a server, through the owners of its connections or by itself, and which of them work.
+//! The paths from this daemon to a server, directly or through the owners of its connections, and which of them
+//! work.
 //!
-//! A failure is charged to the hop that shows it: the link to an owner keeps its own account ([`crate::relay::links`]), an
-//! owner that can't reach the server says so, and this daemon's own probe tells of its own way.
+//! A failure counts against the hop that reports it: the link to an owner has its own state
+//! ([`crate::relay::links`]), an owner reports that it can't reach the server, and the probe of this daemon covers
+//! the direct path.
 
 use std::{
     collections::HashMap,
@@ -25,51 +27,52 @@
     },
 };
 
-/// Daemons that are asked for a way to a server at a time: enough to find one within a second where half of the fleet has it,
-/// and few connects for a server that is gone.
+/// How many daemons are asked for a tunnel at a time. Finds one within a second where half of the fleet reaches the
+/// server, and limits the connects to a server that is gone.
 const PARALLEL_TUNNEL_TRIES: usize = 4;
 
-/// How often it is looked whether there are daemons to ask: they are known once others have told what they can't reach.
+/// How often the search for a tunnel is repeated. Candidates become known once other daemons have reported which
+/// servers they can't reach.
 const TUNNEL_SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The ways to one server.
+/// The paths to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
     through_owners: HashMap<SocketAddr, Circuit>,
-    /// Whether this daemon's own connects go unanswered.
+    /// Whether connects of this daemon to the server time out.
     is_unreachable: bool,
-    /// Whether a connection was opened through another daemon since then.
+    /// Whether a tunneled connection was opened since then.
     has_tunnel: bool,
-    /// Whether such a one is being looked for.
+    /// Whether a search for a tunnel is running.
     is_searching: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
 }
 
 impl ServerPaths {
-    /// Whether a statement may go through an owner now.
+    /// Whether a statement may be sent through an owner now.
     pub(crate) fn may_pass(&self, owner: &SocketAddr, now: Instant) -> bool {
         self.through_owners.get(owner).is_none_or(|circuit| circuit.may_pass(now))
     }
 
-    /// Notes that a statement goes through an owner.
+    /// Records that a statement is sent through an owner.
     pub(crate) fn on_pass(&mut self, owner: &SocketAddr, now: Instant) {
         if let Some(circuit) = self.through_owners.get_mut(owner) {
             circuit.on_pass(now);
         }
     }
 
-    /// Whether this daemon itself has no way to the server.
+    /// Whether this daemon has no direct path to the server.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.is_unreachable
     }
 
-    /// Whether another daemon is known to have a way to the server.
+    /// Whether a tunnel to the server is known to work.
     pub(crate) fn has_tunnel(&self) -> bool {
         self.has_tunnel
     }
 
-    /// Forgets owners that are none any more.
+    /// Drops the state of daemons that are no longer owners.
     pub(crate) fn keep_only(&mut self, owners: &[SocketAddr]) {
         self.through_owners.retain(|owner, _| owners.contains(owner));
     }
@@ -91,27 +94,27 @@
         change
     }
 
-    /// Notes an answer on a connection of this daemon.
+    /// Records an answer on a connection of this daemon.
     fn on_direct_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
         self.is_unreachable = false;
         self.has_tunnel = false;
     }
 
-    /// Notes that a connect went unanswered that was begun at `asked_at`; an answer since then says more: a server that is
-    /// busy takes long for a new connection.
+    /// Records a failed connect that began at `asked_at`. An answer since then outweighs it, since a busy server is
+    /// slow to accept new connections.
     fn on_unreachable(&mut self, asked_at: Instant) {
         self.is_unreachable = self.answered_at.is_none_or(|at| at < asked_at);
     }
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Whether ways that do not work are set aside here.
+    /// Whether paths that do not work are avoided here.
     pub(super) fn has_circuits(&self) -> bool {
         self.overload.circuits && self.state.borrow().idle_policy != IdlePolicy::KeepOne
     }
 
-    /// Sends those away that wait for a connection to a server which this daemon has no way to.
+    /// Fails the waiting statements that can only run on a server which this daemon can't reach.
     fn fail_waiters_for(&self, server: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Notes that a server answered this daemon itself, be it only a connect.
+    /// Records that a server answered this daemon directly, even if only to a connect.
     pub(crate) fn on_direct_answer(&self, server: &str) {
         self.with_slot(server, |slot| slot.paths.on_direct_answer(Instant::now()));
     }
@@ -134,7 +137,7 @@
         self.with_slot(server, |slot| slot.paths.is_unreachable).unwrap_or(false)
     }
 
-    /// Whether a search for a detour is to begin: there is need of one, and none goes on.
+    /// Marks the search for a tunnel as running; `Some(true)` if one is needed and none was running.
     fn begin_tunnel_search(&self, server: &str) -> Option<bool> {
         self.with_slot(server, |slot| {
             slot.paths.is_unreachable && !std::mem::replace(&mut slot.paths.is_searching, true)
@@ -145,20 +148,20 @@
         self.with_slot(server, |slot| slot.paths.is_searching = false);
     }
 
-    /// Notes that a request of this daemon's own callers is a try, where the server's circuit is not closed.
+    /// Records an attempt of this daemon's own callers, which counts as a probe if the server's circuit breaker is
+    /// not closed.
     pub(super) fn note_attempt(&self, index: usize, request: &ConnectionRequest) {
         if !request.is_forwarded {
             self.state.borrow_mut().servers[index].health.on_pass(Instant::now());
         }
     }
 
-    /// Notes whether a connection to a server came about through another daemon.
+    /// Records whether a connection to a server could be opened through a tunnel.
     pub(crate) fn on_tunnel(&self, server: &str, is_open: bool) {
         self.with_slot(server, |slot| slot.paths.has_tunnel = is_open);
     }
 
-    /// Returns the daemons through which a way to a server is to be looked for: the next few, if it is wanted here and nothing
-    /// leads there.
+    /// Returns the next few daemons to try a tunnel through, if one is needed and none works yet.
     pub(crate) fn tunnels_to_try(&self, server: &str) -> Vec<SocketAddr> {
         let now = Instant::now();
         let to_try = self.with_slot(server, |slot| {
@@ -177,7 +180,7 @@
         to_try.unwrap_or_default()
     }
 
-    /// Notes that a server does not answer this daemon's connects; who waits for a connection to it hears so at once.
+    /// Records that a server does not answer connects of this daemon, and fails the statements that wait for it.
     pub(crate) fn on_unreachable(&self, server: &str, asked_at: Instant) {
         if !self.has_circuits() {
             return;
@@ -188,8 +191,7 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Looks for a daemon with a way to a server that this one has none to, for as long as that lasts and with no request
-    /// waiting for it.
+    /// Searches in the background for a tunnel to a server for as long as this daemon can't reach it.
     pub(crate) fn search_tunnel(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -210,7 +212,7 @@
         });
     }
 
-    /// Ends when one is found or nothing is left to try.
+    /// Returns when a tunnel works or no daemon is left to try.
     async fn find_tunnel(&self, group: &Group<E>, service: &Name, server: &Name) {
         loop {
             let peers = group.pool.tunnels_to_try(server);
@@ -226,7 +228,7 @@
                         log::debug!(
                             event = "no_detour", server = &**server,
                             peer = peer.to_string().as_str(), why = lost.to_string().as_str();
-                            "another daemon has no way to a server either"
+                            "another daemon has no path to the server either"
                         );
                         group.pool.on_tunnel_failed(server, peer);
                     }
@@ -236,43 +238,43 @@
                 group.pool.on_tunnel(server, true);
                 log::info!(
                     event = "detour_found", service = &**service, server = &**server;
-                    "a server out of reach can be reached through another daemon"
+                    "an unreachable server can be reached through another daemon"
                 );
                 return;
             }
         }
     }
 
-    /// Takes note that an owner's server answered.
-    pub(crate) fn note_path_answered(&self, pool: &GroupPool<E>, reached: &ServerRoute) {
-        self.note_path_outcome(pool, reached, PathOutcome::Answered);
+    /// Records that a server answered through an owner.
+    pub(crate) fn note_path_answered(&self, pool: &GroupPool<E>, route: &ServerRoute) {
+        self.note_path_outcome(pool, route, PathOutcome::Answered);
     }
 
-    /// Takes note of why a statement that was handed to an owner got no answer.
+    /// Records why a statement that was forwarded to an owner got no answer.
     pub(crate) fn note_path_lost(
         &self,
         pool: &GroupPool<E>,
-        reached: &ServerRoute,
+        route: &ServerRoute,
         lost: &ConnectionLost,
     ) {
         match lost {
             ConnectionLost::NotGranted(NotSent::Unreachable) => {
-                self.note_path_outcome(pool, reached, PathOutcome::Refused);
+                self.note_path_outcome(pool, route, PathOutcome::Refused);
             }
             ConnectionLost::NotGranted(NotSent::SetAside) => {
-                pool.with_slot(&reached.server, |slot| slot.note_set_aside());
+                pool.with_slot(&route.server, |slot| slot.note_circuit_open());
             }
             _ => {}
         }
     }
 
-    fn note_path_outcome(&self, pool: &GroupPool<E>, reached: &ServerRoute, outcome: PathOutcome) {
-        let Some(owner) = reached.owner.filter(|_| self.settings.overload.circuits) else { return };
+    fn note_path_outcome(&self, pool: &GroupPool<E>, route: &ServerRoute, outcome: PathOutcome) {
+        let Some(owner) = route.owner.filter(|_| self.settings.overload.circuits) else { return };
         let now = Instant::now();
         let change =
-            pool.with_slot(&reached.server, |slot| slot.paths.on_outcome(owner, outcome, now));
+            pool.with_slot(&route.server, |slot| slot.paths.on_outcome(owner, outcome, now));
         if let Some(Some(change)) = change {
-            self.log_circuit(&reached.server, owner, change);
+            self.log_circuit(&route.server, owner, change);
         }
     }
 
@@ -285,7 +287,7 @@
         log::info!(
             event = "circuit", hop = "owner_to_server", server = &**server,
             owner = owner.to_string().as_str(), state = state;
-            "the circuit of a way to a server changed"
+            "the circuit breaker of a path to a server changed state"
         );
     }
 }
