--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -1,7 +1,8 @@
-//! This daemon's part in keeping the limits of client accounts: whom it votes for, and whether it is the keeper itself.
+//! This daemon's part in enforcing the limits of client accounts: its votes, and its candidacy for limit
+//! coordinator.
 //!
-//! The rules are those of the `limits` crate; here they meet clocks, members and links. What an operation takes of a limit
-//! stands in [`super::admission`]; `docs/ACCOUNTS.md` has the guarantee and its proof.
+//! The rules are in the `limits` crate; this module connects them to clocks, members and links.
+//! [`super::admission`] consumes the quota. `docs/ACCOUNTS.md` has the guarantee and its proof.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,53 +30,52 @@
     },
 };
 
-/// How long a vote binds its voter: three rounds, so that a lost one costs nothing, and as long as an account waits at
-/// the most where the keeper died.
+/// How long a vote binds its voter: three rounds, so that a lost one does no harm. Also the longest wait of an
+/// account after the coordinator died.
 const VOTE_DURATION: Duration = Duration::from_millis(600);
-/// How long it counts for the candidate: less, by far more than two steady clocks drift apart in a second.
+/// How long a vote counts for the candidate. The difference covers the drift between two clocks.
 const VOTE_COUNTED_FOR: Duration = Duration::from_millis(570);
-/// How often votes are asked for.
+/// Interval between two requests for votes.
 const VOTE_ROUND_INTERVAL: Duration = Duration::from_millis(190);
-/// How long an answer to a candidate may take: a round trip between zones, on busy hosts.
+/// Timeout of a vote request: a round trip between zones, on busy hosts.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(180);
-/// How long nothing may be heard of a keeper before the first in order asks for votes: two rounds and a little.
+/// How long no coordinator may be heard of before the first voter in order campaigns: a little more than two
+/// rounds.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(420);
-/// The same for a daemon that has heard of none since it started, so that all accounts are served soon after all
-/// daemons were started anew: as long as the members must have been the same.
+/// The same for a daemon that has heard of no coordinator since it started, so that accounts are served soon after
+/// all daemons restart together.
 const STARTUP_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long the members must have been the same before random_voter becomes keeper by their votes: while a fleet starts for
-/// the first time each daemon sees more of them from moment to moment.
+/// How long the set of voters must be unchanged before their votes elect a coordinator: while a fleet starts, each
+/// daemon sees more and more members.
 const STABLE_MEMBERS_FOR: Duration = Duration::from_millis(200);
-/// How long a candidate without a quorum goes on before it lets others have its voters.
+/// How long a candidate campaigns without a quorum before it frees its voters.
 const CANDIDACY_LIMIT: Duration = Duration::from_millis(1_200);
-/// The same for one that lends its part of the limits: longer, since its voters are served meanwhile, and not for good, since the
-/// others may be back without a quorum for either.
+/// The same for a candidate that grants its part of the limits: longer, since it serves its voters meanwhile.
 const PARTIAL_CANDIDACY_LIMIT: Duration = Duration::from_millis(5_000);
-/// How often it is looked whether random_voter has to become the keeper.
+/// How often it is checked whether this daemon should campaign.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The same where no account has a limit.
+/// The same while no account has a limit.
 const UNLIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The times of the election.
 const fn times(window: Duration) -> ElectionTimes {
     ElectionTimes { binds: VOTE_DURATION, counts: VOTE_COUNTED_FOR, window }
 }
 
-/// The members that vote, and since when they are the same.
+/// The members that vote, and since when this set is unchanged.
 #[derive(Default)]
 struct Electorate {
-    /// Best first; the same on every daemon that knows the same members.
+    /// In order of rank, which is the same on every daemon that knows the same members.
     hosts: Vec<Name>,
     since: Option<Instant>,
-    /// The members that they were found among.
+    /// All members, from which the voters were selected.
     members: Arc<BTreeMap<Name, SocketAddr>>,
 }
 
-/// Members that vote at the most. Each asks all of them while it wants to be the keeper: with 300 that asked 300 the daemons of a
-/// fleet did nothing else. So many still have a quorum among them when a third is cut off.
+/// Maximum number of voters. Bounds the traffic, since each candidate asks all of them; large enough that a quorum
+/// remains when a third is cut off.
 const MAX_VOTERS: usize = 75;
 
-/// This daemon's part in the limits.
+/// This daemon's state in the election, and the quota that it holds or grants.
 pub(crate) struct Limits {
     rule: WindowRule,
     life: u64,
@@ -88,11 +88,11 @@
     member_since: Cell<Option<Instant>>,
     electorate: RefCell<Electorate>,
     ledger: RefCell<Ledger>,
-    pub(super) quota: RefCell<HashMap<Name, Rc<AccountQuota>>>,
+    pub(super) quotas: RefCell<HashMap<Name, Rc<AccountQuota>>>,
 }
 
 impl Limits {
-    /// Makes that of a daemon that starts now.
+    /// Creates the state of a daemon that starts now.
     pub(crate) fn new(rule: WindowRule) -> Limits {
         let now = Instant::now();
         Limits {
@@ -107,26 +107,26 @@
             member_since: Cell::new(None),
             electorate: RefCell::default(),
             ledger: RefCell::default(),
-            quota: RefCell::default(),
+            quotas: RefCell::default(),
         }
     }
 
-    /// Returns whom this daemon takes for the keeper.
-    pub(super) fn keeper(&self, now: Instant) -> Option<Name> {
+    /// Returns the current coordinator, if this daemon knows one.
+    pub(super) fn coordinator(&self, now: Instant) -> Option<Name> {
         self.voter.borrow().keeper(now).cloned()
     }
 
-    /// Notes that a daemon is the keeper, as it or another one has told.
-    pub(super) fn note_keeper(&self, host: Name, now: Instant) {
+    /// Records a daemon as the coordinator.
+    pub(super) fn note_coordinator(&self, host: Name, now: Instant) {
         self.voter.borrow_mut().note_keeper(host, now);
     }
 
-    /// Whether anything was heard of a keeper since this daemon started, or it asks for votes itself.
+    /// Whether a coordinator was heard of since this daemon started, or it is a candidate itself.
     pub(super) fn has_seen_coordinator(&self) -> bool {
         self.coordinator_seen_at.get().is_some() || self.candidacy.borrow().is_some()
     }
 
-    /// Lends what there is of an account's limit, if this daemon is the keeper or asks to be.
+    /// Grants quota from an account's limit, if this daemon is the coordinator or a candidate with enough votes.
     pub(super) fn grant(
         &self,
         account: &Name,
@@ -145,38 +145,37 @@
         candidacy.as_ref().map_or(Standing::None, |it| it.standing(members, now))
     }
 
-    fn is_keeper(&self, now: Instant) -> bool {
+    fn is_coordinator(&self, now: Instant) -> bool {
         self.candidacy.borrow().as_ref().is_some_and(|candidacy| candidacy.is_keeper(now))
     }
 
-    /// Answers a candidate.
-    fn vote(&self, request: &VoteRequest, beliefs: &ControlView, now: Instant) -> Vote {
-        let vote = self.voter.borrow_mut().vote(request, beliefs.is_member(now), now);
+    /// Votes on a candidate's request.
+    fn vote(&self, request: &VoteRequest, view: &ControlView, now: Instant) -> Vote {
+        let vote = self.voter.borrow_mut().vote(request, view.is_member(now), now);
         if request.life == self.life {
             return vote;
         }
         if request.ends {
-            // The first in order asks for votes at once.
+            // Expires the timeout, so that the first voter in order campaigns at once.
             self.coordinator_seen_at.set(now.checked_sub(COORDINATOR_TIMEOUT));
         } else if vote.is_bound {
             self.coordinator_seen_at.set(Some(now));
-        } else if request.is_keeper && !self.is_keeper(now) {
-            // Another one has a quorum: whoever goes on to ask for votes only keeps them from it.
+        } else if request.is_keeper && !self.is_coordinator(now) {
+            // Another candidate has a quorum; campaigning on would only take votes from it.
             self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
         vote
     }
 
-    /// Leaves the campaign to another candidate that comes first in the order that all daemons share. After a partition
-    /// many ask for votes at once, and as long as each has some of them nobody has enough.
+    /// Gives up the campaign in favor of a candidate with a better rank. After a partition many daemons campaign at
+    /// once, and none reaches a quorum while each has some votes.
     fn yield_to(&self, other: &Name, own: &Name, now: Instant) {
         let members = self.electorate.borrow().hosts.len();
         let has_chance = |it: &Candidacy| it.is_keeper(now) || it.has_many_votes(members, now);
         let is_candidate = self.candidacy.borrow().as_ref().is_some_and(|it| !has_chance(it));
-        let place_of =
-            |host: &Name| self.electorate.borrow().hosts.iter().position(|it| it == host);
-        if is_candidate && gives_way(place_of(own), place_of(other)) {
+        let rank_of = |host: &Name| self.electorate.borrow().hosts.iter().position(|it| it == host);
+        if is_candidate && gives_way(rank_of(own), rank_of(other)) {
             self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
@@ -188,28 +187,28 @@
             electorate.since.is_some_and(|at| now.duration_since(at) >= STABLE_MEMBERS_FOR);
         let mut candidacy = self.candidacy.borrow_mut();
         let Some(candidacy) = candidacy.as_mut() else { return };
-        let was_keeper = candidacy.is_keeper(now);
+        let was_coordinator = candidacy.is_keeper(now);
         candidacy.count(ballot);
-        if was_keeper || is_settled {
+        if was_coordinator || is_settled {
             candidacy.settle(&electorate.hosts, now);
         }
-        if candidacy.is_keeper(now) != was_keeper {
+        if candidacy.is_keeper(now) != was_coordinator {
             log::info!(
-                event = "limits_keeper", keeps = !was_keeper, members = electorate.hosts.len();
-                "whether this daemon keeps the accounts' limits changed"
+                event = "limits_keeper", keeps = !was_coordinator, members = electorate.hosts.len();
+                "this daemon became or ceased to be the limit coordinator"
             );
         }
     }
 
-    /// Takes over who the members are.
-    fn note_members(&self, beliefs: &ControlView, now: Instant) {
+    /// Applies the current members.
+    fn note_members(&self, view: &ControlView, now: Instant) {
         let mut electorate = self.electorate.borrow_mut();
-        if Arc::ptr_eq(&beliefs.members, &electorate.members) {
+        if Arc::ptr_eq(&view.members, &electorate.members) {
             return;
         }
-        electorate.members = beliefs.members.clone();
+        electorate.members = view.members.clone();
         let ranked =
-            routing::rank_hosts(VOTER_RANKING_KEY, beliefs.members.keys().map(|host| &**host));
+            routing::rank_hosts(VOTER_RANKING_KEY, view.members.keys().map(|host| &**host));
         let hosts: Vec<Name> = ranked.into_iter().take(MAX_VOTERS).map(Name::from).collect();
         if hosts != electorate.hosts {
             electorate.hosts = hosts;
@@ -217,7 +216,7 @@
         }
     }
 
-    /// Returns a voter that may know who the keeper is; another one each time.
+    /// Returns a random voter other than this daemon, which may know the coordinator.
     pub(super) fn random_voter(&self, own: &Name) -> Option<Name> {
         let electorate = self.electorate.borrow();
         let others: Vec<&Name> = electorate.hosts.iter().filter(|host| *host != own).collect();
@@ -227,7 +226,7 @@
         Some(others[rand::rng().random_range(0..others.len())].clone())
     }
 
-    /// Returns where the voters other than this daemon are asked.
+    /// Returns the voters other than this daemon and their addresses.
     fn others(&self, own: &Name) -> Vec<(Name, SocketAddr)> {
         let electorate = self.electorate.borrow();
         let others = electorate.hosts.iter().filter(|host| *host != own);
@@ -242,7 +241,7 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Answers a candidate.
+    /// Votes on a candidate's request.
     pub(crate) fn vote(&self, request: &VoteRequest) -> Vote {
         let now = Instant::now();
         let vote = self.limits.vote(request, &self.control_view(), now);
@@ -252,14 +251,14 @@
         vote
     }
 
-    /// Takes part in the election of the keeper for as long as the daemon runs.
+    /// Takes part in the election of the coordinator for as long as the daemon runs.
     pub async fn run_limit_election(self: Rc<Self>) {
         loop {
-            let beliefs = self.control_view();
-            if !beliefs.has_limits() {
+            let view = self.control_view();
+            if !view.has_limits() {
                 self.limits.resign();
-                // Before the first configuration nobody knows whether there are limits.
-                let pause = if beliefs.is_ready() {
+                // Before the first configuration it is not known whether there are limits.
+                let pause = if view.is_ready() {
                     UNLIMITED_CHECK_INTERVAL
                 } else {
                     ELECTION_CHECK_INTERVAL
@@ -268,10 +267,10 @@
                 continue;
             }
             let now = Instant::now();
-            self.limits.note_members(&beliefs, now);
-            let pause = match self.should_campaign(&beliefs, now) {
+            self.limits.note_members(&view, now);
+            let pause = match self.should_campaign(&view, now) {
                 true => {
-                    self.ask_for_votes(&beliefs, now);
+                    self.ask_for_votes(&view, now);
                     VOTE_ROUND_INTERVAL
                 }
                 false => ELECTION_CHECK_INTERVAL,
@@ -280,15 +279,15 @@
         }
     }
 
-    /// Whether this daemon is to ask for votes now.
-    fn should_campaign(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) -> bool {
+    /// Whether this daemon should ask for votes now.
+    fn should_campaign(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) -> bool {
         let limits = &self.limits;
         let own = &self.settings.host;
-        if self.is_stopping() && limits.is_keeper(now) {
+        if self.is_stopping() && limits.is_coordinator(now) {
             limits.resign();
-            self.release_voters(beliefs, now);
+            self.release_voters(view, now);
         }
-        if self.is_stopping() || !beliefs.is_member(now) || !beliefs.members.contains_key(own) {
+        if self.is_stopping() || !view.is_member(now) || !view.members.contains_key(own) {
             limits.resign();
             limits.member_since.set(None);
             return false;
@@ -302,7 +301,7 @@
                 _ => CANDIDACY_LIMIT,
             };
             let is_expired = now.duration_since(limits.began_at.get()) > candidacy_limit;
-            if limits.is_keeper(now) {
+            if limits.is_coordinator(now) {
                 limits.began_at.set(now);
             } else if is_expired {
                 limits.resign();
@@ -315,13 +314,13 @@
         if limits.no_campaign_until.get().is_some_and(|until| now < until) {
             return false;
         }
-        let place = limits.electorate.borrow().hosts.iter().position(|host| host == own);
-        let Some(place) = place else { return false };
+        let rank = limits.electorate.borrow().hosts.iter().position(|host| host == own);
+        let Some(rank) = rank else { return false };
         let (since, silence) = match limits.coordinator_seen_at.get() {
             Some(at) => (at, COORDINATOR_TIMEOUT),
             None => (member_since, STARTUP_COORDINATOR_TIMEOUT),
         };
-        if now.duration_since(since) < campaign_after(silence, place) {
+        if now.duration_since(since) < campaign_after(silence, rank) {
             return false;
         }
         let term = limits.next_term.get();
@@ -330,27 +329,27 @@
         true
     }
 
-    /// Tells every voter that this daemon lends nothing more, so that another one need not wait for its votes to end: the
-    /// daemons of a fleet that is restarted in turn stop one after the other, and each may be the keeper.
-    fn release_voters(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
+    /// Tells every voter that this daemon grants no more quota, so that a successor need not wait until its votes
+    /// expire. In a rolling restart each daemon may be the coordinator when it stops.
+    fn release_voters(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = &self.settings.host;
         let host = own.clone();
         let request = VoteRequest { host, life: self.limits.life, is_keeper: false, ends: true };
-        self.limits.vote(&request, beliefs, now);
+        self.limits.vote(&request, view, now);
         for (host, address) in self.limits.others(own) {
             self.ask_for_vote(host, address, &request, now);
         }
     }
 
-    /// Asks every voter for its vote; answers are counted as they come.
-    fn ask_for_votes(self: &Rc<Self>, beliefs: &Arc<ControlView>, now: Instant) {
+    /// Asks every voter for its vote; the answers are counted as they arrive.
+    fn ask_for_votes(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = self.settings.host.clone();
-        let is_keeper = self.limits.is_keeper(now);
+        let is_keeper = self.limits.is_coordinator(now);
         let request =
             VoteRequest { host: own.clone(), life: self.limits.life, is_keeper, ends: false };
-        let vote = self.limits.vote(&request, beliefs, now);
+        let vote = self.limits.vote(&request, view, now);
         if !vote.is_bound {
-            // It has voted for random_voter else a moment ago.
+            // This daemon has voted for another candidate.
             self.limits.resign();
             return;
         }
@@ -381,5 +380,5 @@
     }
 }
 
-/// What the members are ranked for where one of them is to keep the limits.
+/// Key by which the members are ranked as voters.
 const VOTER_RANKING_KEY: &str = "account limits";
