--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -1,4 +1,4 @@
-//! Which servers answer this daemon, and what the control thread is told of it.
+//! Detects which servers this daemon reaches, and reports it to the control thread.
 
 use std::{
     rc::Rc,
@@ -21,18 +21,17 @@
     statement::ErrorCode,
 };
 
-/// How long reads must have been refused for want of replicas before the control thread is told. A planned
-/// change of primary costs twice as much, once; without one the reads of the group go on being refused for
-/// as long as its replicas are behind, and half of a second more of that costs more than a needless change.
+/// How long reads must have been refused because replicas lag before it is reported to the control thread. Balances
+/// the cost of a needless change of primary against that of further refusals.
 const BEHIND_REPORT_AFTER: Duration = Duration::from_millis(500);
-/// Refusals further apart than this are not one shortage.
+/// Refusals that are further apart are not counted as one period.
 const BEHIND_GAP: Duration = Duration::from_millis(1_000);
-/// How long after a server was found to be out of reach it is asked again.
+/// Interval between two probes of an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a server may take to accept a connection that only asks whether it is alive.
+/// How long a server may take to accept a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What is known of a server that was asked whether it is alive.
+/// State of a running probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeState {
     Probing,
@@ -40,39 +39,39 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Takes what is known of a server after it answered.
+    /// Records an answer of a server.
     pub fn note_answer(
         &self,
         group: &Group<E>,
         service: &Name,
-        from: &ServerRoute,
+        route: &ServerRoute,
         point: Option<LogPoint>,
         took: Option<Duration>,
     ) {
-        group.pool.on_answer(&from.server, point, took);
-        self.note_path_answered(&group.pool, from);
-        if from.is_direct {
-            self.note_reachable(group, service, &from.server);
+        group.pool.on_answer(&route.server, point, took);
+        self.note_path_answered(&group.pool, route);
+        if route.is_direct {
+            self.note_reachable(group, service, &route.server);
         }
     }
 
-    /// Takes note that a connection was lost, and finds out whether the server still lives.
+    /// Records a lost connection and probes the server.
     pub fn note_loss(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         service: &Name,
-        reached: &ServerRoute,
+        route: &ServerRoute,
         lost: &ConnectionLost,
     ) {
-        let server = &reached.server;
-        if !reached.is_own {
-            // Its owner finds out what has become of the server.
+        let server = &route.server;
+        if !route.is_own {
+            // The owner of the connection probes the server.
             log::info!(
                 event = "handed_over_lost", service = &**service, server = &**server,
                 why = lost.to_string().as_str();
-                "a statement that was handed to an owner got no answer of its server"
+                "a statement that was forwarded to an owner got no answer"
             );
-            self.note_path_lost(&group.pool, reached, lost);
+            self.note_path_lost(&group.pool, route, lost);
             return;
         }
         if is_server_failure(lost) {
@@ -89,7 +88,7 @@
         self.probe(group, service, server);
     }
 
-    /// Asks a server that has been silent whether it is alive, once at a time.
+    /// Starts to probe a server, unless a probe is running.
     pub fn probe(self: &Rc<Self>, group: &Rc<Group<E>>, service: &Name, server: &Name) {
         if group.probes.borrow().contains_key(server) {
             return;
@@ -106,26 +105,25 @@
                 }
                 engine.note_unreachable(&group, &service, &server, asked_at);
                 engine.search_tunnel(&group, &service, &server);
-                // An error means that the time has passed, which is what it is for.
+                // A timeout starts the next probe.
                 let _ = timeout(PROBE_INTERVAL, group.probe_now.notified()).await;
                 if group.pool.entry_of(&server).is_none() {
                     break;
                 }
             }
-            // Of a server that is no longer listed nothing more is said.
+            // Clears the state. It does not matter for a server that is no longer listed.
             engine.note_reachable(&group, &service, &server);
         });
     }
 
     async fn is_alive(&self, entry: &ServerEntry) -> bool {
         let dialect = &self.endpoint_dialect;
-        let introduction = self.introduce(&Principal::Daemon);
-        let opened = EndpointConnection::open(dialect, entry, introduction, PROBE_TIMEOUT).await;
+        let identity = self.introduce(&Principal::Daemon);
+        let opened = EndpointConnection::open(dialect, entry, identity, PROBE_TIMEOUT).await;
         matches!(opened, Ok(_) | Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)))
     }
 
-    /// Takes note that a read was refused; if replicas have been behind for long, the control thread is
-    /// told.
+    /// Records a read that was refused because replicas lag; reports it to the control thread if this lasts.
     pub fn note_replicas_behind(&self, group: &Group<E>, service: &Name, primary: &Name) {
         if !group.pool.are_others_lagging(primary) {
             return;
@@ -138,12 +136,12 @@
         group.lagging_refusals.set(Some((since, now)));
         if now.duration_since(since) >= BEHIND_REPORT_AFTER {
             let observation = Observation::ReplicasBehind { service: service.clone() };
-            // A full ring means that the control thread has enough to go by.
+            // A full channel already holds enough observations.
             let _ = self.observations.try_send(observation);
         }
     }
 
-    /// Whether a server was found to be out of reach.
+    /// Whether the last probe of a server failed.
     pub fn is_unreachable(&self, group: &Group<E>, server: &Name) -> bool {
         group.probes.borrow().get(server) == Some(&ProbeState::Unreachable)
     }
@@ -155,11 +153,11 @@
         if before != Some(ProbeState::Unreachable) {
             log_reachability(service, server, false);
         }
-        // Told again with each try, since the control thread goes by when the last one was.
+        // Reported for each probe, since the control thread uses the time of the last one.
         self.observe(service, server, false, asked_at);
     }
 
-    /// Asks a server at once that was found to be out of reach a while ago, or is suspected elsewhere.
+    /// Probes a server at once, because it was unreachable a while ago or another daemon suspects it.
     pub(crate) fn probe_at_once(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -190,13 +188,13 @@
             reachable,
             asked_at,
         };
-        // It is told once for each change, so where the ring is full it waits for room, behind those that
-        // wait already; dropped, the control thread would go by the state before for as long as this lasts.
+        // An observation is sent once for each change, so it must not be lost: with a full channel a task waits for
+        // room and keeps the order.
         if let Err(flume::TrySendError::Full(observation)) = self.observations.try_send(observation)
         {
             let observations = self.observations.clone();
             tokio::task::spawn_local(async move {
-                // An error means that the control thread has ended, and with it the daemon.
+                // An error means that the control thread has ended, and the daemon with it.
                 let _ = observations.send_async(observation).await;
             });
         }
