--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of one server, and a statement's permit in it, which gives itself back however it ends.
+//! The statement queue of one server, and the permit by which a statement runs there.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,35 +11,35 @@
 use overload::{LoadReport, Next, Offered, RANKS, Rank, Request, Room, Stage, Ticket, WorkQueue};
 use tokio::sync::oneshot;
 
-/// Why a statement did not begin. Nothing of it was run.
+/// Why a statement was refused. Nothing of it was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueRefusal {
-    /// More urgent work and that of others leave no room in time.
+    /// More urgent work or the work of other accounts leaves no room in time.
     Overloaded {
-        /// When asking again may help.
+        /// How long to wait before retrying.
         retry_delay: Duration,
     },
-    /// It waited for as long as it may.
+    /// The statement reached its deadline in the queue.
     TooLate,
 }
 
-/// How often a server's queue tells that it refuses statements.
+/// Minimum interval between two log records about refused statements.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-type Answer = Result<QueuePermit, QueueRefusal>;
+type PermitResult = Result<QueuePermit, QueueRefusal>;
 
 /// The queue of one server at this daemon.
 pub struct ServerQueue {
     work: RefCell<WorkQueue>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<PermitResult>>>,
     server: Name,
     logged_at: Cell<Option<Instant>>,
-    /// Statements that did not begin, since that was told.
+    /// Refused statements since the last log record.
     refusals: Cell<u64>,
 }
 
 impl ServerQueue {
-    /// Makes an empty one.
+    /// Creates an empty queue.
     pub fn new(server: Name, room: Room) -> Rc<ServerQueue> {
         Rc::new(ServerQueue {
             work: RefCell::new(WorkQueue::new(room)),
@@ -50,14 +50,14 @@
         })
     }
 
-    /// Takes over what may be used of the server.
+    /// Sets how much of the server may be used.
     pub fn set_room(self: &Rc<Self>, room: Room) {
         self.work.borrow_mut().set_room(room);
-        self.serve();
+        self.start_waiting();
     }
 
-    /// Waits until a statement may begin. Whoever stops waiting is taken out.
-    pub async fn await_permit(self: &Rc<Self>, request: Request) -> Answer {
+    /// Waits until a statement may run. Dropping the future withdraws the statement.
+    pub async fn await_permit(self: &Rc<Self>, request: Request) -> PermitResult {
         let answer = self.enqueue(&request).await;
         if answer.is_err() {
             self.log_refusals(&request);
@@ -65,7 +65,7 @@
         answer
     }
 
-    async fn enqueue(self: &Rc<Self>, request: &Request) -> Answer {
+    async fn enqueue(self: &Rc<Self>, request: &Request) -> PermitResult {
         let offered = self.work.borrow_mut().offer(request.clone(), Instant::now());
         match offered {
             Offered::Begin => Ok(QueuePermit::new(self, request.clone())),
@@ -76,7 +76,7 @@
                 let (answer, answered) = oneshot::channel();
                 self.waiting.borrow_mut().insert(ticket, answer);
                 if let Some(displaced) = displaced {
-                    // It was the last in order, so all that wait go before it.
+                    // The displaced statement had the lowest rank.
                     let last = Rank::ALL[RANKS - 1];
                     let retry_delay = self.work.borrow().expected_wait(last, Instant::now());
                     self.answer(displaced, Err(QueueRefusal::Overloaded { retry_delay }));
@@ -86,18 +86,18 @@
         }
     }
 
-    /// Returns the load of the server, as this daemon sees it.
+    /// Returns the load of the server as this daemon sees it.
     pub fn report(&self) -> LoadReport {
         self.work.borrow().report(Instant::now())
     }
 
-    /// Returns how many statements wait or run.
+    /// Returns the number of statements that wait or run.
     pub fn outstanding(&self) -> u32 {
         let work = self.work.borrow();
         work.running() + work.waiting() as u32
     }
 
-    /// Tells operators whose statements did not begin, and what was before them; bounded, since many don't at a time.
+    /// Logs refused statements and the load of the queue, with a limited rate.
     fn log_refusals(&self, request: &Request) {
         let now = Instant::now();
         self.refusals.set(self.refusals.get() + 1);
@@ -112,16 +112,16 @@
             stage = format!("{:?}", request.stage).as_str(), waiting = work.waiting(),
             running = work.running(), limit = work.limit(),
             come_back_ms = work.expected_wait(request.rank, now).as_millis() as u64;
-            "a server's queue has no room in time for some statements"
+            "a server's queue refused statements for which it has no room in time"
         );
     }
 
     async fn await_answer(
         self: &Rc<Self>,
         ticket: Ticket,
-        answered: oneshot::Receiver<Answer>,
+        answered: oneshot::Receiver<PermitResult>,
         until: Instant,
-    ) -> Answer {
+    ) -> PermitResult {
         let _withdraws = WithdrawOnDrop { queue: self, ticket };
         match tokio::time::timeout_at(until.into(), answered).await {
             Ok(Ok(answer)) => answer,
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Lets those begin that can.
-    fn serve(self: &Rc<Self>) {
+    /// Starts the waiting statements for which there is room.
+    fn start_waiting(self: &Rc<Self>) {
         loop {
             let next = self.work.borrow_mut().next(Instant::now());
             match next {
@@ -143,14 +143,14 @@
         }
     }
 
-    /// Tells who waits. A permit that nobody takes any more gives itself back as it is dropped.
-    fn answer(&self, ticket: Ticket, answer: Answer) {
+    /// Answers a waiting statement. If nobody waits for the answer any more, dropping the permit releases it.
+    fn answer(&self, ticket: Ticket, answer: PermitResult) {
         let waiting = self.waiting.borrow_mut().remove(&ticket);
         drop(waiting.map(|waiting| waiting.send(answer)));
     }
 }
 
-/// Takes a statement out of the queue when its asker stops waiting.
+/// Withdraws a statement from the queue when the waiting future is dropped.
 struct WithdrawOnDrop<'a> {
     queue: &'a Rc<ServerQueue>,
     ticket: Ticket,
@@ -163,7 +163,7 @@
     }
 }
 
-/// The right of one statement to be inside the server, and that of its transaction to a connection.
+/// Permission to run one statement in the server and, for a transaction, to hold a connection. Released on drop.
 pub struct QueuePermit {
     queue: Rc<ServerQueue>,
     request: Request,
@@ -176,23 +176,23 @@
         QueuePermit { queue: queue.clone(), request, began_at: Instant::now(), has_slot: true }
     }
 
-    /// Whether its statement is inside the server.
+    /// Whether the statement occupies a slot of the server.
     pub fn has_slot(&self) -> bool {
         self.has_slot
     }
 
-    /// Gives the slot to others; the connection stays. `has_run` says that the statement ran to its end.
+    /// Releases the slot but not the connection. `has_run` says whether the statement ran to completion.
     pub fn release_slot(&mut self, has_run: bool) {
         if !std::mem::take(&mut self.has_slot) {
             return;
         }
         let took = has_run.then(|| self.began_at.elapsed());
         self.queue.work.borrow_mut().on_finished(&self.request, took, Instant::now());
-        self.queue.serve();
+        self.queue.start_waiting();
     }
 
-    /// Waits until the next statement of the transaction may begin.
-    pub async fn await_next_statement(&self, until: Instant) -> Answer {
+    /// Waits until the next statement of the transaction may run.
+    pub async fn await_next_statement(&self, until: Instant) -> PermitResult {
         let request = Request { stage: Stage::Continues, until, ..self.request.clone() };
         self.queue.await_permit(request).await
     }
@@ -202,6 +202,6 @@
     fn drop(&mut self) {
         self.release_slot(false);
         self.queue.work.borrow_mut().on_released(&self.request);
-        self.queue.serve();
+        self.queue.start_waiting();
     }
 }
