--- a/crates/proxy/tests/shares.rs
+++ b/crates/proxy/tests/shares.rs
@@ -48,11 +48,11 @@
 #[test]
 fn where_there_are_accounts_one_owner_keeps_most_of_what_a_server_grants() {
     let counts = DaemonCounts { daemons: 71, in_zone: 25, zones: 3 };
-    for (granted, most, kept) in [(29, 20, 10), (53, 40, 20), (15, 9, 4), (4, 1, 1), (0, 1, 1)] {
-        let owned = Some(OwnerQuota::Single { most, kept });
+    for (granted, max, kept) in [(29, 20, 10), (53, 40, 20), (15, 9, 4), (4, 1, 1), (0, 1, 1)] {
+        let owned = Some(OwnerQuota::Single { max, kept });
         assert_eq!(share_of(granted, SLOTS, counts, true).owned, owned, "{granted}");
     }
-    let owned = OwnerQuota::Single { most: 20, kept: 10 };
+    let owned = OwnerQuota::Single { max: 20, kept: 10 };
     assert_eq!([0, 1].map(|rank| owned.kept_by(rank)), [10, 0]);
     assert_eq!([0, 1].map(|rank| OwnerQuota::PerZone(4).kept_by(rank)), [4, 4]);
     let few = DaemonCounts { daemons: 9, in_zone: 3, zones: 3 };
@@ -65,7 +65,7 @@
 fn where_a_zones_owner_could_not_use_a_servers_slots_one_owner_serves_all_zones() {
     let counts = DaemonCounts { daemons: 88, in_zone: 16, zones: 6 };
     assert_eq!(share_of(58, 2, counts, false).owned, Some(OwnerQuota::PerZone(2)));
-    let owned = Some(OwnerQuota::Single { most: 44, kept: 22 });
+    let owned = Some(OwnerQuota::Single { max: 44, kept: 22 });
     assert_eq!(share_of(58, 6, counts, false).owned, owned);
     // What is granted bounds what slots can ask for.
     let counts = DaemonCounts { daemons: 20, in_zone: 10, zones: 2 };
@@ -85,6 +85,6 @@
         assert!(owned.kept_by(0) <= owned.count());
         assert!((at(0) + at(1)) * zones <= granted * 4 / 5, "{granted}");
     }
-    let once = OwnerQuota::Single { most: 20, kept: 10 };
+    let once = OwnerQuota::Single { max: 20, kept: 10 };
     assert_eq!(once.limit_of(0, true), 20);
 }
