--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -1,9 +1,8 @@
-//! Whether a server does what it is given, as the owner of its connections sees it.
+//! Circuit breaker for servers, kept by the owner of the connections.
 //!
-//! An owner runs what the daemons of its zone, or of all zones, have for the server, so some tens of statements show it what
-//! each of them alone would find out in a minute. While the circuit is open it refuses reads that another server may run; the
-//! asker says where it knows no other one. Writes and what must be read at the primary are let through: nobody else can run
-//! them, and a primary that fails is replaced.
+//! An owner runs the statements of many daemons, so it detects a failing server much sooner than each of them
+//! would. While the circuit is open, the owner refuses reads that another server may run. Writes, reads at the
+//! primary and reads without an alternative pass: no other server can run them, and a failing primary is replaced.
 
 use std::time::Instant;
 
@@ -20,7 +19,8 @@
     statement::{Answer, ErrorCode},
 };
 
-/// Returns what an answer says of its server. What was not run, such as a refusal of a busy server, says nothing against it.
+/// Returns what an answer says about the health of its server. Statements that were not run, such as those refused
+/// by a busy server, don't count as failures.
 pub(crate) fn outcome_of(code: Option<ErrorCode>) -> PathOutcome {
     match code {
         Some(ErrorCode::Failed | ErrorCode::TimedOut) => PathOutcome::Missed,
@@ -29,7 +29,8 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Lets a read pass to a server, or says no. One that passes while the circuit is not closed is a try, and noted as such.
+    /// Returns whether a read may be sent to a server. A read that passes while the circuit is not closed is
+    /// recorded as a probe.
     pub(crate) fn pass_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
         let may_pass = group.pool.with_slot(server, |slot| {
@@ -42,23 +43,23 @@
         may_pass.unwrap_or(true)
     }
 
-    /// Takes note of what became of a statement of this daemon's own callers on a connection of its own.
+    /// Records the result of a statement that a caller of this daemon ran on one of its own connections.
     pub(crate) fn note_own_health(
         &self,
         group: &Group<E>,
-        reached: &ServerRoute,
+        route: &ServerRoute,
         sent: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
         let outcome = match sent {
-            _ if !reached.is_own => return,
+            _ if !route.is_own => return,
             Ok(answer) => outcome_of(answer.error_code()),
             Err((Progress::Sent, _)) => PathOutcome::Missed,
             Err((Progress::NotSent, _)) => return,
         };
-        self.note_health(group, &reached.server, outcome);
+        self.note_health(group, &route.server, outcome);
     }
 
-    /// Takes note of what became of a statement that ran on a connection of this daemon.
+    /// Records the result of a statement on a connection of this daemon.
     pub(crate) fn note_health(&self, group: &Group<E>, server: &Name, outcome: PathOutcome) {
         if !group.pool.has_circuits() {
             return;
@@ -73,7 +74,7 @@
         self.metrics.circuits.with_label_values(&["server", state]).inc();
         log::info!(
             event = "circuit", hop = "server", server = &**server, state = state;
-            "the circuit of a server changed"
+            "the circuit breaker of a server changed state"
         );
     }
 }
