--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -1,4 +1,4 @@
-//! The decisions of the control thread: records, evidence, suspicion, the servers' list, the mirror.
+//! Decisions of the control thread: records, evidence, suspicion, the server list and the mirror.
 
 use std::time::{Duration, Instant};
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn evidence_needs_a_majority_of_one_term_that_nobody_has_stopped() {
+fn evidence_requires_a_majority_of_unstopped_servers_in_one_term() {
     let primary = || (Name::from("a"), status(true, 3, 9, 0));
     let replica = |name: &str| (Name::from(name), status(false, 3, 9, 0));
     let paused = |name: &str| (Name::from(name), status(false, 3, 9, 4));
@@ -44,12 +44,12 @@
     let found = |server: &str, term| {
         Some(LeaderByEvidence { server: Name::from(server), term: Term(term) })
     };
-    let right = |known: u64, server: &str, term: u64| HeldPrimaryLease {
+    let lease = |known: u64, server: &str, term: u64| HeldPrimaryLease {
         known_term: Term(known),
         usable_leader: found(server, term),
     };
-    // A right that ends while nobody can be asked may have ended for a change of primary.
-    let ended = |known: u64| HeldPrimaryLease { known_term: Term(known), usable_leader: None };
+    // After a lease has expired, a change of primary may have completed.
+    let expired = |known: u64| HeldPrimaryLease { known_term: Term(known), usable_leader: None };
     let cases = [
         ("primary and a replica", vec![primary(), replica("b")], 3, found("a", 3)),
         ("the primary alone", vec![primary()], 3, None),
@@ -59,28 +59,28 @@
         ("both are paused", vec![primary(), paused("b"), paused("c")], 3, None),
         ("a newer term, alone", vec![primary(), replica("c"), newer("b")], 3, None),
         ("a newer term, followed", vec![primary(), newer("b"), follower("c")], 3, found("b", 4)),
-        ("two that lead", vec![primary(), (Name::from("b"), status(true, 3, 9, 0))], 3, None),
+        ("two leading servers", vec![primary(), (Name::from("b"), status(true, 3, 9, 0))], 3, None),
         ("an older term than known", vec![primary(), replica("b")], 4, None),
         ("nobody answered", vec![], 3, None),
     ];
     for (name, statuses, known, expected) in cases {
-        // What was in force is what the answers are to show again.
+        // The held lease is the one that the statuses have to confirm.
         let held = match &expected {
             Some(lead) => {
                 HeldPrimaryLease { known_term: Term(known), usable_leader: Some(lead.clone()) }
             }
-            None => right(known, "a", 3),
+            None => lease(known, "a", 3),
         };
         assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
     }
     let all = || vec![primary(), replica("b"), replica("c")];
     let cases = [
-        ("a majority after the right ended", vec![primary(), replica("b")], ended(3), None),
-        ("everybody after the right ended", all(), ended(3), found("a", 3)),
-        ("one of them paused", vec![primary(), replica("b"), paused("c")], ended(3), None),
-        ("a right to another server", vec![primary(), replica("b")], right(3, "b", 3), None),
-        ("a right in an earlier term", vec![primary(), replica("b")], right(3, "a", 2), None),
-        ("everybody in a later term", all(), right(2, "b", 2), found("a", 3)),
+        ("a majority after the lease expired", vec![primary(), replica("b")], expired(3), None),
+        ("all servers after the lease expired", all(), expired(3), found("a", 3)),
+        ("one of them paused", vec![primary(), replica("b"), paused("c")], expired(3), None),
+        ("a lease of another server", vec![primary(), replica("b")], lease(3, "b", 3), None),
+        ("a lease in an earlier term", vec![primary(), replica("b")], lease(3, "a", 2), None),
+        ("all servers in a later term", all(), lease(2, "b", 2), found("a", 3)),
     ];
     for (name, statuses, held, expected) in cases {
         assert_eq!(judge_statuses(&statuses, 3, &held), expected, "{name}");
@@ -88,19 +88,24 @@
 }
 
 #[test]
-fn evidence_gives_no_right_to_a_daemon_that_knows_better() {
+fn evidence_grants_no_lease_against_later_knowledge() {
     let known = |term, changing, is_store_silent| KnownLeader {
         term: Term(term),
         changing,
         is_store_silent,
     };
     let cases = [
-        ("the term in force", 3, known(3, false, false), true),
+        ("the current term", 3, known(3, false, false), true),
         ("a later term", 4, known(3, false, true), true),
         ("an older term", 2, known(3, false, true), false),
         ("a change that the store shows now", 3, known(3, true, false), false),
-        ("a later term, but a change is under way", 4, known(3, true, false), false),
-        ("a change that was seen before the store fell silent", 3, known(3, true, true), true),
+        ("a later term during a change", 4, known(3, true, false), false),
+        (
+            "a change that was seen before the store stopped answering",
+            3,
+            known(3, true, true),
+            true,
+        ),
     ];
     for (name, found, known, expected) in cases {
         assert_eq!(may_grant_primary_lease(Term(found), known), expected, "{name}");
@@ -132,7 +137,7 @@
 }
 
 #[test]
-fn the_successor_holds_the_most_and_stays() {
+fn the_successor_has_the_longest_log_and_is_not_leaving() {
     let chosen = |server: &str, kept_position| {
         Some(ChosenServer { server: server.to_owned(), kept_position })
     };
@@ -142,12 +147,17 @@
     let leaving = stopped("d", 9, true, false);
     let cases = [
         ("the longest log", vec![old.clone(), behind.clone(), ahead.clone()], 0, chosen("c", 9)),
-        ("even if it is shorter", vec![old.clone(), behind.clone()], 0, chosen("b", 7)),
-        ("one that stays", vec![leaving.clone(), ahead.clone()], 0, chosen("c", 9)),
-        ("a longer log before one that stays", vec![leaving, behind.clone()], 0, chosen("d", 9)),
-        ("never the one that is replaced", vec![old.clone()], 0, None),
-        ("not enough to be sure of every write", vec![behind.clone()], 1, None),
-        ("enough of them", vec![behind, ahead], 1, chosen("c", 9)),
+        (
+            "a shorter log than the old primary's",
+            vec![old.clone(), behind.clone()],
+            0,
+            chosen("b", 7),
+        ),
+        ("a server that is not leaving", vec![leaving.clone(), ahead.clone()], 0, chosen("c", 9)),
+        ("a leaving server with a longer log", vec![leaving, behind.clone()], 0, chosen("d", 9)),
+        ("never the old primary", vec![old.clone()], 0, None),
+        ("too few servers to include every acknowledged write", vec![behind.clone()], 1, None),
+        ("enough servers", vec![behind, ahead], 1, chosen("c", 9)),
     ];
     let record = first_record();
     for (name, servers, synchronous_replicas, expected) in cases {
@@ -157,7 +167,7 @@
 }
 
 #[test]
-fn a_change_that_nothing_forces_leaves_the_lead_with_whoever_holds_the_most() {
+fn an_optional_change_keeps_the_primary_unless_a_replica_has_caught_up() {
     let old = stopped("a", 9, false, true);
     let behind = stopped("b", 8, false, false);
     let level = stopped("c", 9, false, false);
@@ -169,10 +179,10 @@
 }
 
 #[test]
-fn a_successor_holds_nothing_that_a_promotion_took_back() {
-    // Term 2 began with nine entries; its primary `b` is to be replaced.
-    let keeps_nine = ChosenServer { server: "b".to_owned(), kept_position: 9 };
-    let record = first_record().with_new_primary(&keeps_nine, None, 2);
+fn a_successor_holds_no_discarded_writes() {
+    // Term 2 started after nine entries; its primary `b` is being replaced.
+    let chosen_at_nine = ChosenServer { server: "b".to_owned(), kept_position: 9 };
+    let record = first_record().with_new_primary(&chosen_at_nine, None, 2);
     let server = |server: &str, term, received, is_old_primary| StoppedServer {
         server: server.to_owned(),
         status: status(false, term, received, 3),
@@ -186,19 +196,24 @@
         Some(ChosenServer { server: server.to_owned(), kept_position })
     };
     let cases = [
-        ("a follower before a longer log", vec![former(12), follower(10)], true, chosen("c", 10)),
+        (
+            "a follower rather than a longer discarded log",
+            vec![former(12), follower(10)],
+            true,
+            chosen("c", 10),
+        ),
         ("the primary that stepped down", vec![former(12), primary()], true, chosen("b", 40)),
-        ("nobody, as long as one may come back", vec![former(12)], true, None),
-        ("one that is not yet where the term began", vec![former(9)], true, chosen("a", 9)),
-        ("not while one that may hold more is out of reach", vec![former(12)], false, None),
+        ("none while the primary may come back", vec![former(12)], true, None),
+        ("a log that ends at the start of the term", vec![former(9)], true, chosen("a", 9)),
+        ("none while a server that may hold more is unreachable", vec![former(12)], false, None),
         (
-            "whoever is left of a history that is gone",
+            "a remaining server after the history is lost",
             vec![former(12), server("c", 1, 8, false)],
             false,
             chosen("c", 8),
         ),
         (
-            "even what was taken back, if there is nothing else",
+            "a log with discarded writes if there is no other",
             vec![former(12), server("c", 1, 11, false)],
             false,
             chosen("a", 12),
@@ -216,7 +231,7 @@
 }
 
 #[test]
-fn a_settled_record_says_where_the_term_began() {
+fn a_record_with_a_new_primary_contains_the_start_of_its_term() {
     let record =
         LeadershipRecord { term: 3, primary: "a".to_owned(), ..LeadershipRecord::default() };
     let settled = record.with_new_primary(
@@ -228,18 +243,18 @@
     assert_eq!(settled.change, None);
     assert_eq!(settled.starts[0].term, Term(4));
     assert_eq!(settled.starts[0].start.0, 17);
-    // The primary started anew under another identity: no term began.
-    let renamed = record.with_new_primary(
+    // The primary restarted under another identity, which starts no term.
+    let restarted = record.with_new_primary(
         &ChosenServer { server: "c".to_owned(), kept_position: 17 },
         None,
         3,
     );
-    assert_eq!((renamed.term, renamed.primary.as_str()), (3, "c"));
-    assert!(renamed.starts.is_empty());
+    assert_eq!((restarted.term, restarted.primary.as_str()), (3, "c"));
+    assert!(restarted.starts.is_empty());
 }
 
 #[test]
-fn a_stop_waits_for_evidence_and_for_those_that_did_not_answer() {
+fn a_stop_waits_for_evidence_and_unacknowledged_leases_to_expire() {
     let recorded_at = Instant::now();
     let bounds = PrimaryLeaseDurations {
         store: Duration::from_millis(1_500),
@@ -256,7 +271,7 @@
 }
 
 #[test]
-fn a_third_of_the_daemons_and_two_at_the_least_must_share_a_suspicion() {
+fn a_third_of_the_witnesses_and_at_least_two_must_suspect_the_primary() {
     let cases = [
         (0, 0, false),
         (0, 1, false),
@@ -289,29 +304,29 @@
 }
 
 #[test]
-fn a_lapsed_server_is_believed_in_for_a_while_and_a_leaving_one_is_not() {
+fn a_lapsed_server_stays_listed_for_the_grace_time_and_a_leaving_one_does_not() {
     let now = Instant::now();
     let grace = Duration::from_millis(2_500);
     let mut servers = ServerList::default();
     servers.put("k/a", entry("a", false));
     servers.put("k/b", entry("b", true));
-    assert!(!servers.remove("k/a", now), "nothing changes yet");
-    assert!(servers.remove("k/b", now), "it was leaving and is gone");
+    assert!(!servers.remove("k/a", now), "the list is unchanged");
+    assert!(servers.remove("k/b", now), "a leaving server is removed");
     let nothing = Lapsed::default();
     assert_eq!(servers.expire(grace, now + grace / 2), nothing);
     assert_eq!(servers.by_service()[&Name::from("s")].len(), 1);
-    // The store was away: the time begins anew.
+    // An outage of the store restarts the grace time.
     servers.restart_grace(now + grace);
     assert_eq!(servers.expire(grace, now + grace), nothing);
-    assert!(servers.put("k/a", entry("a", false)), "it is back");
+    assert!(servers.put("k/a", entry("a", false)), "the entry is back");
     assert_eq!(servers.expire(grace, now + grace * 5), nothing);
     servers.remove("k/a", now + grace * 5);
-    // It may have left without saying so: it gets no new reads, and a primary is replaced while it leads.
+    // It may have left without announcing it: it gets no new reads, and a primary is replaced while it leads.
     let leaving = Lapsed { leaving: vec![Name::from("a")], gone: Vec::new() };
     assert_eq!(servers.expire(grace, now + grace * 6), leaving);
     assert!(servers.by_service()[&Name::from("s")][0].leaving);
-    assert_eq!(servers.expire(grace, now + grace * 6), nothing, "it is said once");
-    assert!(servers.put("k/a", entry("a", false)), "it is back once more");
+    assert_eq!(servers.expire(grace, now + grace * 6), nothing, "it is reported once");
+    assert!(servers.put("k/a", entry("a", false)), "the entry is back again");
     assert!(!servers.by_service()[&Name::from("s")][0].leaving);
     servers.remove("k/a", now + grace * 7);
     assert_eq!(servers.expire(grace, now + grace * 8), leaving);
@@ -320,7 +335,7 @@
     assert!(servers.by_service().is_empty());
 }
 
-/// A revision of a store that tells of no era.
+/// A revision of a store without eras.
 fn at(number: u64) -> Revision {
     Revision::new(Era::NONE, number)
 }
@@ -330,7 +345,7 @@
 }
 
 #[test]
-fn the_mirror_goes_by_revisions_in_whatever_order_they_come() {
+fn the_mirror_applies_changes_by_revision_in_any_order() {
     let mut mirror = Mirror::default();
     assert!(mirror.apply(Change::Put(item("p/a", 5))));
     assert!(!mirror.apply(Change::Put(item("p/a", 4))), "an older write");
@@ -339,7 +354,7 @@
     assert!(!mirror.apply(Change::Put(item("p/a", 5))), "a write from before the removal");
     assert!(mirror.apply(Change::Put(item("p/a", 7))));
     assert!(mirror.apply(Change::Put(item("p/b", 9))));
-    // A reading at revision 8 says nothing of what came later.
+    // A snapshot at revision 8 does not affect later changes.
     let snapshot = Snapshot { items: vec![item("p/c", 8)], revision: at(8) };
     let changes = mirror.changes_to("p/", snapshot);
     let keys: Vec<&str> = changes.iter().map(Change::key).collect();
@@ -352,7 +367,7 @@
 }
 
 #[test]
-fn a_reading_says_nothing_of_keys_outside_its_prefix() {
+fn a_snapshot_does_not_affect_keys_outside_its_prefix() {
     let mut mirror = Mirror::default();
     mirror.apply(Change::Put(item("p/a", 5)));
     mirror.apply(Change::Put(item("q/a", 6)));
@@ -361,7 +376,7 @@
 }
 
 #[test]
-fn whoever_follows_hears_what_is_new_in_order_and_each_key_once() {
+fn updates_are_ordered_and_contain_each_key_once() {
     let mut mirror = Mirror::default();
     let removed =
         |key: &str, revision| Change::Removed { key: key.to_owned(), revision: at(revision) };
@@ -376,23 +391,23 @@
     mirror.note_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
-        ("what it was told last", 6, vec![removed("p/b", 7)]),
+        ("after the last update", 6, vec![removed("p/b", 7)]),
         ("nothing", 7, Vec::new()),
-        ("nothing, as it knows more", 9, Vec::new()),
+        ("nothing, as it is ahead", 9, Vec::new()),
     ];
     for (name, after, expected) in cases {
-        let news = mirror.updates_since(at(after));
+        let updates = mirror.updates_since(at(after));
         assert_eq!(
-            news,
+            updates,
             StoreUpdates { changes: expected, is_whole: false, applied_revision: at(7) },
             "{name}"
         );
-        assert_eq!(mirror.has_updates(at(after)), !news.changes.is_empty(), "{name}");
+        assert_eq!(mirror.has_updates(at(after)), !updates.changes.is_empty(), "{name}");
     }
 }
 
 #[test]
-fn whoever_missed_a_removal_that_is_forgotten_is_told_everything() {
+fn a_follower_that_missed_a_forgotten_removal_gets_a_full_update() {
     let mut mirror = Mirror::default();
     mirror.apply(Change::Put(item("kept", 1)));
     for number in 0..2_000 {
@@ -400,17 +415,17 @@
         mirror.apply(Change::Put(item(&key, 2 + 2 * number)));
         mirror.apply(Change::Removed { key, revision: at(3 + 2 * number) });
     }
-    let news = mirror.updates_since(at(5));
-    assert!(news.is_whole);
-    assert_eq!(news.changes, [Change::Put(item("kept", 1))]);
+    let updates = mirror.updates_since(at(5));
+    assert!(updates.is_whole);
+    assert_eq!(updates.changes, [Change::Put(item("kept", 1))]);
     let late = mirror.updates_since(at(3_999));
     assert!(!late.is_whole);
     assert_eq!(late.changes.len(), 1);
 }
 
-/// After a restore the same numbers stand for something else, and what the copy has not is gone.
+/// After a restore, revision numbers are reused and keys that are missing in the backup are removed.
 #[test]
-fn the_mirror_of_a_restored_store_takes_nothing_of_the_era_before() {
+fn the_mirror_of_a_restored_store_ignores_changes_of_earlier_eras() {
     let restored = |number| Revision::new(Era(1), number);
     let put = |key: &str, revision| {
         Change::Put(Item { key: key.to_owned(), value: Bytes::new(), revision, created: revision })
@@ -421,7 +436,7 @@
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
     mirror.note_applied(at(10));
-    assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era not begun");
+    assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era that was not entered");
     mirror.enter_era(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
     let changes = mirror.changes_to("", Snapshot { items: vec![kept], revision: restored(5) });
@@ -434,11 +449,11 @@
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
     assert!(mirror.get("p/lost").is_none());
     assert_eq!(mirror.removed_at("p/lost"), Some(restored(5)));
-    assert!(!mirror.apply(put("p/kept", at(11))), "a write that was late");
+    assert!(!mirror.apply(put("p/kept", at(11))), "a delayed write");
     assert!(!mirror.apply(Change::Removed { key: "p/kept".to_owned(), revision: at(12) }));
-    // Who knows only of the era before is told everything, whatever number it stands at.
-    let news = mirror.updates_since(at(u64::MAX));
-    assert!(news.is_whole && news.changes.len() == 1, "{news:?}");
+    // A follower in the earlier era gets a full update, whatever its revision number.
+    let updates = mirror.updates_since(at(u64::MAX));
+    assert!(updates.is_whole && updates.changes.len() == 1, "{updates:?}");
     assert!(!mirror.updates_since(restored(4)).is_whole);
 }
 
@@ -446,9 +461,9 @@
     LeadershipRecord { era, edition, term, primary: "i-1".to_owned(), ..Default::default() }
 }
 
-/// What is known is put back over the copy, and never over what was confirmed in the present era.
+/// A known record replaces the one from the backup, but never one that was confirmed in the current era.
 #[test]
-fn the_latest_record_of_an_ended_era_counts_until_one_is_confirmed() {
+fn the_latest_record_of_an_earlier_era_is_authoritative_until_one_is_confirmed() {
     use RecordSource::{Known, Stored};
     let changing = |chosen: Option<&str>| {
         let chosen =
@@ -458,35 +473,53 @@
     };
     let cases = [
         ("no eras", Some(written(0, 0, 5)), Some(written(0, 0, 4)), 0, Stored),
-        ("no eras, and it is gone", Some(written(0, 0, 5)), None, 0, Stored),
+        ("no eras, and none is stored", Some(written(0, 0, 5)), None, 0, Stored),
         ("a later term is known", Some(written(0, 0, 5)), Some(written(0, 0, 4)), 1, Known),
-        ("it is lost", Some(written(0, 0, 5)), None, 1, Known),
+        ("the stored one is lost", Some(written(0, 0, 5)), None, 1, Known),
         ("nothing is known", None, Some(written(0, 0, 4)), 1, Stored),
-        ("another put a later one back", Some(written(0, 0, 5)), Some(written(0, 0, 6)), 1, Stored),
-        ("an order may be under way", Some(changing(Some("i-2"))), Some(changing(None)), 1, Known),
+        (
+            "another daemon republished a later one",
+            Some(written(0, 0, 5)),
+            Some(written(0, 0, 6)),
+            1,
+            Stored,
+        ),
+        (
+            "a promotion may have been ordered",
+            Some(changing(Some("i-2"))),
+            Some(changing(None)),
+            1,
+            Known,
+        ),
         ("a later edition of a term", Some(written(1, 8, 4)), Some(written(1, 7, 4)), 2, Known),
-        ("a late write of an ended era", Some(written(2, 9, 5)), Some(written(1, 12, 6)), 3, Known),
+        (
+            "a delayed write of an earlier era",
+            Some(written(2, 9, 5)),
+            Some(written(1, 12, 6)),
+            3,
+            Known,
+        ),
         ("confirmed meanwhile", Some(written(1, 9, 6)), Some(written(2, 3, 5)), 2, Stored),
     ];
     for (name, known, stored, era, expected) in cases {
-        let counts = RecordSource::choose(known.as_ref(), stored.as_ref(), Era(era));
-        assert_eq!(counts, expected, "{name}");
+        let source = RecordSource::choose(known.as_ref(), stored.as_ref(), Era(era));
+        assert_eq!(source, expected, "{name}");
     }
 }
 
-/// A site whose store tells of no eras keeps records as they were.
+/// Records of a store without eras keep their format.
 #[test]
-fn a_record_without_an_era_is_written_as_before() {
+fn a_record_without_an_era_is_serialized_without_the_field() {
     let text = serde_json::to_string(&written(0, 0, 4)).unwrap();
     assert!(!text.contains("era") && !text.contains("edition"), "{text}");
 }
 
-/// A look that found no replica level must not keep the lead in place for as long as a move does.
+/// A check that finds no replica caught up blocks the next one for a shorter time than a move does.
 #[test]
-fn the_lead_moves_when_replicas_are_behind_and_not_again_and_again() {
+fn the_primary_moves_at_a_limited_rate_when_replicas_are_behind() {
     let now = Instant::now() + Duration::from_secs(60);
     let ago = |ms: Option<u64>| ms.map(|ms| now - Duration::from_millis(ms));
-    // How long ago: behind, moved, looked; whether it may move.
+    // Milliseconds since: replicas behind, last move, last check; whether the primary may move.
     let cases = [
         (None, None, None, false),
         (Some(100), None, None, true),
--- a/crates/proxy/tests/revision.rs
+++ b/crates/proxy/tests/revision.rs
@@ -13,9 +13,9 @@
     assert_eq!(at(1, 5).next(), at(1, 6));
 }
 
-/// The platform sees tokens only; one that falls is taken for an order of a former holder.
+/// The platform compares tokens only, and rejects an order with a lower token as one of an earlier promoter.
 #[test]
-fn a_fencing_token_never_falls_and_is_the_number_itself_without_eras() {
+fn fencing_tokens_increase_and_equal_the_revision_number_without_eras() {
     assert_eq!(Revision::new(Era::NONE, 4_711).fencing_token(), 4_711);
     let many = 1 << 39;
     let mut last = 0;
@@ -26,5 +26,5 @@
             last = token;
         }
     }
-    assert!(last < 1 << 53, "a reader may take it for a float");
+    assert!(last < 1 << 53, "a JSON reader may parse it as a float");
 }
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -1,4 +1,4 @@
-//! Who looks at a server that others suspect, how often, and what of it goes to the store.
+//! Witnesses of a server, the rate of probes, and the suspicions that are written to the store.
 
 use std::{
     collections::BTreeSet,
@@ -16,9 +16,9 @@
     (0..count).map(|number| format!("host-{number}")).collect()
 }
 
-/// The load: hundreds of daemons, of which one can't reach a server. Each that looks opens a connection.
+/// Bounds the connections to a server that one of hundreds of daemons can't reach.
 #[test]
-fn so_many_look_at_a_server_however_many_daemons_there_are() {
+fn the_number_of_witnesses_is_bounded_in_any_fleet() {
     for count in [1, 12, 45, 88, 300, 1_000] {
         let hosts = hosts(count);
         let members = || hosts.iter().map(String::as_str);
@@ -31,9 +31,9 @@
     }
 }
 
-/// No daemon is a witness of everything.
+/// Guards against one daemon being a witness of most servers.
 #[test]
-fn witnesses_of_many_servers_are_spread() {
+fn witnesses_of_many_servers_are_distributed() {
     let hosts = hosts(300);
     let members = || hosts.iter().map(String::as_str);
     let servers: Vec<String> = (0..1_000).map(|number| format!("i-{number}")).collect();
@@ -43,88 +43,92 @@
     assert!(most <= Some(2 * mean), "{most:?} where the mean is {mean}");
 }
 
-/// The load: all witnesses of a server say within a second that they can't reach it.
+/// All witnesses of a server report it within a second.
 #[test]
-fn a_server_is_looked_at_once_a_second() {
+fn a_server_is_probed_once_per_interval() {
     let pair = (Name::from("s"), Name::from("i-1"));
     let other = (Name::from("s"), Name::from("i-2"));
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut looks = ProbeSchedule::default();
-    let now: Vec<bool> = (0..45).map(|word| looks.on_suspected(&pair, at(word * 20))).collect();
+    let mut schedule = ProbeSchedule::default();
+    let now: Vec<bool> =
+        (0..45).map(|report| schedule.on_suspected(&pair, at(report * 20))).collect();
     assert_eq!(now.iter().filter(|look| **look).count(), 1);
-    assert!(looks.on_suspected(&other, at(500)), "each server by itself");
-    assert_eq!(looks.take_due(at(900)), []);
-    // Somebody suspected it after the look, so there is another one; nobody did after that.
-    assert_eq!(looks.take_due(at(1_100)), std::slice::from_ref(&pair));
-    assert_eq!(looks.take_due(at(2_200)), []);
-    assert!(looks.on_suspected(&pair, at(2_300)));
+    assert!(schedule.on_suspected(&other, at(500)), "each server has its own schedule");
+    assert_eq!(schedule.take_due(at(900)), []);
+    // It was suspected after the first probe, so a second one is due; it was not suspected again.
+    assert_eq!(schedule.take_due(at(1_100)), std::slice::from_ref(&pair));
+    assert_eq!(schedule.take_due(at(2_200)), []);
+    assert!(schedule.on_suspected(&pair, at(2_300)));
 }
 
 fn keys(count: usize) -> BTreeSet<String> {
     (0..count).map(|number| format!("suspicions/s/i-{number:03}/host-0")).collect()
 }
 
-/// The load: a daemon that can't reach any of three hundred servers.
+/// A daemon can't reach any of three hundred servers.
 #[test]
-fn many_suspicions_are_told_in_a_few_writes_and_each_once() {
+fn many_suspicions_are_written_in_batches_and_each_once() {
     let (start, wanted) = (Instant::now(), keys(300));
-    let mut told = ReportedSuspicions::default();
+    let mut reported = ReportedSuspicions::default();
     let mut writes = 0;
     let mut put = BTreeSet::new();
     loop {
-        let untold = told.pending_writes(&wanted, start, |_| true);
-        if untold.is_empty() {
+        let pending = reported.pending_writes(&wanted, start, |_| true);
+        if pending.is_empty() {
             break;
         }
         writes += 1;
-        put.extend(untold.puts.iter().cloned());
-        assert!(untold.removes.is_empty());
-        told.on_written(&untold, start);
+        put.extend(pending.puts.iter().cloned());
+        assert!(pending.removes.is_empty());
+        reported.on_written(&pending, start);
     }
     assert_eq!((put, writes), (wanted, 10));
 }
 
 #[test]
-fn a_suspicion_that_the_store_lost_is_told_again_and_one_that_ended_is_taken_back() {
+fn a_lost_suspicion_is_written_again_and_an_ended_one_is_removed() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let (wanted, none) = (keys(1), BTreeSet::new());
     let key = wanted.first().unwrap().clone();
     let put = PendingSuspicionWrites { puts: vec![key.clone()], removes: Vec::new() };
-    let take_back = PendingSuspicionWrites { puts: Vec::new(), removes: vec![key.clone()] };
-    let mut told = ReportedSuspicions::default();
-    assert_eq!(told.pending_writes(&wanted, at(0), |_| true), put);
-    told.on_written(&put, at(0));
-    assert!(told.pending_writes(&wanted, at(500), |_| true).is_empty(), "it is on its way back");
+    let remove = PendingSuspicionWrites { puts: Vec::new(), removes: vec![key.clone()] };
+    let mut reported = ReportedSuspicions::default();
+    assert_eq!(reported.pending_writes(&wanted, at(0), |_| true), put);
+    reported.on_written(&put, at(0));
+    assert!(
+        reported.pending_writes(&wanted, at(500), |_| true).is_empty(),
+        "the watch may still return it"
+    );
     assert_eq!(
-        told.pending_writes(&none, at(600), |_| true),
-        take_back,
-        "before the store shows it"
+        reported.pending_writes(&none, at(600), |_| true),
+        remove,
+        "before the watch returned it"
     );
-    assert_eq!(told.pending_writes(&wanted, at(1_100), |_| true), put, "it never came");
-    told.on_store_change(&key, true);
-    assert!(told.pending_writes(&wanted, at(1_200), |_| true).is_empty());
-    assert_eq!(told.pending_writes(&none, at(1_300), |_| true), take_back);
-    told.on_written(&take_back, at(1_300));
-    assert!(told.pending_writes(&none, at(1_400), |_| true).is_empty());
-    // It came back under the same name while that was on its way.
-    assert_eq!(told.pending_writes(&wanted, at(1_500), |_| true), put);
-    told.on_store_change(&key, false);
     assert_eq!(
-        told.pending_writes(&wanted, at(1_600), |_| true),
+        reported.pending_writes(&wanted, at(1_100), |_| true),
         put,
-        "the lease it stood under ended"
+        "the watch did not return it in time"
     );
+    reported.on_store_change(&key, true);
+    assert!(reported.pending_writes(&wanted, at(1_200), |_| true).is_empty());
+    assert_eq!(reported.pending_writes(&none, at(1_300), |_| true), remove);
+    reported.on_written(&remove, at(1_300));
+    assert!(reported.pending_writes(&none, at(1_400), |_| true).is_empty());
+    // The server is suspected again while the removal is in progress.
+    assert_eq!(reported.pending_writes(&wanted, at(1_500), |_| true), put);
+    reported.on_store_change(&key, false);
+    assert_eq!(reported.pending_writes(&wanted, at(1_600), |_| true), put, "its lease has expired");
 }
 
 #[test]
-fn what_is_not_worth_telling_is_not_told_but_taken_back() {
+fn a_disallowed_suspicion_is_not_written_but_removed() {
     let start = Instant::now();
     let wanted = keys(3);
     let key = wanted.first().unwrap().clone();
-    let mut told = ReportedSuspicions::default();
-    told.on_store_change(&key, true);
-    assert!(told.pending_writes(&wanted, start, |_| false).is_empty());
-    assert_eq!(told.pending_writes(&BTreeSet::new(), start, |_| false).removes, [key]);
+    let mut reported = ReportedSuspicions::default();
+    reported.on_store_change(&key, true);
+    assert!(reported.pending_writes(&wanted, start, |_| false).is_empty());
+    assert_eq!(reported.pending_writes(&BTreeSet::new(), start, |_| false).removes, [key]);
 }
