--- a/crates/failover/tests/driver.rs
+++ b/crates/failover/tests/driver.rs
@@ -94,16 +94,15 @@
 
     /// Returns the servers that are up and accept writes, by their term.
     fn leaders(&self) -> BTreeMap<u64, usize> {
-        self.servers
-            .iter()
-            .enumerate()
+        let servers = self.servers.iter().enumerate();
+        servers
             .filter(|(_, server)| server.up && server.leads && server.log_term == server.promised)
             .map(|(index, server)| (server.log_term, index))
             .collect()
     }
 }
 
-fn cluster(failed: Option<u16>) -> FailoverGroup {
+fn group(failed: Option<u16>) -> FailoverGroup {
     FailoverGroup {
         servers: vec!["a".to_owned(), "b".to_owned(), "c".to_owned()],
         avoid: Vec::new(),
@@ -113,7 +112,7 @@
 }
 
 fn driver(name: &str) -> FailoverDriver {
-    FailoverDriver::new(cluster(Some(0)), name, format!("claim-{name}"), Term(1))
+    FailoverDriver::new(group(Some(0)), name, format!("claim-{name}"), Term(1))
 }
 
 fn finish(
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use std::{
     net::SocketAddr,
@@ -24,25 +24,25 @@
     statement::{Answer, EndpointCommand, ErrorCode, Outcome, StatementError, TransactionState},
 };
 
-/// The room that a read from a socket gets; most answers are under a kilobyte.
+/// Size by which the read buffer grows; most answers are below 1 KiB.
 const READ_RESERVE_BYTES: usize = 4 * 1024;
 
-/// What a server is told behind the host's name where another daemon is between, for whoever looks at its
+/// Suffix that is appended to the host's name on tunneled connections, to mark them in the server's list of
 /// connections.
-const DETOUR_MARK: &str = ".detour";
+const TUNNEL_SUFFIX: &str = ".detour";
 
-/// Why a connection is of no more use.
+/// Why a connection can't be used any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionLost {
-    /// It broke off, or was refused.
+    /// The connection could not be opened or broke.
     Broken(String),
-    /// Nothing came within the time.
-    Silent,
+    /// There was no answer before the deadline.
+    TimedOut,
     /// The server refused the connection with an error.
     Refused(ErrorCode),
-    /// The server sent what can't be understood.
-    Garbled(String),
-    /// The owner of the connections let it go no further.
+    /// The server sent a message that can't be parsed or was not expected.
+    Malformed(String),
+    /// The owner of the connections did not send the statement to the server.
     NotGranted(NotSent),
     /// The link to the owner ended.
     OwnerLost,
@@ -52,67 +52,67 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ConnectionLost::Broken(why) => write!(f, "broken off: {why}"),
-            ConnectionLost::Silent => f.write_str("no answer in time"),
+            ConnectionLost::TimedOut => f.write_str("no answer in time"),
             ConnectionLost::Refused(code) => write!(f, "refused: {}", code.as_str()),
-            ConnectionLost::Garbled(why) => write!(f, "can't be understood: {why}"),
+            ConnectionLost::Malformed(why) => write!(f, "can't be understood: {why}"),
             ConnectionLost::NotGranted(why) => write!(f, "not granted by its owner: {why:?}"),
             ConnectionLost::OwnerLost => f.write_str("the owner of the connection was lost"),
         }
     }
 }
 
-/// Who connects to a server.
+/// The identity that a daemon gives to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Introduction<'a> {
+pub struct ClientIdentity<'a> {
     /// This daemon's host.
     pub host: &'a Name,
-    /// For whom the connection works.
+    /// The principal that the connection works for.
     pub principal: &'a Principal,
 }
 
-impl Introduction<'_> {
-    /// Returns what the server is told.
-    fn who(&self, is_direct: bool) -> Name {
+impl ClientIdentity<'_> {
+    /// Returns the name that is sent to the server.
+    fn name(&self, is_direct: bool) -> Name {
         match self.principal {
             Principal::Account(name) => name.clone(),
             Principal::Daemon if is_direct => self.host.clone(),
-            Principal::Daemon => Name::from(format!("{}{DETOUR_MARK}", self.host)),
+            Principal::Daemon => Name::from(format!("{}{TUNNEL_SUFFIX}", self.host)),
         }
     }
 }
 
-/// The server at the other end of a connection, and how it is reached.
+/// The server of a connection and the route to it.
 #[derive(Clone, Debug)]
-pub struct Reached {
-    /// The server.
+pub struct ServerRoute {
+    /// The server's identity.
     pub server: Name,
-    /// Whether no other daemon is between, so that an answer shows that the server is in reach.
+    /// Whether no other daemon is in between, so that an answer proves that the server is reachable.
     pub is_direct: bool,
-    /// Whether the connection is this daemon's own, be it through another one; else its owner looks after it.
+    /// Whether the connection, direct or tunneled, belongs to this daemon. Otherwise its owner takes care of it.
     pub is_own: bool,
-    /// Where its owner is, if it is another daemon's.
+    /// Address of the owner, if the connection belongs to another daemon.
     pub owner: Option<SocketAddr>,
 }
 
-/// A connection that has been accepted by the server.
+/// A connection that the server has accepted.
 pub struct EndpointConnection<E> {
     dialect: E,
     stream: TcpStream,
     incoming: BytesMut,
     outgoing: BytesMut,
-    /// Commands whose answers have not come whole.
+    /// Commands whose answers have not been read completely.
     unanswered: u32,
-    /// The server's identity, as it was expected and confirmed.
+    /// The server's identity, as confirmed by the server.
     pub server: Name,
-    /// For whom it works, for as long as it stands.
+    /// The principal that the connection works for; it never changes.
     pub principal: Principal,
     /// The server's incarnation as its entry stated it when the connection was opened.
     pub incarnation: Option<ServerIncarnation>,
-    /// What the server's side holds for sessions.
+    /// The session state at the server's side of the connection.
     pub environment: Environment,
-    /// Whether it goes to the server itself, and not through another daemon.
+    /// Whether the connection goes to the server itself and not through another daemon.
     pub is_direct: bool,
-    /// The point that the server showed last.
+    /// The last log point that the server reported.
     pub last_point: Option<LogPoint>,
 }
 
@@ -121,24 +121,24 @@
     pub async fn open(
         dialect: &E,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         within: Duration,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let deadline = Instant::now() + within;
         let stream = match timeout_at(deadline.into(), TcpStream::connect(entry.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
-            Err(_) => return Err(ConnectionLost::Silent),
+            Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, true, entry, introduction, deadline).await
+        EndpointConnection::accept(dialect, stream, true, entry, identity, deadline).await
     }
 
-    /// The same through the daemon at `peer`, for a server that can't be reached from here.
-    pub async fn open_through(
+    /// Connects through a tunnel of the daemon at `peer`, for a server that is not reachable from here.
+    pub async fn open_tunneled(
         peer: SocketAddr,
         dialect: &E,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         within: Duration,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let deadline = Instant::now() + within;
@@ -147,18 +147,18 @@
         let stream = match timeout_at(deadline.into(), open_tunnel(peer, request)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(none)) => return Err(ConnectionLost::Broken(none.to_string())),
-            Err(_) => return Err(ConnectionLost::Silent),
+            Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, false, entry, introduction, deadline).await
+        EndpointConnection::accept(dialect, stream, false, entry, identity, deadline).await
     }
 
-    /// Tells the server at the other end what is wanted and waits until it agrees.
+    /// Sends the startup message and waits until the server accepts the connection.
     async fn accept(
         dialect: &E,
         stream: TcpStream,
         is_direct: bool,
         entry: &ServerEntry,
-        introduction: Introduction<'_>,
+        identity: ClientIdentity<'_>,
         deadline: Instant,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let broken = |error: std::io::Error| ConnectionLost::Broken(error.to_string());
@@ -173,14 +173,14 @@
             outgoing: BytesMut::new(),
             unanswered: 0,
             server: entry.server.clone(),
-            principal: introduction.principal.clone(),
+            principal: identity.principal.clone(),
             incarnation: entry.incarnation,
             environment: Environment::default(),
             last_point: None,
         };
         let startup = EndpointStartup {
             service: entry.service.clone(),
-            who: introduction.who(is_direct),
+            who: identity.name(is_direct),
             server: entry.server.clone(),
         };
         connection.dialect.encode_startup(&startup, &mut connection.outgoing);
@@ -196,12 +196,12 @@
                 Ok(())
             }
             EndpointMessage::Error(error) => Err(ConnectionLost::Refused(error.code)),
-            _ => Err(ConnectionLost::Garbled("an answer before the connection's own".to_owned())),
+            _ => Err(ConnectionLost::Malformed("an answer before the connection's own".to_owned())),
         }
     }
 
-    /// Whether an idle connection is still good: nothing has come and it has not ended.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether an idle connection is still open and has no unexpected input.
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         matches!(
             self.stream.try_read(&mut probe),
@@ -209,23 +209,23 @@
         )
     }
 
-    /// Adds a command to what the next flush sends.
+    /// Appends a command to the data that the next flush sends.
     pub fn queue(&mut self, command: &EndpointCommand) {
         self.dialect.encode(command, &mut self.outgoing);
         self.unanswered += 1;
     }
 
-    /// Sends what is queued, in one write where the socket takes it.
+    /// Sends the queued commands, in one write if the socket takes it.
     pub async fn flush(&mut self, deadline: Instant) -> Result<(), ConnectionLost> {
         let outgoing = self.outgoing.split();
         match timeout_at(deadline.into(), self.stream.write_all(&outgoing)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(error)) => Err(ConnectionLost::Broken(error.to_string())),
-            Err(_) => Err(ConnectionLost::Silent),
+            Err(_) => Err(ConnectionLost::TimedOut),
         }
     }
 
-    /// Reads the whole answer to the oldest command that is not answered yet.
+    /// Reads the complete answer to the oldest unanswered command.
     pub async fn read_answer(&mut self, deadline: Instant) -> Result<Answer, ConnectionLost> {
         let mut rows = Vec::new();
         let mut outcome = None;
@@ -236,7 +236,9 @@
                 EndpointMessage::Error(error) => outcome = Some(Outcome::Error(error)),
                 EndpointMessage::Ready { state, point } => {
                     let Some(outcome) = outcome else {
-                        return Err(ConnectionLost::Garbled("an answer without an end".to_owned()));
+                        return Err(ConnectionLost::Malformed(
+                            "an answer without an end".to_owned(),
+                        ));
                     };
                     self.last_point = point.or(self.last_point);
                     self.unanswered = self.unanswered.saturating_sub(1);
@@ -247,7 +249,7 @@
     }
 
     /// Sends one command and reads its answer.
-    pub async fn ask(
+    pub async fn call(
         &mut self,
         command: &EndpointCommand,
         deadline: Instant,
@@ -262,7 +264,7 @@
             match self.dialect.decode(&mut self.incoming) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => {}
-                Err(error) => return Err(ConnectionLost::Garbled(error.to_string())),
+                Err(error) => return Err(ConnectionLost::Malformed(error.to_string())),
             }
             self.incoming.reserve(READ_RESERVE_BYTES);
             let read = self.stream.read_buf(&mut self.incoming);
@@ -270,13 +272,13 @@
                 Ok(Ok(0)) => return Err(ConnectionLost::Broken("closed by the server".to_owned())),
                 Ok(Ok(_)) => {}
                 Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
-                Err(_) => return Err(ConnectionLost::Silent),
+                Err(_) => return Err(ConnectionLost::TimedOut),
             }
         }
     }
 
-    /// Gives the read buffer's memory back while the connection rests.
-    pub fn rest(&mut self) {
+    /// Frees the buffers while the connection is idle.
+    pub fn release_buffers(&mut self) {
         self.incoming = BytesMut::new();
         self.outgoing = BytesMut::new();
     }
@@ -290,7 +292,7 @@
     }
 }
 
-/// Makes the answer for a statement that the engine refuses itself.
+/// Returns the answer to a statement that the engine itself refuses.
 pub fn refusal(error: StatementError, state: TransactionState) -> Answer {
     Answer { rows: Vec::new(), outcome: Outcome::Error(error), state, point: None }
 }
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -8,7 +8,7 @@
 use crate::{
     control::runner::{CommandRequest, ServingRequest},
     dialect::{CallerDialect, EndpointDialect},
-    relay::answering::answer_relay,
+    relay::owner::serve_relay,
     serve::{
         connection_request::ConnectionRequest,
         endpoint_task::{EndpointTask, TaskKind},
@@ -28,12 +28,12 @@
         let command = match request {
             ServingRequest::Command(command) => command,
             ServingRequest::Relay(link) => {
-                tokio::task::spawn_local(answer_relay(engine, link));
+                tokio::task::spawn_local(serve_relay(engine, link));
                 continue;
             }
             ServingRequest::Probe { service, server } => {
                 let group = engine.group(&service, &engine.control_view());
-                engine.probe_again(&group, &service, &server);
+                engine.probe_at_once(&group, &service, &server);
                 continue;
             }
         };
@@ -68,11 +68,11 @@
     // Session values on the connection do not affect a status command.
     let lent = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
     let mut lent = lent.ok()?;
-    let reached = lent.reached();
+    let reached = lent.server_route();
     let task = EndpointTask::internal(TaskKind::Command(command.text.clone()));
     match lent.run(&task, command.deadline).await {
         Ok(answer) => {
-            lent.give_back();
+            lent.release();
             let row = answer.rows.first()?;
             engine.endpoint_dialect.decode_status(row)
         }
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -25,12 +25,12 @@
     events::ProxyMetrics,
     relay::links::RelayLinks,
     serve::{
-        connection::{ConnectionLost, EndpointConnection, Introduction},
+        connection::{ClientIdentity, ConnectionLost, EndpointConnection},
         connection_request::ConnectionRequest,
-        lent::{Lent, OpeningPlace},
         limits::Limits,
         outage::GroupOutage,
         pool::{GroupPool, NoConnection, Offer},
+        pooled_connection::{OpeningPermit, PooledConnection},
         primary_wait::HoldState,
         reachability::ProbeState,
         replay::SessionValues,
@@ -310,7 +310,7 @@
             let groups: Vec<Rc<Group<E>>> = self.groups.borrow().values().cloned().collect();
             let mut is_scarce = false;
             for group in groups {
-                is_scarce |= group.pool.end_rested();
+                is_scarce |= group.pool.close_spare_connections();
             }
             if !is_scarce {
                 tokio::time::sleep(SCARCITY_CHECK_INTERVAL).await;
@@ -325,21 +325,21 @@
         mut request: ConnectionRequest,
         values: &SessionValues,
         deadline: Instant,
-    ) -> Result<Lent<E>, AcquireError> {
+    ) -> Result<PooledConnection<E>, AcquireError> {
         loop {
-            let lent = group.pool.lend(request.clone(), values, deadline).await;
+            let lent = group.pool.acquire(request.clone(), values, deadline).await;
             self.count_forwarded(&request, &lent);
             let offer = match lent {
                 Ok(offer) => offer,
-                Err(NoConnection::Nowhere) => return Err(AcquireError::NoServer),
+                Err(NoConnection::NoServer) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
                 Err(NoConnection::TooLate) => return Err(AcquireError::TooLate),
-                Err(NoConnection::Overloaded { come_back }) => {
-                    return Err(AcquireError::Overloaded { retry_delay: come_back });
+                Err(NoConnection::Overloaded { retry_delay }) => {
+                    return Err(AcquireError::Overloaded { retry_delay });
                 }
             };
             let place = match offer {
-                Offer::Lent(lent) => return Ok(lent),
+                Offer::Ready(lent) => return Ok(lent),
                 Offer::Open(place) => place,
             };
             let server = place.entry.server.clone();
@@ -349,7 +349,7 @@
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
                         true => self.note_reachable(group, &place.entry.service, &server),
-                        false => group.pool.on_detour(&server, true),
+                        false => group.pool.on_tunnel(&server, true),
                     }
                     return Ok(place.opened(connection));
                 }
@@ -383,21 +383,21 @@
             Ok(_) => "begun",
             Err(NoConnection::Overloaded { .. } | NoConnection::QueueFull) => "refused",
             Err(NoConnection::TooLate) => "too_late",
-            Err(NoConnection::Nowhere) => "nowhere",
+            Err(NoConnection::NoServer) => "nowhere",
         };
         let rank = request.rank().index().to_string();
         self.metrics.queued.with_label_values(&[rank.as_str(), outcome]).inc();
     }
 
     /// Returns the identity that a server is given when a connection is opened.
-    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> Introduction<'a> {
-        Introduction { host: &self.settings.host, principal }
+    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
+        ClientIdentity { host: &self.settings.host, principal }
     }
 
     /// Opens a connection, through a tunnel of another daemon if one is in use.
     async fn open(
         &self,
-        place: &OpeningPlace<E>,
+        place: &OpeningPermit<E>,
         tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
@@ -406,7 +406,7 @@
             return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
+            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
                 .await?;
         self.metrics.connections_opened.with_label_values(&["detour"]).inc();
         log::info!(
@@ -426,7 +426,7 @@
         let introduction = self.introduce(&Principal::Daemon);
         let dialect = &self.endpoint_dialect;
         let opened =
-            EndpointConnection::open_through(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
+            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
         (peer, opened.await.map(drop))
     }
 
@@ -439,7 +439,7 @@
     ) {
         self.metrics.connections_opened.with_label_values(&["failed"]).inc();
         group.pool.on_tunnel_failed(server, peer);
-        group.pool.on_detour(server, false);
+        group.pool.on_tunnel(server, false);
         log::info!(
             event = "detour_failed", server = &**server, peer = peer.to_string().as_str(),
             why = lost.to_string().as_str();
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -16,13 +16,13 @@
     dialect::{CallerDialect, EndpointDialect},
     relay::messages::NotSent,
     serve::{
-        connection::{ConnectionLost, Reached, refusal},
+        connection::{ConnectionLost, ServerRoute, refusal},
         connection_request::ConnectionRequest,
         endpoint_task::EndpointTask,
         engine::{AcquireError, Engine, Group},
         job::Job,
-        lent::Lent,
         placement::STALENESS_MARGIN,
+        pooled_connection::PooledConnection,
         primary_wait::Attempts,
         verdict::{NextStep, Progress, after_error, after_loss, is_write_kept},
     },
@@ -42,7 +42,7 @@
 
 /// A connection on which a statement may run now, with the conditions that it runs under.
 pub(crate) struct Assignment<E: EndpointDialect> {
-    pub(crate) lent: Lent<E>,
+    pub(crate) lent: PooledConnection<E>,
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log had reached, as known before the statement was sent.
@@ -93,7 +93,7 @@
             let sent = self
                 .send(&group, job, &mut assignment.lent, assignment.min_point, may_run_again)
                 .await;
-            let reached = assignment.lent.reached();
+            let reached = assignment.lent.server_route();
             let server = reached.server.clone();
             self.note_own_health(&group, &reached, &sent);
             let next = match sent {
@@ -102,7 +102,7 @@
                         return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
-                        assignment.lent.give_back();
+                        assignment.lent.release();
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
@@ -115,7 +115,7 @@
                             assignment.min_point,
                             &answer,
                         );
-                        assignment.lent.give_back();
+                        assignment.lent.release();
                         let next = after_error(code, class);
                         if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
@@ -156,7 +156,7 @@
         let is_primary_read =
             job.work.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
-            || assignment.lent.reached().is_own
+            || assignment.lent.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
@@ -183,7 +183,7 @@
             if let Some(leader) = known_leader.filter(|_| !attempts.requested_sample) {
                 attempts.requested_sample = true;
                 let max_age = max_sample_age(bound, leader.is_valid(now));
-                if self.hear_sample(group, service, &leader.server, max_age).await {
+                if self.fetch_sample(group, service, &leader.server, max_age).await {
                     min_point = self.current_min_point(group, job, class);
                 }
             }
@@ -225,7 +225,7 @@
         // The primary lease may have expired while the statement waited for a connection.
         let now = Instant::now();
         if min_point.is_none() && !self.is_current_leader(service, leader.as_ref(), now) {
-            lent.give_back();
+            lent.release();
             return Err(AssignError::Retry);
         }
         // A read at the primary needs no minimum point while the lease holds. The current view is checked, since
@@ -266,7 +266,12 @@
     }
 
     /// Counts a statement sent, by the role of its server and whether that is in the same zone.
-    pub(crate) fn count_sent(&self, lent: &Lent<E>, group: &Group<E>, is_primary: bool) {
+    pub(crate) fn count_sent(
+        &self,
+        lent: &PooledConnection<E>,
+        group: &Group<E>,
+        is_primary: bool,
+    ) {
         let role = if is_primary { "primary" } else { "replica" };
         let is_same_zone = group
             .pool
@@ -287,7 +292,7 @@
             && job.route.reads != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
-            self.note_starved(group, &job.route.service, &leader.server);
+            self.note_replicas_behind(group, &job.route.service, &leader.server);
         }
         let expected = group.pool.expected_wait();
         match error {
@@ -321,11 +326,11 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        lent: &mut Lent<E>,
+        lent: &mut PooledConnection<E>,
         min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        if let Err(why) = lent.await_turn(job.deadline()).await {
+        if let Err(why) = lent.await_permit(job.deadline()).await {
             return Err((Progress::NotSent, ConnectionLost::NotGranted(why.into())));
         }
         let average = group.pool.latency_of(lent.server());
@@ -342,17 +347,17 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         task: &EndpointTask,
-        lent: &mut Lent<E>,
+        lent: &mut PooledConnection<E>,
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        let reached = lent.reached();
+        let reached = lent.server_route();
         let answered = lent.run(task, deadline);
         tokio::pin!(answered);
         tokio::select! {
             answered = &mut answered => answered,
             () = self.until_abandoned(group, &reached, watch) => {
-                Err((Progress::Sent, ConnectionLost::Silent))
+                Err((Progress::Sent, ConnectionLost::TimedOut))
             }
         }
     }
@@ -362,7 +367,7 @@
     async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        reached: &Reached,
+        reached: &ServerRoute,
         watch: Watch<'_>,
     ) {
         let Watch { service, slow_after, may_run_again } = watch;
@@ -401,8 +406,8 @@
         answer: Answer,
         sent_at: Instant,
     ) -> Answer {
-        let reached = assignment.lent.reached();
-        assignment.lent.give_back();
+        let reached = assignment.lent.server_route();
+        assignment.lent.release();
         let service = &job.route.service;
         self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
         self.note_served(group, job, assignment.leader.is_some());
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -1,8 +1,8 @@
 //! The connections of this daemon to the servers of one service, and the statements that wait for one.
 //!
-//! Connections are few and belong to all daemons together: each may have its share of what a server
-//! grants ([`super::share`]). Who finds none free waits, the most urgent first, and gets whatever suitable
-//! connection is given back next. `docs/PLATFORM.md`, "Connections", says what was weighed.
+//! Connections are scarce and shared by all daemons: each has its share of what a server grants ([`super::share`]).
+//! A statement that finds none free waits, the most urgent first, and gets the next suitable connection that is
+//! released. `docs/PLATFORM.md`, "Connections", explains the design.
 
 use std::{
     cell::RefCell,
@@ -22,7 +22,7 @@
     control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
-        lease::{Lease, Terms},
+        lease::{Lease, LeaseOptions},
         link::RelayLink,
         links::RelayLinks,
     },
@@ -30,10 +30,10 @@
         choose::{Candidate, Choice, choose, mark_non_preferred},
         connection::EndpointConnection,
         connection_request::ConnectionRequest,
-        lent::{Held, Lent, OpeningPlace},
+        pooled_connection::{Backing, OpeningPermit, PooledConnection},
         replay::{Environment, SessionValues},
-        server_queue::Turn,
-        share::{Keep, Owned, Share},
+        server_queue::QueuePermit,
+        share::{IdlePolicy, OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
@@ -45,76 +45,76 @@
 }
 
 pub(super) struct PoolState<E: EndpointDialect> {
-    pub(super) keep: Keep,
+    pub(super) idle_policy: IdlePolicy,
     pub(super) servers: Vec<ServerSlot<E>>,
     pub(super) waiters: [VecDeque<Waiter<E>>; PRIORITIES],
-    /// Whether daemons own connections for others.
-    pub(super) is_owned: bool,
+    /// Whether some daemons own the connections on behalf of others.
+    pub(super) has_owners: bool,
 }
 
-/// Priorities that are told apart; less urgent ones count as the last.
+/// Number of priority levels; less urgent priorities share the last one.
 pub(super) const PRIORITIES: usize = 4;
 
-/// The pool of one service.
+/// The connection pool of one service.
 pub struct GroupPool<E: EndpointDialect> {
     layout: Rc<Layout>,
     relays: Rc<RelayLinks>,
-    /// Which decisions under load are made.
+    /// Which overload decisions are enabled.
     pub(super) overload: OverloadSettings,
     pub(super) state: RefCell<PoolState<E>>,
 }
 
-/// Why no connection was given.
+/// Why no connection was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// No server may run the statement.
-    Nowhere,
-    /// Too many statements wait already.
+    /// No server can run the statement.
+    NoServer,
+    /// Too many statements are waiting.
     QueueFull,
-    /// None was free in time.
+    /// No connection was free before the deadline.
     TooLate,
-    /// More urgent work and that of others leave no room in time.
+    /// More urgent work or the work of other accounts leaves no room before the deadline.
     Overloaded {
-        /// When asking again may help.
-        come_back: Duration,
+        /// How long to wait before retrying.
+        retry_delay: Duration,
     },
 }
 
-/// What a request was answered with.
+/// The result of acquiring: a connection or the permission to open one.
 pub enum Offer<E: EndpointDialect> {
-    /// A connection.
-    Lent(Lent<E>),
-    /// Leave to open one.
-    Open(OpeningPlace<E>),
+    /// A connection that is ready for use.
+    Ready(PooledConnection<E>),
+    /// Permission to open a connection.
+    Open(OpeningPermit<E>),
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Makes a pool without servers for a daemon that stands somewhere in a layout.
+    /// Creates a pool without servers. `layout` says in which zone and region this daemon runs.
     pub fn new(
         layout: Rc<Layout>,
         relays: Rc<RelayLinks>,
         overload: OverloadSettings,
     ) -> GroupPool<E> {
         let state = PoolState {
-            keep: Keep::One,
+            idle_policy: IdlePolicy::KeepOne,
             servers: Vec::new(),
             waiters: Default::default(),
-            is_owned: false,
+            has_owners: false,
         };
         GroupPool { layout, relays, overload, state: RefCell::new(state) }
     }
 
-    /// Takes over which servers there are, how many connections each may have and who owns them.
+    /// Applies the current list of servers, the connection limit of each and the owners of its connections.
     pub fn update(
         self: &Rc<Self>,
         entries: &[Arc<ServerEntry>],
         share: Share,
-        detours: &TunnelPeers,
+        tunnels: &TunnelPeers,
         owners: &Owners,
     ) {
         let mut state = self.state.borrow_mut();
-        state.keep = share.keep;
-        state.is_owned = share.owned.is_some();
+        state.idle_policy = share.idle_policy;
+        state.has_owners = share.owned.is_some();
         for slot in &mut state.servers {
             slot.listed = entries.iter().any(|entry| entry.server == slot.entry.server);
             if !slot.listed {
@@ -129,33 +129,33 @@
             }
         }
         for slot in &mut state.servers {
-            slot.set_detours(detours.get(&slot.entry.server).cloned().unwrap_or_default());
+            slot.set_tunnels(tunnels.get(&slot.entry.server).cloned().unwrap_or_default());
             let is_near = slot.entry.availability_zone == *self.layout.zone();
             let server = &slot.entry.server;
             let ownership = match share.owned {
                 None => None,
-                Some(Owned::InEachZone(_)) => owners.of(server, self.layout.zone()),
-                Some(Owned::Once { .. }) => owners
-                    .of(server, &slot.entry.availability_zone)
-                    .or_else(|| owners.elsewhere(server)),
+                Some(OwnerQuota::PerZone(_)) => owners.in_zone(server, self.layout.zone()),
+                Some(OwnerQuota::Single { .. }) => owners
+                    .in_zone(server, &slot.entry.availability_zone)
+                    .or_else(|| owners.in_any_zone(server)),
             };
-            (slot.limit, slot.keeps) = match (&ownership, share.owned, share.keep) {
+            (slot.limit, slot.min_idle) = match (&ownership, share.owned, share.idle_policy) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
-                    let place = ownership.asked.len();
-                    (owned.most_at(place, self.overload.queue), owned.kept_at(place))
+                    let rank = ownership.owners_before.len();
+                    (owned.limit_of(rank, self.overload.queue), owned.kept_by(rank))
                 }
                 (Some(_), _, _) => (share.limit, 0),
-                (None, _, Keep::One) => (share.limit, 1),
-                (None, _, Keep::OneNear) => (share.limit, u32::from(is_near)),
-                (None, _, Keep::Nothing) => (share.limit, 0),
+                (None, _, IdlePolicy::KeepOne) => (share.limit, 1),
+                (None, _, IdlePolicy::KeepOneInZone) => (share.limit, u32::from(is_near)),
+                (None, _, IdlePolicy::KeepNone) => (share.limit, 0),
             };
-            slot.owners = ownership.map(|it| it.asked).unwrap_or_default();
+            slot.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
             slot.paths.keep_only(&slot.owners);
-            slot.loan = share.loan;
-            let most = slot.limit + share.loan;
+            slot.overflow = share.overflow;
+            let max = slot.limit + share.overflow;
             slot.set_queue(self.queue_room(slot, &share));
             slot.set_competing(self.do_accounts_compete(&share));
-            let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(most) as usize;
+            let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(max) as usize;
             let kept = slot.idle.len().saturating_sub(surplus);
             slot.idle.truncate(kept);
         }
@@ -163,8 +163,8 @@
         self.serve_waiters();
     }
 
-    /// Finds a connection, or leave to open one, waiting until `deadline` if all are in use.
-    pub async fn lend(
+    /// Acquires a connection or the permission to open one. Waits until `deadline` if all are in use.
+    pub async fn acquire(
         self: &Rc<Self>,
         request: ConnectionRequest,
         values: &SessionValues,
@@ -175,25 +175,25 @@
                 Choice::UseIdle(index) => (index, true),
                 Choice::Open(index) => (index, false),
                 Choice::Wait => return self.wait_for_connection(request, deadline).await,
-                Choice::NoServer => return Err(NoConnection::Nowhere),
+                Choice::NoServer => return Err(NoConnection::NoServer),
             };
-            if has_idle && let Some(lent) = self.lease(index, &request, deadline) {
-                return Ok(Offer::Lent(lent));
+            if has_idle && let Some(connection) = self.acquire_remote(index, &request, deadline) {
+                return Ok(Offer::Ready(connection));
             }
-            self.note_try(index, &request);
-            if let Some(offer) = self.lend_queued(index, &request, values, deadline).await? {
+            self.note_attempt(index, &request);
+            if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
         }
     }
 
-    /// Returns the right to use a connection of the server's owner, if another daemon owns them and is there.
-    fn lease(
+    /// Returns a lease on a connection of the server's owner, if another daemon owns them and is reachable.
+    fn acquire_remote(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
         wait_until: Instant,
-    ) -> Option<Lent<E>> {
+    ) -> Option<PooledConnection<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last_resort =
@@ -201,27 +201,27 @@
         let slot = &mut state.servers[index];
         let link = self.owner_of(slot, request, now)?;
         slot.paths.on_pass(&link.owner(), now);
-        slot.at_owners += 1;
-        let terms = Terms {
+        slot.in_use_remote += 1;
+        let options = LeaseOptions {
             service: slot.entry.service.clone(),
             server: slot.entry.server.clone(),
             wait_until,
             priority: request.priority,
-            leads: request.primary.as_ref() == Some(&slot.entry.server),
+            at_primary: request.primary.as_ref() == Some(&slot.entry.server),
             yields: request.yields,
-            tried: request.previous_attempts,
+            previous_attempts: request.previous_attempts,
             last_resort,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
-        let lease = Lease::new(self.relays.clone(), link, terms);
-        let held = Held::Owners(lease);
-        Some(Lent {
+        let lease = Lease::new(self.relays.clone(), link, options);
+        let backing = Backing::Remote(lease);
+        Some(PooledConnection {
             pool: self.clone(),
-            held,
-            lent_at: Instant::now(),
+            backing,
+            acquired_at: Instant::now(),
             yields: false,
-            turn: None,
-            step: None,
+            permit: None,
+            statement_permit: None,
         })
     }
 
@@ -237,21 +237,22 @@
         self.owner_in_use(slot, now)
     }
 
-    /// Returns the link to the first owner that is there and has a way to the server.
+    /// Returns the link to the first owner that is reachable and has a working path to the server.
     pub(super) fn owner_in_use(&self, slot: &ServerSlot<E>, now: Instant) -> Option<Rc<RelayLink>> {
         let owners = slot.owners.iter().filter(|owner| slot.paths.may_pass(owner, now));
         self.relays.to_first(owners.copied(), now)
     }
 
-    /// Returns the link to the daemon that owns the connections to a server, if that is another one and there.
+    /// Returns the link to the daemon that owns the connections to a server; `None` if it is this one or
+    /// unreachable.
     pub(crate) fn owner_link(&self, server: &str) -> Option<Rc<RelayLink>> {
         let now = Instant::now();
         self.with_slot(server, |slot| self.owner_in_use(slot, now))?
     }
 
-    /// Notes that nothing runs any more at an owner that ran there.
-    pub(super) fn leave_owner(&self, server: &str) {
-        self.with_slot(server, |slot| slot.at_owners = slot.at_owners.saturating_sub(1));
+    /// Counts down the work that runs on connections of an owner.
+    pub(super) fn release_remote(&self, server: &str) {
+        self.with_slot(server, |slot| slot.in_use_remote = slot.in_use_remote.saturating_sub(1));
     }
 
     fn choose_now(&self, request: &ConnectionRequest) -> Choice {
@@ -265,14 +266,14 @@
             });
         }
         if candidates.is_empty() && request.only.is_none() {
-            // Better a server that was away a moment ago than none.
+            // No server is left: consider those that are avoided after recent failures too.
             for slot in &mut state.servers {
-                slot.away_until = None;
+                slot.avoid_until = None;
                 slot.lagging_until = None;
             }
             candidates = self.candidates(&mut state, request, now);
         }
-        choose(&candidates, state.keep != Keep::One)
+        choose(&candidates, state.idle_policy != IdlePolicy::KeepOne)
     }
 
     fn candidates(
@@ -291,9 +292,9 @@
                     index,
                     reach: self.layout.reach(&slot.entry.availability_zone),
                     is_primary: request.primary.as_ref() == Some(&slot.entry.server),
-                    // Its queue is at the owner, where the whole zone's demand is seen.
+                    // The owner has the queue, since it sees the demand of the whole zone.
                     idle: 1,
-                    in_use: slot.at_owners,
+                    in_use: slot.in_use_remote,
                     limit: u32::MAX,
                     is_full: false,
                     is_non_preferred: false,
@@ -308,9 +309,9 @@
             let queue = slot.queue.as_ref().filter(|_| waits_elsewhere);
             Some(Candidate {
                 index,
-                reach: match slot.detours.is_empty() {
+                reach: match slot.tunnels.is_empty() {
                     true => self.layout.reach(&slot.entry.availability_zone),
-                    // Through another daemon nothing is near.
+                    // A connection through another daemon is never the nearest.
                     false => {
                         Reach::SameRegion.max(self.layout.reach(&slot.entry.availability_zone))
                     }
@@ -318,7 +319,7 @@
                 is_primary: request.primary.as_ref() == Some(&slot.entry.server),
                 idle: slot.idle_for(request),
                 in_use: queue.map_or(slot.in_use, |queue| queue.outstanding()),
-                // Where it has a queue, statements wait in that one.
+                // Statements wait in the server's own queue, if it has one.
                 limit: queue.map_or_else(|| slot.limit_at(now), |_| u32::MAX),
                 is_full: slot.is_full_for(request),
                 is_non_preferred: false,
@@ -329,7 +330,7 @@
         .collect()
     }
 
-    /// Takes the idle connection that needs the least to be sent before the statement.
+    /// Takes the idle connection that needs the fewest commands before the statement.
     pub(super) fn take_idle(
         &self,
         index: usize,
@@ -338,7 +339,7 @@
     ) -> Option<Box<EndpointConnection<E>>> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
-        slot.idle.retain(|(_, connection)| connection.is_quiet());
+        slot.idle.retain(|(_, connection)| connection.is_reusable());
         let fitting = |wanted: fn(&Environment, &SessionValues) -> bool| {
             slot.idle.iter().rposition(|(_, idle)| {
                 request.accepts_principal(&idle.principal) && wanted(&idle.environment, values)
@@ -347,50 +348,57 @@
         let best = fitting(Environment::has_values)
             .or_else(|| fitting(Environment::can_become))
             .or_else(|| fitting(|_, _| true))?;
-        slot.take(request.yields);
+        slot.on_acquired(request.yields);
         Some(slot.idle.remove(best).1)
     }
 
-    pub(super) fn place(
+    pub(super) fn permit_opening(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
-        turn: Option<Turn>,
-    ) -> OpeningPlace<E> {
+        permit: Option<QueuePermit>,
+    ) -> OpeningPermit<E> {
         let mut state = self.state.borrow_mut();
         let slot = &mut state.servers[index];
         slot.make_room();
-        slot.take(request.yields);
-        OpeningPlace {
+        slot.on_acquired(request.yields);
+        OpeningPermit {
             pool: self.clone(),
             entry: slot.entry.clone(),
             yields: request.yields,
-            settled: false,
-            turn,
+            is_opened: false,
+            permit,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         }
     }
 
-    /// Gives who waits leave to open a connection to a server, if it still waits.
-    pub(super) fn offer_place(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
-        let place = {
+    /// Offers a waiting statement the permission to open a connection to a server.
+    pub(super) fn offer_opening(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
+        let found = {
             let state = self.state.borrow();
             state.servers.iter().position(|slot| &*slot.entry.server == server)
         };
-        let Some(index) = place else { return };
-        let place = self.place(index, &waiter.request, None);
-        // A place that nobody takes any more gives itself up when it is dropped.
-        let _ = waiter.grant.send(Offer::Open(place));
+        let Some(index) = found else { return };
+        let permit = self.permit_opening(index, &waiter.request, None);
+        // If the waiter is gone, dropping the permit releases its place.
+        let _ = waiter.grant.send(Offer::Open(permit));
     }
 
-    pub(super) fn lent(
+    pub(super) fn pooled(
         self: &Rc<Self>,
         connection: Box<EndpointConnection<E>>,
         yields: bool,
-        turn: Option<Turn>,
-    ) -> Lent<E> {
-        let held = Held::Own(connection);
-        Lent { pool: self.clone(), held, lent_at: Instant::now(), yields, turn, step: None }
+        permit: Option<QueuePermit>,
+    ) -> PooledConnection<E> {
+        let backing = Backing::Local(connection);
+        PooledConnection {
+            pool: self.clone(),
+            backing,
+            acquired_at: Instant::now(),
+            yields,
+            permit,
+            statement_permit: None,
+        }
     }
 
     pub(super) fn with_slot<R>(
@@ -402,13 +410,13 @@
         state.servers.iter_mut().find(|slot| &*slot.entry.server == server).map(act)
     }
 
-    /// Ends connections that nobody has needed for a while; `true` if there may be more to end.
-    pub fn end_rested(&self) -> bool {
+    /// Closes connections that have been idle for too long. Returns `true` if more may have to be closed later.
+    pub fn close_spare_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let is_scarce = state.keep != Keep::One;
+        let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
         if is_scarce {
             for slot in &mut state.servers {
-                slot.end_spares();
+                slot.close_spare();
             }
         }
         is_scarce
@@ -417,21 +425,21 @@
     pub(super) fn put_idle(&self, connection: Box<EndpointConnection<E>>) {
         let server = connection.server.clone();
         self.with_slot(&server, |slot| {
-            slot.leave(false);
-            let is_wanted = (connection.is_direct || !slot.detours.is_empty())
+            slot.on_released(false);
+            let is_wanted = (connection.is_direct || !slot.tunnels.is_empty())
                 && connection.incarnation == slot.entry.incarnation;
             if is_wanted
                 && slot.listed
-                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.loan
+                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.overflow
             {
                 slot.idle.push((Instant::now(), connection));
-                slot.end_spares();
+                slot.close_spare();
             }
         });
     }
 
-    pub(super) fn give_up(self: &Rc<Self>, server: &str, yields: bool) {
-        self.with_slot(server, |slot| slot.leave(yields));
+    pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
+        self.with_slot(server, |slot| slot.on_released(yields));
         self.serve_waiters();
     }
 }
--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -36,7 +36,7 @@
         }
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(offer)) => Ok(offer),
-            Ok(Err(_)) => Err(NoConnection::Nowhere),
+            Ok(Err(_)) => Err(NoConnection::NoServer),
             Err(_) => Err(NoConnection::TooLate),
         }
     }
@@ -53,7 +53,7 @@
             };
             let Some(entry) = free else { return };
             let Some(waiter) = self.next_waiter(&entry.server) else { return };
-            self.offer_place(&entry.server, waiter);
+            self.offer_opening(&entry.server, waiter);
         }
     }
 
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -17,8 +17,8 @@
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
         replay::SessionValues,
-        server_queue::{NotBegun, Turn},
-        share::{Owned, Share},
+        server_queue::{QueuePermit, QueueRefusal},
+        share::{OwnerQuota, Share},
         slot::ServerSlot,
     },
 };
@@ -31,23 +31,23 @@
     pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
-        let connections = slot.limit + share.loan;
+        let connections = slot.limit + share.overflow;
         let owners = match owned {
-            Owned::Once { .. } => 1,
+            OwnerQuota::Single { .. } => 1,
             // The owners of all zones share the slots in the same way as the connections.
-            Owned::InEachZone(count) => slots.div_ceil(count.max(1)),
+            OwnerQuota::PerZone(count) => slots.div_ceil(count.max(1)),
         };
         Some(Room { slots, connections, owners })
     }
 
     /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
-        self.overload.queue && self.state.borrow().is_owned
+        self.overload.queue && self.state.borrow().has_owners
     }
 
     /// Whether accounts compete for the connections to a server, since each connection serves one account.
     pub(super) fn do_accounts_compete(&self, share: &Share) -> bool {
-        self.overload.reuse && matches!(share.owned, Some(Owned::Once { .. }))
+        self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
     /// Returns the load of a server that has a queue at this daemon.
@@ -57,7 +57,7 @@
 
     /// Waits for the statement's turn in the queue of the server at `index`, then returns a connection or the
     /// permission to open one. Returns `None` if there was no connection and a server must be chosen again.
-    pub(super) async fn lend_queued(
+    pub(super) async fn acquire_queued(
         self: &Rc<Self>,
         index: usize,
         request: &ConnectionRequest,
@@ -69,10 +69,10 @@
             let slot = &state.servers[index];
             (slot.entry.server.clone(), slot.queue.clone())
         };
-        let turn = match (queue, &request.principal) {
+        let permit = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
                 let queue_request = request_for(request, principal, deadline);
-                let wait = queue.await_turn(queue_request);
+                let wait = queue.await_permit(queue_request);
                 Some(unless_cancelled(request.cancellation.as_ref(), wait).await?)
             }
             // Commands of the daemon itself, and statements for a server without a queue, wait only for a connection.
@@ -88,13 +88,13 @@
             self.state.borrow_mut().servers[index].note_use(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
-            return Ok(Some(Offer::Lent(self.lent(connection, request.yields, turn))));
+            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, permit))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
-        if may_open || turn.is_none() {
-            return Ok(Some(Offer::Open(self.place(index, request, turn))));
+        if may_open || permit.is_none() {
+            return Ok(Some(Offer::Open(self.permit_opening(index, request, permit))));
         }
-        drop(turn);
+        drop(permit);
         self.await_opening(&server, deadline).await
     }
 
@@ -106,7 +106,7 @@
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
         if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
-            return Err(NoConnection::Nowhere);
+            return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
         if recheck_at >= deadline {
@@ -120,13 +120,13 @@
 /// Waits for a turn, unless the requesting daemon cancels the request or disconnects.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
-    wait: impl Future<Output = Result<Turn, NotBegun>>,
-) -> Result<Turn, NotBegun> {
+    wait: impl Future<Output = Result<QueuePermit, QueueRefusal>>,
+) -> Result<QueuePermit, QueueRefusal> {
     let Some(cancellation) = cancellation else { return wait.await };
     tokio::select! {
         biased;
-        turn = wait => turn,
-        () = cancellation.cancelled() => Err(NotBegun::TooLate),
+        permit = wait => permit,
+        () = cancellation.cancelled() => Err(QueueRefusal::TooLate),
     }
 }
 
@@ -136,20 +136,20 @@
     Request { rank: request.rank(), account, stage, until }
 }
 
-impl From<NotBegun> for NoConnection {
-    fn from(why: NotBegun) -> NoConnection {
+impl From<QueueRefusal> for NoConnection {
+    fn from(why: QueueRefusal) -> NoConnection {
         match why {
-            NotBegun::Overloaded { come_back } => NoConnection::Overloaded { come_back },
-            NotBegun::TooLate => NoConnection::TooLate,
+            QueueRefusal::Overloaded { retry_delay } => NoConnection::Overloaded { retry_delay },
+            QueueRefusal::TooLate => NoConnection::TooLate,
         }
     }
 }
 
-impl From<NotBegun> for NotSent {
-    fn from(why: NotBegun) -> NotSent {
+impl From<QueueRefusal> for NotSent {
+    fn from(why: QueueRefusal) -> NotSent {
         match why {
-            NotBegun::Overloaded { .. } => NotSent::Overloaded,
-            NotBegun::TooLate => NotSent::TooLate,
+            QueueRefusal::Overloaded { .. } => NotSent::Overloaded,
+            QueueRefusal::TooLate => NotSent::TooLate,
         }
     }
 }
--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -88,12 +88,12 @@
     /// not at all.
     pub fn tunnel_to(&self, server: &str) -> Option<SocketAddr> {
         let now = Instant::now();
-        self.with_slot(server, |slot| slot.detour(now))?
+        self.with_slot(server, |slot| slot.tunnel(now))?
     }
 
     /// Records that a connection to a server through another daemon failed.
     pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
-        self.with_slot(server, |slot| slot.note_detour_failed(peer));
+        self.with_slot(server, |slot| slot.note_tunnel_failed(peer));
     }
 
     /// Whether every listed server except the given one was lagging recently.
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -19,7 +19,7 @@
         engine::{Engine, Group},
         execute::{AssignError, Assignment, RETRY_PAUSE, Sample, refusal_code},
         job::{Job, Work},
-        lent::Lent,
+        pooled_connection::PooledConnection,
         primary_wait::Attempts,
         verdict::{NextStep, after_error, transaction_after_loss},
     },
@@ -38,7 +38,7 @@
     /// Whether it is read-only.
     pub read_only: bool,
     /// Its connection; `None` before the first statement that runs on a server.
-    pub lent: Option<Lent<E>>,
+    pub lent: Option<PooledConnection<E>>,
     /// The leader under whose lease it began, if it runs at the primary.
     pub(crate) leader: Option<GroupLeader>,
     /// Whether it may have written.
@@ -100,7 +100,7 @@
                 return answer;
             }
             let Some(lent) = transaction.lent.as_mut() else { continue };
-            let reached = lent.reached();
+            let reached = lent.server_route();
             let sent_at = Instant::now();
             match self.send(&group, job, lent, None, false).await {
                 Ok(answer) => {
@@ -138,12 +138,12 @@
     }
 
     /// Rolls a transaction back in the background and returns its connection to the pool.
-    pub fn roll_back(self: &Rc<Self>, mut lent: Lent<E>) {
+    pub fn roll_back(self: &Rc<Self>, mut lent: PooledConnection<E>) {
         tokio::task::spawn_local(async move {
             let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_TIMEOUT;
             match lent.run(&rollback, deadline).await {
-                Ok(answer) if answer.state == TransactionState::Idle => lent.give_back(),
+                Ok(answer) if answer.state == TransactionState::Idle => lent.release(),
                 // Closing the connection also rolls the transaction back.
                 Ok(_) | Err(_) => drop(lent),
             }
@@ -173,7 +173,7 @@
                 EndpointTask { min_point: assignment.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             attempts.sent += 1;
-            let reached = assignment.lent.reached();
+            let reached = assignment.lent.server_route();
             // At an owner, the wait for a connection comes first.
             let has_queues = group.pool.has_queues();
             let max_wait = if reached.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
@@ -208,7 +208,7 @@
                         );
                         attempts.last_error = Some(code);
                         match answer.state {
-                            TransactionState::Idle => assignment.lent.give_back(),
+                            TransactionState::Idle => assignment.lent.release(),
                             _ => self.roll_back(assignment.lent),
                         }
                         match after_error(code, StatementClass::Read) {
@@ -238,7 +238,7 @@
     /// for longer than the primary lease under which it was sent.
     fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         assignment.leader.is_none()
-            || assignment.lent.reached().is_own
+            || assignment.lent.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
@@ -275,7 +275,11 @@
         answer: Answer,
     ) -> Answer {
         if let Some(code) = answer.error_code() {
-            self.log_server_error(job, transaction.lent.as_ref().map(Lent::server), code);
+            self.log_server_error(
+                job,
+                transaction.lent.as_ref().map(PooledConnection::server),
+                code,
+            );
         }
         match answer.state {
             TransactionState::Open => {
@@ -292,7 +296,7 @@
             TransactionState::Idle => {}
         }
         if let Some(lent) = transaction.lent.take() {
-            lent.give_back();
+            lent.release();
         }
         let Some(leader) = transaction.leader.clone() else { return answer };
         let committed = matches!(answer.outcome, Outcome::Complete(_)) && job.work == Work::Commit;
