--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -83,15 +83,15 @@
     /// The store was restored from a backup, so its record may be outdated.
     Restored,
     /// The primary is no longer listed.
-    Gone,
+    Unlisted,
     /// The primary process restarted and lost the state in which it was primary.
     Restarted,
     /// The primary is leaving.
     Leaving,
     /// Enough witnesses can't reach the primary.
     Unreachable,
-    /// All replicas apply too slowly for the reads, and the primary can't run all reads alone. A replica that has received
-    /// everything can take over immediately, and the old primary then serves reads.
+    /// The data of every replica is too old for the reads, and the primary can't run all of them alone. A replica that has
+    /// received everything can take over immediately, and the old primary then serves reads.
     ReplicasBehind,
 }
 
@@ -101,7 +101,7 @@
             ChangeReason::Unknown => "unknown",
             ChangeReason::LeftUnfinished => "left_unfinished",
             ChangeReason::Restored => "restored",
-            ChangeReason::Gone => "gone",
+            ChangeReason::Unlisted => "gone",
             ChangeReason::Restarted => "reborn",
             ChangeReason::Leaving => "leaving",
             ChangeReason::Unreachable => "unreachable",
@@ -252,6 +252,7 @@
         ended
     }
 
+    /// Fences the old primary and promotes a successor, or resumes where an earlier attempt stopped.
     async fn complete_change(
         &self,
         service: &Name,
@@ -303,12 +304,12 @@
         record: &LeadershipRecord,
     ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
-        let asks =
+        let requests =
             entries.iter().filter(|entry| !entry.leaving || *entry.server == *record.primary);
-        let asks = asks.map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let requests = requests.map(|entry| (entry.clone(), EndpointText::Status)).collect();
         let mut commands = Commands::new(self);
         commands.timeout = PLANNED_COMMAND_TIMEOUT;
-        let statuses = commands.send_all(asks).await;
+        let statuses = commands.send_all(requests).await;
         let leads = |entry: &Arc<ServerEntry>| *entry.server == *record.primary;
         let primary = statuses.iter().find(|(entry, status)| leads(entry) && status.leads);
         let (_, primary) = primary.ok_or(ChangeFailure::NoSuccessor)?;
@@ -328,7 +329,7 @@
         state.catalog.services.get(service).map_or(0, |rule| rule.synchronous_replicas)
     }
 
-    /// Records that the group's primary is being changed; from then on no daemon renews its primary lease.
+    /// Records that the group's primary is being changed; daemons that know of it no longer renew their primary leases.
     pub(crate) async fn begin_change(
         &self,
         service: &Name,
@@ -451,20 +452,20 @@
     ) {
         let others = self.entries(service).into_iter();
         let others = others.filter(|entry| *entry.server != *chosen.server);
-        let asks = others.map(|entry| match *entry.server == *old_primary {
+        let requests = others.map(|entry| match *entry.server == *old_primary {
             // It becomes a replica immediately instead of when it learns of the new primary.
             true => (entry, EndpointText::StepDown { term }),
             false => (entry, EndpointText::Resume),
         });
-        commands.send_all(asks.collect()).await;
+        commands.send_all(requests.collect()).await;
     }
 
     /// Writes the first record of a group, which names the server that already leads.
     pub(crate) async fn record_first_primary(&self, service: &Name) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         let mut commands = Commands::new(self);
-        let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
-        let statuses = commands.send_all(asks).await;
+        let requests = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let statuses = commands.send_all(requests).await;
         if statuses.len() < majority(entries.len()) {
             return Err(ChangeFailure::NoMajority);
         }
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -57,10 +57,10 @@
     /// Sends commands to several servers concurrently; returns the statuses of those that answered.
     pub(crate) async fn send_all(
         &mut self,
-        asks: Vec<(Arc<ServerEntry>, EndpointText)>,
+        requests: Vec<(Arc<ServerEntry>, EndpointText)>,
     ) -> Vec<(Arc<ServerEntry>, EndpointStatus)> {
         let (control, timeout) = (self.control, self.timeout);
-        let running = asks.into_iter().map(|(entry, text)| {
+        let running = requests.into_iter().map(|(entry, text)| {
             let existing = self.connections.remove(&entry.server);
             async move {
                 let answered = control.send_command(existing, entry.clone(), text, timeout).await;
@@ -95,8 +95,8 @@
     ) {
         let give_up_at = Instant::now() + CATCH_UP_TIMEOUT;
         loop {
-            let asks = replicas.iter().map(|entry| (entry.clone(), EndpointText::Status));
-            let statuses = self.send_all(asks.collect()).await;
+            let requests = replicas.iter().map(|entry| (entry.clone(), EndpointText::Status));
+            let statuses = self.send_all(requests.collect()).await;
             if statuses.iter().any(|(_, status)| status.received >= old.received) {
                 return;
             }
@@ -126,7 +126,7 @@
             Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)) => {
                 let (answer, answered) = oneshot::channel();
                 let deadline = Instant::now() + timeout;
-                let ask = CommandRequest {
+                let request = CommandRequest {
                     service: entry.service.clone(),
                     server: entry.server.clone(),
                     text,
@@ -134,7 +134,7 @@
                     answer,
                 };
                 // If the queue is full, the serving thread is overloaded; the caller repeats the command.
-                let _ = self.serving_requests.try_send(ServingRequest::Command(ask));
+                let _ = self.serving_requests.try_send(ServingRequest::Command(request));
                 match tokio::time::timeout_at(deadline.into(), answered).await {
                     Ok(Ok(status)) => Ok((None, status)),
                     Ok(Err(_)) | Err(_) => {
--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -224,7 +224,7 @@
         let mut waiting = FuturesUnordered::new();
         for server in servers {
             let (answer, answered) = oneshot::channel();
-            let ask = CommandRequest {
+            let request = CommandRequest {
                 service: service.clone(),
                 server: server.clone(),
                 text: EndpointText::Status,
@@ -232,7 +232,7 @@
                 answer,
             };
             // If the queue is full, the serving thread is overloaded; this round omits the server.
-            if self.serving_requests.try_send(ServingRequest::Command(ask)).is_ok() {
+            if self.serving_requests.try_send(ServingRequest::Command(request)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
             }
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -81,8 +81,8 @@
         let mut primary = if is_planned {
             // It remains primary until the order, so that nothing is lost if the change can't continue.
             self.await_acknowledgements(service, run).await;
-            let ask = |entry| (entry, EndpointText::Status);
-            commands.send_all(old.iter().cloned().map(ask).collect()).await
+            let status = |entry| (entry, EndpointText::Status);
+            commands.send_all(old.iter().cloned().map(status).collect()).await
         } else {
             commands.send_all(old.iter().cloned().map(step_down).collect()).await
         };
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -23,8 +23,7 @@
 /// How often a shared store read is checked for its age within one refresh interval.
 const CHECKS_PER_REFRESH: u32 = 4;
 
-/// The largest number of missing changes that a daemon of a large fleet fetches from the store itself. With some hundred
-/// bytes each they are a tenth of a megabyte.
+/// The largest number of missing changes that a daemon of a large fleet with an upstream fetches from the store itself.
 const MAX_MISSING_CHANGES_FETCHED: u64 = 500;
 
 impl<P: Adapter> Control<P> {
@@ -58,9 +57,9 @@
                 Ok(()) => {
                     backoff.reset();
                     self.drop_stale_upstream();
-                    let rest = interval.saturating_sub(asked_at.elapsed());
+                    let pause = interval.saturating_sub(asked_at.elapsed());
                     tokio::select! {
-                        () = tokio::time::sleep(rest) => {}
+                        () = tokio::time::sleep(pause) => {}
                         () = self.refresh_now.notified() => {}
                     }
                 }
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -32,10 +32,10 @@
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Groups whose current primary is determined concurrently, so that their answers can be read within the command timeout.
 const MAX_CONCURRENT_DISCOVERIES: usize = 32;
-/// The shortest rest after a check of the groups.
-const MIN_REST: Duration = Duration::from_millis(5);
-/// The rest after a check in multiples of its duration, so that checks take at most a fifth of the thread's time.
-const REST_PER_CHECK: f64 = 4.0;
+/// The shortest pause after a check of the groups.
+const MIN_PAUSE: Duration = Duration::from_millis(5);
+/// The pause after a check in multiples of its duration, so that checks take at most a fifth of the thread's time.
+const PAUSE_PER_CHECK: f64 = 4.0;
 /// The longest random delay before a daemon tries to become promoter, and the delay per member before it in the order of
 /// names. Without it all daemons of a fleet that starts would request a lease and collide.
 const ACQUIRE_JITTER: Duration = Duration::from_millis(60);
@@ -77,8 +77,8 @@
             }
             // Handles a burst of changes with one check, and leaves time for the thread's other tasks: with a thousand
             // groups a check takes several milliseconds.
-            let rest = checked_at.elapsed().mul_f64(REST_PER_CHECK);
-            tokio::time::sleep(rest.clamp(MIN_REST, CHECK_INTERVAL)).await;
+            let pause = checked_at.elapsed().mul_f64(PAUSE_PER_CHECK);
+            tokio::time::sleep(pause.clamp(MIN_PAUSE, CHECK_INTERVAL)).await;
         }
     }
 
@@ -305,8 +305,8 @@
         let entries = self.entries(service);
         let Some(primary) = entries.iter().find(|entry| *entry.server == *known.record.primary)
         else {
-            let is_gone = !entries.is_empty() && self.is_missing_beyond_grace(service);
-            return is_gone.then_some(ChangeReason::Gone);
+            let is_unlisted = !entries.is_empty() && self.is_missing_beyond_grace(service);
+            return is_unlisted.then_some(ChangeReason::Unlisted);
         };
         self.state.borrow_mut().primary_missing_since.remove(service);
         if self.state.borrow_mut().has_primary_restarted(service, &known.record) {
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -21,7 +21,7 @@
     /// The incarnation in which that server became primary, if servers report one. A later incarnation is not the primary.
     #[serde(rename = "primary_life", default, skip_serializing_if = "Option::is_none")]
     pub primary_incarnation: Option<ServerIncarnation>,
-    /// Where the terms that this system's promotions began start in the log, oldest first.
+    /// The starts of the terms that promotions of this system began, oldest first.
     pub starts: Vec<TermStart>,
     /// The change of primary that is in progress.
     pub change: Option<PrimaryChange>,
--- a/crates/proxy/src/control/confirming.rs
+++ b/crates/proxy/src/control/record_confirmation.rs
@@ -62,8 +62,8 @@
         let held = self.held_primary_lease(service, Instant::now());
         let held = HeldPrimaryLease { known_term: held.known_term.max(Term(record.term)), ..held };
         let mut commands = Commands::new(self);
-        let asks = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
-        let answered = commands.send_all(asks).await;
+        let requests = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let answered = commands.send_all(requests).await;
         let statuses: Vec<_> =
             answered.into_iter().map(|(entry, status)| (entry.server.clone(), status)).collect();
         evidence::judge_statuses(&statuses, entries.len(), &held)
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -266,7 +266,7 @@
                 "a server's entry expired; the server is treated as leaving"
             );
         }
-        for server in &lapsed.gone {
+        for server in &lapsed.removed {
             log::info!(event = "server_gone", server = &**server; "a server's entry expired");
         }
         state.published_servers = state.servers.by_service();
--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -23,7 +23,7 @@
     /// Servers that are treated as leaving from now on.
     pub leaving: Vec<Name>,
     /// Servers that are no longer listed.
-    pub gone: Vec<Name>,
+    pub removed: Vec<Name>,
 }
 
 /// Servers by their service.
@@ -130,14 +130,14 @@
         let mut lapsed = Lapsed::default();
         for known in self.known.values_mut() {
             if missing_for(known) >= grace * 2 {
-                lapsed.gone.push(known.entry.server.clone());
+                lapsed.removed.push(known.entry.server.clone());
             } else if missing_for(known) >= grace && !known.entry.leaving {
                 Arc::make_mut(&mut known.entry).leaving = true;
                 lapsed.leaving.push(known.entry.server.clone());
             }
         }
         self.known.retain(|_, known| missing_for(known) < grace * 2);
-        self.lapsed -= lapsed.gone.len();
+        self.lapsed -= lapsed.removed.len();
         if lapsed != Lapsed::default() {
             self.by_service = None;
         }
--- a/crates/proxy/src/control/witnesses.rs
+++ b/crates/proxy/src/control/witnesses.rs
@@ -1,7 +1,7 @@
 //! The witnesses of a server: the daemons that probe it when another one can't reach it, and whose reports count.
 //!
-//! Limiting them keeps a suspicion in a large fleet from opening a connection to the server from every daemon. See
-//! `docs/PLATFORM.md`, "Who leads".
+//! Their number is limited, which bounds the connections to a suspected server in a large fleet. See `docs/PLATFORM.md`,
+//! "Who leads".
 
 use std::collections::HashMap;
 
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -61,13 +61,13 @@
         ("a newer term, followed", vec![primary(), newer("b"), follower("c")], 3, found("b", 4)),
         ("two leading servers", vec![primary(), (Name::from("b"), status(true, 3, 9, 0))], 3, None),
         ("an older term than known", vec![primary(), replica("b")], 4, None),
-        ("nobody answered", vec![], 3, None),
+        ("no answers", vec![], 3, None),
     ];
     for (name, statuses, known, expected) in cases {
         // The held lease is the one that the statuses have to confirm.
         let held = match &expected {
-            Some(lead) => {
-                HeldPrimaryLease { known_term: Term(known), usable_leader: Some(lead.clone()) }
+            Some(leader) => {
+                HeldPrimaryLease { known_term: Term(known), usable_leader: Some(leader.clone()) }
             }
             None => lease(known, "a", 3),
         };
@@ -322,7 +322,7 @@
     assert_eq!(servers.expire(grace, now + grace * 5), nothing);
     servers.remove("k/a", now + grace * 5);
     // It may have left without announcing it: it gets no new reads, and a primary is replaced while it leads.
-    let leaving = Lapsed { leaving: vec![Name::from("a")], gone: Vec::new() };
+    let leaving = Lapsed { leaving: vec![Name::from("a")], removed: Vec::new() };
     assert_eq!(servers.expire(grace, now + grace * 6), leaving);
     assert!(servers.by_service()[&Name::from("s")][0].leaving);
     assert_eq!(servers.expire(grace, now + grace * 6), nothing, "it is reported once");
@@ -330,8 +330,8 @@
     assert!(!servers.by_service()[&Name::from("s")][0].leaving);
     servers.remove("k/a", now + grace * 7);
     assert_eq!(servers.expire(grace, now + grace * 8), leaving);
-    let gone = Lapsed { leaving: Vec::new(), gone: vec![Name::from("a")] };
-    assert_eq!(servers.expire(grace, now + grace * 9), gone);
+    let removed = Lapsed { leaving: Vec::new(), removed: vec![Name::from("a")] };
+    assert_eq!(servers.expire(grace, now + grace * 9), removed);
     assert!(servers.by_service().is_empty());
 }
 
--- a/crates/proxy/tests/suspicions.rs
+++ b/crates/proxy/tests/suspicions.rs
@@ -53,7 +53,7 @@
     let mut schedule = ProbeSchedule::default();
     let now: Vec<bool> =
         (0..45).map(|report| schedule.on_suspected(&pair, at(report * 20))).collect();
-    assert_eq!(now.iter().filter(|look| **look).count(), 1);
+    assert_eq!(now.iter().filter(|is_due| **is_due).count(), 1);
     assert!(schedule.on_suspected(&other, at(500)), "each server has its own schedule");
     assert_eq!(schedule.take_due(at(900)), []);
     // It was suspected after the first probe, so a second one is due; it was not suspected again.
