--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -1,4 +1,4 @@
-//! The link to one owner: many requests at a time over one connection, and whether the owner still lives.
+//! The link to one owner: multiplexes requests over one connection and detects whether the owner is alive.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,30 +23,32 @@
     serve::{connection::ConnectionLost, verdict::Progress},
 };
 
-/// How long an owner may take to accept the link; a round trip within a zone, on a host that is busy.
+/// Timeout for setting up the link: a round trip within a zone, on a busy host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long nothing may come while requests wait before the owner is asked whether it lives. Servers take
-/// longer than this when they are busy; the owner itself answers at once.
+/// How long no data may arrive while requests wait before the owner is pinged. A busy server may answer later than
+/// this, but the owner itself answers at once.
 const PING_AFTER: Duration = Duration::from_millis(200);
-/// How long it may take to say so before it counts as dead.
+/// How long the answer to a ping may take before the owner counts as dead.
 const PONG_TIMEOUT: Duration = Duration::from_millis(250);
-/// After how long without its word new requests go to another owner, where there is one: a few round trips between zones.
+/// How long the answer to a ping may take before new requests go to another owner, if there is one: a few round
+/// trips between zones.
 const SILENT_AFTER: Duration = Duration::from_millis(80);
-/// How often that is looked at while requests wait.
+/// How often liveness is checked while requests wait.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the owner may leave the link's bytes unread.
+/// Timeout for writing to the link.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Requests that may wait to be written.
+/// Capacity of the queue of requests to be written.
 const OUTGOING_CAPACITY: usize = 512;
 
-/// How long beyond its wait for a connection the owner may begin with a request: its own scheduling, on a busy or slow
-/// host, and the way there.
+/// How long after its wait for a connection the owner may still start a request. Covers the way there and
+/// scheduling on a busy host.
 const START_SLACK: Duration = Duration::from_millis(150);
 
-/// How a request on a link ended, if not with an outcome: how far it had come, and why.
+/// Why a request got no outcome: how far it had come, and what was lost.
 pub type LinkLost = (Progress, ConnectionLost);
 
-/// Who waits for an answer, which server it is to come from, and until when the owner may begin with what was asked.
+/// A request that waits for its answer: the receiver, the server that runs it, and the time until which the owner
+/// may start it.
 struct PendingRequest {
     answer: oneshot::Sender<Option<RelayOutcome>>,
     server: String,
@@ -63,16 +65,16 @@
     next_number: Cell<u64>,
     is_connected: Cell<bool>,
     is_down: Cell<bool>,
-    /// Since when the owner owes a sign of life.
+    /// When the owner was pinged, if it has not answered since.
     pinged_at: Cell<Option<Instant>>,
-    /// The owner's clock as it was last heard, and when.
+    /// The owner's clock as last received, and when it was received.
     clock: Cell<Option<(u64, Instant)>>,
-    /// The load of the servers whose connections it owns, as its last answers told it.
+    /// The load of the owner's servers, from its latest answers.
     loads: RefCell<HashMap<String, AgedReport>>,
 }
 
 impl RelayLink {
-    /// Starts a link; requests wait until it stands.
+    /// Starts a link; requests wait until it is connected.
     pub fn start(owner: SocketAddr) -> Rc<RelayLink> {
         let (outgoing, requests) = flume::bounded(OUTGOING_CAPACITY);
         let link = Rc::new(RelayLink {
@@ -90,27 +92,27 @@
         link
     }
 
-    /// Whether it has ended: the owner did not answer, or left.
+    /// Whether the link has ended, because the owner closed it or did not answer.
     pub fn is_down(&self) -> bool {
         self.is_down.get()
     }
 
-    /// Returns where the owner is.
+    /// Returns the owner's address.
     pub fn owner(&self) -> SocketAddr {
         self.owner
     }
 
-    /// Whether it stood once; it may be down by now.
+    /// Whether the link was ever connected; it may be down by now.
     pub fn is_connected(&self) -> bool {
         self.is_connected.get()
     }
 
-    /// Whether the owner has owed a sign of life for longer than a host that lives takes for it.
+    /// Whether the answer to a ping is so late that the owner may be dead.
     pub fn is_silent(&self, now: Instant) -> bool {
         self.pinged_at.get().is_some_and(|at| now.duration_since(at) >= SILENT_AFTER)
     }
 
-    /// Returns the load of a server as the owner told it last.
+    /// Returns the last reported load of a server.
     pub fn load_of(&self, server: &str) -> Option<AgedReport> {
         self.loads.borrow().get(server).copied()
     }
@@ -120,11 +122,11 @@
         self.next_number()
     }
 
-    /// Asks the owner, until `deadline`.
+    /// Sends a request to the owner and waits for the outcome until `deadline`.
     ///
-    /// An owner that is found to be dead may only be frozen, and have what it was sent before it when it goes on. It
-    /// begins with nothing after the moment that it is told by its own clock, and whoever asks for a write hears that
-    /// the link was lost only after that moment: what is in doubt then can't take effect after a later write.
+    /// An owner that is taken for dead may only be frozen, and read the request when it resumes. So each request
+    /// carries a start deadline by the owner's clock, and the loss of a write is reported only after that deadline.
+    /// A write in doubt then can't take effect after a later one.
     pub async fn call(
         &self,
         request: RelayRequest,
@@ -150,15 +152,15 @@
         if self.is_down() {
             return Err((Progress::NotSent, ConnectionLost::OwnerLost));
         }
-        let asked = PendingRequest { answer, server: request.server.clone(), start_until };
-        self.waiting.borrow_mut().insert(number, asked);
+        let pending = PendingRequest { answer, server: request.server.clone(), start_until };
+        self.waiting.borrow_mut().insert(number, pending);
         let _forget_on_drop = ForgetOnDrop { link: self, number };
         if self.outgoing.try_send(RelayRequest { number, ..request }).is_err() {
             return Err((Progress::NotSent, ConnectionLost::OwnerLost));
         }
         match tokio::time::timeout_at(deadline.into(), answered).await {
             Ok(Ok(Some(outcome))) => Ok(outcome),
-            // A link that never stood has sent nothing.
+            // A link that was never connected has sent nothing.
             Ok(Ok(None) | Err(_)) if !self.is_connected.get() => {
                 Err((Progress::NotSent, ConnectionLost::OwnerLost))
             }
@@ -167,9 +169,9 @@
         }
     }
 
-    /// Tells the owner something that it does not answer.
+    /// Sends a request that has no answer.
     pub fn send(&self, request: RelayRequest) {
-        // A link that is full or down ends soon, and the owner gives up everything that came over it.
+        // Without room in the queue the link is closed, and the owner cancels everything that it got over it.
         if self.outgoing.try_send(request).is_err() {
             self.is_down.set(true);
         }
@@ -188,7 +190,7 @@
                 self.carry(frames, requests).await
             }
             Ok(Err(error)) => error.to_string(),
-            Err(_) => "no connection in time".to_owned(),
+            Err(_) => "connect timed out".to_owned(),
         };
         self.is_down.set(true);
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
@@ -197,30 +199,30 @@
             waiting = waiting.len();
             "the link to an owner of connections ended"
         );
-        for asked in waiting.into_values() {
-            // Whoever asked may have given up.
-            let _ = asked.answer.send(None);
+        for pending in waiting.into_values() {
+            // The receiver may be gone.
+            let _ = pending.answer.send(None);
         }
     }
 
-    /// Carries requests and answers until something goes wrong; returns what.
+    /// Transfers requests and answers until the link fails; returns why.
     async fn carry(&self, frames: Frames, requests: flume::Receiver<RelayRequest>) -> String {
         let (mut sink, mut stream) = frames.split();
-        let mut heard_at = Instant::now();
-        // Whether something was asked since anything was heard, also if nobody waits for it any more.
+        let mut received_at = Instant::now();
+        // Whether a request was sent since data last arrived, even if nobody waits for its answer any more.
         let mut is_answer_owed = false;
         let mut check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
         loop {
             if self.is_down() {
-                return "the link was full".to_owned();
+                return "the queue of requests is full".to_owned();
             }
             let is_waiting = !self.waiting.borrow().is_empty();
             tokio::select! {
                 request = requests.recv_async() => {
-                    let Ok(request) = request else { return "the daemon ends".to_owned() };
-                    if !is_answer_owed && self.is_only_one(request.number) {
-                        // Silence counts from when there is something to answer.
-                        heard_at = Instant::now();
+                    let Ok(request) = request else { return "this daemon is stopping".to_owned() };
+                    if !is_answer_owed && self.is_only_pending(request.number) {
+                        // The time without data is measured from the first outstanding request.
+                        received_at = Instant::now();
                     }
                     is_answer_owed |= self.waiting.borrow().contains_key(&request.number);
                     let written = async {
@@ -233,24 +235,24 @@
                     match timeout(WRITE_TIMEOUT, written).await {
                         Ok(Ok(())) => {}
                         Ok(Err(error)) => return error.to_string(),
-                        Err(_) => return "its bytes stay unread".to_owned(),
+                        Err(_) => return "write timed out".to_owned(),
                     }
                 }
                 frame = stream.next() => {
-                    heard_at = Instant::now();
+                    received_at = Instant::now();
                     self.pinged_at.set(None);
                     is_answer_owed = false;
                     match frame.map(|frame| frame.map(|it| RelayAnswer::decode(it.freeze()))) {
-                        Some(Ok(Ok(answer))) => self.take(answer),
+                        Some(Ok(Ok(answer))) => self.on_answer(answer),
                         Some(Ok(Err(error))) => return error.to_string(),
                         Some(Err(error)) => return error.to_string(),
                         None => return "closed by the owner".to_owned(),
                     }
                 }
-                // A moment of its own: requests that keep coming don't put it off.
+                // A fixed time, so that a flow of new requests can't delay the check.
                 () = tokio::time::sleep_until(check_at.into()), if is_waiting || is_answer_owed => {
                     check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
-                    match check_liveness(heard_at, self.pinged_at.get(), Instant::now()) {
+                    match check_liveness(received_at, self.pinged_at.get(), Instant::now()) {
                         LivenessAction::Wait => {}
                         LivenessAction::Ping => {
                             self.pinged_at.set(Some(Instant::now()));
@@ -261,51 +263,51 @@
                             match timeout(WRITE_TIMEOUT, sink.send(encoded(&ping))).await {
                                 Ok(Ok(())) => {}
                                 Ok(Err(error)) => return error.to_string(),
-                                Err(_) => return "its bytes stay unread".to_owned(),
+                                Err(_) => return "write timed out".to_owned(),
                             }
                         }
-                        LivenessAction::GiveUp => return "no sign of life".to_owned(),
+                        LivenessAction::GiveUp => return "no answer to a ping".to_owned(),
                     }
                 }
             }
         }
     }
 
-    /// Whether a request is the only one that waits for an answer; one that is told only never does.
-    fn is_only_one(&self, number: u64) -> bool {
+    /// Whether a request is the only one that waits for an answer.
+    fn is_only_pending(&self, number: u64) -> bool {
         let waiting = self.waiting.borrow();
         waiting.len() == 1 && waiting.contains_key(&number)
     }
 
-    /// Tells the owner by its own clock until when it may begin with a request. Its clock was read before it was
-    /// heard here, so the moment is never later than the one that this daemon waits for.
+    /// Sets the start deadline of a request by the owner's clock. The clock was read before it was received here,
+    /// so the deadline is never later than the one that this daemon waits for.
     fn with_start_deadline(&self, request: RelayRequest) -> RelayRequest {
         let start_until = self.waiting.borrow().get(&request.number).map(|it| it.start_until);
         let start_deadline_ms = match (self.clock.get(), start_until) {
-            (Some((clock_ms, heard_at)), Some(until)) => {
-                clock_ms + until.saturating_duration_since(heard_at).as_millis() as u64
+            (Some((clock_ms, received_at)), Some(until)) => {
+                clock_ms + until.saturating_duration_since(received_at).as_millis() as u64
             }
-            // Nobody waits for it any more, or it is no statement.
+            // The request was cancelled or needs no start deadline.
             _ => 0,
         };
         RelayRequest { start_deadline_ms, ..request }
     }
 
-    fn take(&self, answer: RelayAnswer) {
+    fn on_answer(&self, answer: RelayAnswer) {
         self.clock.set(Some((answer.clock_ms, Instant::now())));
-        let Some(waiting) = self.waiting.borrow_mut().remove(&answer.number) else { return };
+        let Some(pending) = self.waiting.borrow_mut().remove(&answer.number) else { return };
         if let Some(load) = &answer.load {
-            let report = load.heard(Instant::now());
-            self.loads.borrow_mut().insert(waiting.server, report);
+            let report = load.aged_report(Instant::now());
+            self.loads.borrow_mut().insert(pending.server, report);
         }
         if let Some(outcome) = answer.outcome {
-            // Whoever asked may have given up.
-            let _ = waiting.answer.send(Some(outcome));
+            // The receiver may be gone.
+            let _ = pending.answer.send(Some(outcome));
         }
     }
 }
 
-/// ForgetOnDrop a request however its asker ends.
+/// Removes a request when its future ends or is dropped.
 struct ForgetOnDrop<'a> {
     link: &'a RelayLink,
     number: u64,
@@ -316,49 +318,51 @@
         let is_answered = self.link.waiting.borrow_mut().remove(&self.number).is_none();
         if !is_answered {
             let task = Some(RelayTask::Release(false));
-            let unwanted = RelayRequest { number: self.number, task, ..RelayRequest::default() };
-            // What waits there needn't begin any more; where it isn't told, its time ends there too.
-            let _ = self.link.outgoing.try_send(unwanted);
+            let cancel = RelayRequest { number: self.number, task, ..RelayRequest::default() };
+            // Cancels the request at the owner. If this is not sent, the request expires there.
+            let _ = self.link.outgoing.try_send(cancel);
         }
     }
 }
 
-/// What to do about an owner from which nothing comes.
+/// What to do about an owner that sends nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessAction {
-    /// Nothing; it was heard a moment ago.
+    /// Nothing yet.
     Wait,
-    /// Ask whether it lives.
+    /// Send a ping.
     Ping,
-    /// Take it for dead.
+    /// Treat the owner as dead.
     GiveUp,
 }
 
-/// Judges an owner's silence while requests wait for it.
+/// Decides what to do about an owner from the time of its last data and of an unanswered ping.
 pub fn check_liveness(
-    heard_at: Instant,
+    received_at: Instant,
     pinged_at: Option<Instant>,
     now: Instant,
 ) -> LivenessAction {
     match pinged_at {
         Some(pinged_at) if now.duration_since(pinged_at) >= PONG_TIMEOUT => LivenessAction::GiveUp,
         Some(_) => LivenessAction::Wait,
-        None if now.duration_since(heard_at) >= PING_AFTER => LivenessAction::Ping,
+        None if now.duration_since(received_at) >= PING_AFTER => LivenessAction::Ping,
         None => LivenessAction::Wait,
     }
 }
 
-/// Connects and waits until the owner takes the link; nothing is sent before, so that a link which it does not take
-/// has left nothing there. Returns the owner's clock too.
+/// Connects and waits until the owner accepts the link; returns the link and the owner's clock. Requests are sent
+/// only after that, so an owner that does not accept has received none.
 async fn connect(owner: SocketAddr) -> std::io::Result<(Frames, u64)> {
     let mut frames = framed(TcpStream::connect(owner).await?);
     let request = PeerRequest { question: Some(PeerQuestion::Relay(RelayMessage {})) };
     frames.send(Bytes::from(request.encode_to_vec())).await?;
     let Some(frame) = frames.next().await else {
-        return Err(std::io::Error::other("the owner does not take the link"));
+        return Err(std::io::Error::other(
+            "the owner closed the connection before accepting the link",
+        ));
     };
-    let taken = RelayAnswer::decode(frame?.freeze()).map_err(std::io::Error::other)?;
-    Ok((frames, taken.clock_ms))
+    let accepted = RelayAnswer::decode(frame?.freeze()).map_err(std::io::Error::other)?;
+    Ok((frames, accepted.clock_ms))
 }
 
 fn encoded(message: &impl Message) -> Bytes {
--- a/crates/proxy/src/relay/load_messages.rs
+++ b/crates/proxy/src/relay/load_messages.rs
@@ -1,29 +1,29 @@
-//! How the load of a server is told between daemons.
+//! The message by which owners report the load of a server.
 
 use std::time::{Duration, Instant};
 
 use overload::{AgedReport, LoadReport, RANKS};
 use prost::Message;
 
-/// The load of a server, as its owner tells it.
+/// The load of a server, as reported by its owner.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadMessage {
-    /// How long a statement would wait, in microseconds, by priority, the most urgent first.
+    /// Expected wait of a statement in microseconds, by priority, the most urgent first.
     #[prost(uint32, repeated, tag = "1")]
     pub waits_us: Vec<u32>,
-    /// Statements that the server runs at the moment.
+    /// Statements that the server runs now.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Statements that it is to run at a time.
+    /// Statements that the server may run at a time.
     #[prost(uint32, tag = "3")]
     pub slots: u32,
-    /// How long it takes for one, in microseconds.
+    /// Time that the server takes for a statement, in microseconds.
     #[prost(uint32, tag = "4")]
     pub service_us: u32,
 }
 
 impl LoadMessage {
-    /// Returns how a report is told.
+    /// Creates the message for a load report.
     pub fn of(report: &LoadReport) -> LoadMessage {
         LoadMessage {
             waits_us: report.waits.iter().copied().map(micros).collect(),
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Returns what was told. Priorities that the teller does not know wait as long as the last that it knows.
-    pub fn heard(&self, now: Instant) -> AgedReport {
+    /// Converts the message to a report. Priorities that it does not list get the wait of the last one.
+    pub fn aged_report(&self, now: Instant) -> AgedReport {
         let mut waits = [Duration::ZERO; RANKS];
-        let told =
+        let listed =
             self.waits_us.iter().chain(std::iter::repeat(self.waits_us.last().unwrap_or(&0)));
-        for (wait, told_us) in waits.iter_mut().zip(told) {
-            *wait = Duration::from_micros(u64::from(*told_us));
+        for (wait, wait_us) in waits.iter_mut().zip(listed) {
+            *wait = Duration::from_micros(u64::from(*wait_us));
         }
         let service = Duration::from_micros(u64::from(self.service_us));
         let report = LoadReport { waits, running: self.running, slots: self.slots, service };
