--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -1,4 +1,4 @@
-//! The right to run statements on an owner's connections: one, or those of a transaction.
+//! A lease on an owner's connections, for one statement or one transaction.
 
 use std::{
     net::SocketAddr,
@@ -24,40 +24,40 @@
     statement::Answer,
 };
 
-/// What a statement tells the owner of itself beside what is to run.
+/// What the owner is told about a statement besides its task.
 #[derive(Clone, Debug)]
 pub struct LeaseOptions {
-    /// The service.
+    /// The service of the server.
     pub service: Name,
-    /// The server that is to run it.
+    /// The server that runs it.
     pub server: Name,
-    /// Until when it may wait for a connection.
+    /// Deadline for getting a connection.
     pub wait_until: Instant,
-    /// The most urgent is 0.
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// Whether the server is taken for the primary.
+    /// Whether the sender regards the server as the primary.
     pub at_primary: bool,
-    /// Whether it leaves room at the primary for others.
+    /// Whether it yields to other statements at the primary.
     pub yields: bool,
     /// How often the operation was sent before.
     pub previous_attempts: u32,
     /// Whether no other server that could run it is known.
     pub last_resort: bool,
-    /// For whom it runs.
+    /// The principal that it runs for.
     pub principal: Principal,
 }
 
-/// The right to run statements on an owner's connections. Dropped, it ends with whatever is open.
+/// Permission to run statements on an owner's connections. Dropping it ends an open transaction.
 pub struct Lease {
     links: Rc<RelayLinks>,
     link: Rc<RelayLink>,
     options: LeaseOptions,
-    /// The transaction's number, once one was opened.
+    /// The number of the transaction, once one is open.
     transaction: Option<u64>,
 }
 
 impl Lease {
-    /// Makes one over a link.
+    /// Creates a lease over a link.
     pub fn new(links: Rc<RelayLinks>, link: Rc<RelayLink>, options: LeaseOptions) -> Lease {
         Lease { links, link, options, transaction: None }
     }
@@ -67,12 +67,12 @@
         &self.options.server
     }
 
-    /// Returns where the owner is.
+    /// Returns the owner's address.
     pub fn owner(&self) -> SocketAddr {
         self.link.owner()
     }
 
-    /// Runs something on the owner's connection.
+    /// Runs a task on the owner's connection.
     pub async fn run(
         &mut self,
         task: &EndpointTask,
@@ -82,7 +82,7 @@
             self.transaction = Some(self.link.new_transaction());
         }
         let Some(relay_task) = RelayTask::of(&task.kind) else {
-            let lost = ConnectionLost::Malformed("a task that is not handed on".to_owned());
+            let lost = ConnectionLost::Malformed("a task that is never forwarded".to_owned());
             return Err((Progress::NotSent, lost));
         };
         let now = Instant::now();
@@ -97,13 +97,13 @@
         };
         match self.link.call(request, deadline).await? {
             RelayOutcome::Answered(answer) => answer.answer().ok_or_else(|| {
-                let why = "an owner's answer".to_owned();
+                let why = "an unexpected answer of the owner".to_owned();
                 (Progress::Sent, ConnectionLost::Malformed(why))
             }),
             RelayOutcome::NotSent(why) => {
                 let why = NotSent::from_number(why);
                 if why == NotSent::Unwilling {
-                    self.links.pass_over(&self.link, now);
+                    self.links.avoid(&self.link, now);
                 }
                 Err((Progress::NotSent, ConnectionLost::NotGranted(why)))
             }
@@ -112,13 +112,13 @@
             | RelayOutcome::Sampled(_)
             | RelayOutcome::Voted(_)
             | RelayOutcome::QuotaGranted(_) => {
-                let why = "an owner's answer".to_owned();
+                let why = "an unexpected answer of the owner".to_owned();
                 Err((Progress::Sent, ConnectionLost::Malformed(why)))
             }
         }
     }
 
-    /// Ends it where nothing is open any more, so that the connection goes to others.
+    /// Ends the lease with nothing open, so that the owner can reuse the connection.
     pub fn release(mut self) {
         self.end(true);
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Rounded down, so that nothing seems to have more time than it has.
+/// Rounds down, so that a request never gets more time than it has.
 fn millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -207,7 +207,7 @@
         };
         let address = view.members.get(&asked).copied();
         let Some(address) = address else { return Grant::NotKeeper };
-        let link = self.relays.to_member(address, now);
+        let link = self.relays.member_link(address, now);
         let request = RelayRequest {
             account: account.to_string(),
             task: Some(RelayTask::RequestQuota(QuotaRequestMessage::of(&wanted))),
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -366,7 +366,7 @@
         request: &VoteRequest,
         asked_at: Instant,
     ) {
-        let link = self.relays.to_member(address, asked_at);
+        let link = self.relays.member_link(address, asked_at);
         let request =
             RelayRequest { task: Some(RelayTask::Vote(request.into())), ..RelayRequest::default() };
         let engine = self.clone();
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -240,7 +240,7 @@
     /// Returns the link to the first owner that is reachable and has a working path to the server.
     pub(super) fn owner_in_use(&self, slot: &ServerSlot<E>, now: Instant) -> Option<Rc<RelayLink>> {
         let owners = slot.owners.iter().filter(|owner| slot.paths.may_pass(owner, now));
-        self.relays.to_first(owners.copied(), now)
+        self.relays.first_usable(owners.copied(), now)
     }
 
     /// Returns the link to the daemon that owns the connections to a server; `None` if it is this one or
