--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between a daemon and the owner of the connections that it uses.
+//! Messages between a daemon and the owner of the connections that it uses.
 
 use std::time::Duration;
 
@@ -24,72 +24,73 @@
     },
 };
 
-/// A statement, or what goes with the statements of a transaction.
+/// A statement, or a control request that belongs to a transaction.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayRequest {
-    /// Names the request on its link; the answer names it too.
+    /// Number of the request on its link, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The transaction that it belongs to, as the asker numbers them; 0 for a statement by itself.
+    /// Number of the transaction, assigned by the sender; 0 for a single statement.
     #[prost(uint64, tag = "2")]
     pub transaction: u64,
-    /// The service.
+    /// The service of the server.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// The server that is to run it.
+    /// The server that runs it.
     #[prost(string, tag = "4")]
     pub server: String,
-    /// The caller's identifier, passed on unchanged; empty for what the daemon itself asks.
+    /// The caller's identifier, passed on unchanged; empty for requests of the daemon itself.
     #[prost(bytes = "bytes", tag = "5")]
     pub id: Bytes,
     /// The values of the caller's session.
     #[prost(message, repeated, tag = "6")]
     pub values: Vec<ValueMessage>,
-    /// The point that the server's log must hold.
+    /// The log point that the server must hold.
     #[prost(message, optional, tag = "7")]
     pub min_point: Option<PointMessage>,
     /// How long it may wait for a connection, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub wait_ms: u64,
-    /// How long its answer is of use, in milliseconds.
+    /// How long the sender waits for the answer, in milliseconds.
     #[prost(uint64, tag = "9")]
     pub answer_timeout_ms: u64,
-    /// The most urgent is 0.
+    /// 0 is the most urgent.
     #[prost(uint32, tag = "10")]
     pub priority: u32,
-    /// Whether the asker takes the server for the primary.
+    /// Whether the sender regards the server as the primary.
     #[prost(bool, tag = "11")]
     pub at_primary: bool,
-    /// Whether it leaves room at the primary for statements that only the primary can run.
+    /// Whether it yields to statements that only the primary can run.
     #[prost(bool, tag = "12")]
     pub yields: bool,
-    /// By the owner's clock, as its answers tell it, until when the owner may begin with it at the server.
+    /// Until when the owner may start it, by the owner's clock as sent in its answers, in milliseconds.
     #[prost(uint64, tag = "22")]
     pub start_deadline_ms: u64,
-    /// The client account for whom it runs; empty for none.
+    /// The client account that it runs for; empty for none.
     #[prost(string, tag = "24")]
     pub account: String,
-    /// How often the operation was sent to a server or an owner before, over all daemons.
+    /// How often the operation was sent to a server or an owner before, by all daemons.
     #[prost(uint32, tag = "27")]
     pub previous_attempts: u32,
-    /// Whether the asker knows no other server that could run it, so that one which is set aside does.
+    /// Whether the sender knows no other server that could run it, so that it runs even if the circuit breaker is
+    /// open.
     #[prost(bool, tag = "31")]
     pub last_resort: bool,
-    /// What is to be done; none if it is of a later version than this daemon knows.
+    /// The task; `None` if it is of a version that this daemon does not know.
     #[prost(oneof = "RelayTask", tags = "13, 14, 15, 16, 17, 18, 19, 20, 21, 23, 25, 26")]
     pub task: Option<RelayTask>,
 }
 
-/// What is to be done.
+/// The task of a request.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RelayTask {
-    /// Open a transaction; the value says whether it only reads.
+    /// Open a transaction; the value says whether it is read-only.
     #[prost(bool, tag = "13")]
     Begin(bool),
     /// Roll the transaction back.
     #[prost(bool, tag = "14")]
     Rollback(bool),
-    /// Commit it.
+    /// Commit the transaction.
     #[prost(bool, tag = "15")]
     Commit(bool),
     /// Run a read.
@@ -101,24 +102,24 @@
     /// Run a prepared statement.
     #[prost(message, tag = "18")]
     Execute(ExecuteMessage),
-    /// Ask for the server's status, or give it a command and ask for that.
+    /// Send a command to the server and return its status.
     #[prost(message, tag = "19")]
     Command(CommandMessage),
-    /// The transaction is over: its connection goes to others. Nothing is answered. `false` if the connection
-    /// must be rolled back first, since the asker does not know how the transaction stands. Without a transaction the
-    /// statement of the same number is wanted no more: if it waits, it does not begin.
+    /// End the transaction, without an answer. `false` if the connection must be rolled back first, because the
+    /// sender does not know the state of the transaction. Outside a transaction it cancels the waiting statement of
+    /// the same number.
     #[prost(bool, tag = "20")]
     Release(bool),
-    /// Only says that the owner lives.
+    /// Answer at once, to show that the owner is alive.
     #[prost(bool, tag = "21")]
     Ping(bool),
-    /// Tell where the server's log stood when it was asked as the primary, not longer ago than so many milliseconds.
+    /// Return a sample of the primary's log point that is at most this many milliseconds old.
     #[prost(uint64, tag = "23")]
     Sample(u64),
-    /// Vote for the asker as the keeper of the accounts' limits.
+    /// Vote for the sender as the limit coordinator.
     #[prost(message, tag = "25")]
     Vote(VoteRequestMessage),
-    /// Lend operations of the account's limit.
+    /// Grant quota of the account's limit.
     #[prost(message, tag = "26")]
     RequestQuota(QuotaRequestMessage),
 }
@@ -129,15 +130,15 @@
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The value.
+    /// The value itself.
     #[prost(string, tag = "2")]
     pub value: String,
 }
 
-/// A point of a log.
+/// A point in a log.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct PointMessage {
-    /// The term.
+    /// The term of the point.
     #[prost(uint64, tag = "1")]
     pub term: u64,
     /// The position in the log.
@@ -151,7 +152,7 @@
     /// Whether it writes.
     #[prost(bool, tag = "1")]
     pub writes: bool,
-    /// What was prepared.
+    /// The prepared text.
     #[prost(string, tag = "2")]
     pub shape: String,
     /// The caller's arguments.
@@ -165,64 +166,65 @@
     /// 0 status, 1 pause, 2 resume, 3 step down.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The term that a pause or a step down is for.
+    /// The term for a pause or a step down.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
 
-/// What became of a request.
+/// The answer to a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayAnswer {
-    /// The request's number; 0 for the first answer on a link, which says that the owner takes it.
+    /// The request's number; 0 for the first answer on a link, which accepts the link.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The owner's steady clock as it made the answer, in milliseconds since its process began, rounded down.
+    /// The owner's monotonic clock when it sent the answer, in milliseconds since its process started, rounded
+    /// down.
     #[prost(uint64, tag = "6")]
     pub clock_ms: u64,
-    /// The load of the server that the request named, as it is now; none if the answer is about no server.
+    /// The current load of the server in the request; `None` if the request was not for a server.
     #[prost(message, optional, tag = "10")]
     pub load: Option<LoadMessage>,
-    /// When asking again may help, in milliseconds from now; 0 if that is not known.
+    /// How long to wait before retrying, in milliseconds; 0 if unknown.
     #[prost(uint64, tag = "11")]
     pub retry_delay_ms: u64,
-    /// What became of it.
+    /// The outcome of the request.
     #[prost(oneof = "RelayOutcome", tags = "2, 3, 4, 5, 7, 8, 9")]
     pub outcome: Option<RelayOutcome>,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RelayOutcome {
     /// The server answered.
     #[prost(message, tag = "2")]
     Answered(AnswerMessage),
-    /// Nothing was sent to the server, and why: the number of a [`NotSent`].
+    /// Nothing was sent to the server; the value is the number of a [`NotSent`].
     #[prost(uint32, tag = "3")]
     NotSent(u32),
-    /// It was sent and no answer came; why, for the log.
+    /// The statement was sent and no answer came; the value says why, for the log.
     #[prost(string, tag = "4")]
     Lost(String),
-    /// The owner lives.
+    /// The answer to a ping.
     #[prost(bool, tag = "5")]
     Pong(bool),
-    /// Where the primary's log stood.
+    /// A sample of the primary's log point.
     #[prost(message, tag = "7")]
     Sampled(SampledMessage),
-    /// Whether the asker has the vote.
+    /// The answer to a vote request.
     #[prost(message, tag = "8")]
     Voted(VoteAnswerMessage),
-    /// What was lent.
+    /// The answer to a quota request.
     #[prost(message, tag = "9")]
     QuotaGranted(QuotaGrantMessage),
 }
 
-/// Where a primary's log stood, if the owner knows.
+/// A sample of a primary's log point.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct SampledMessage {
-    /// The point; none if the owner has no sample that is young enough, so that the asker has to ask the primary.
+    /// The log point; `None` if the owner has no recent sample and the sender should read at the primary.
     #[prost(message, optional, tag = "1")]
     pub point: Option<PointMessage>,
-    /// How long before this answer the primary was asked, in milliseconds, rounded up.
+    /// How long before this answer the sample was requested from the primary, in milliseconds, rounded up.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
@@ -233,35 +235,35 @@
     /// Rows, in order.
     #[prost(bytes = "bytes", repeated, tag = "1")]
     pub rows: Vec<Bytes>,
-    /// The proof of a success.
+    /// The proof of a successful statement.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub proof: Option<Bytes>,
-    /// The error's code, as the log writes it; empty for a success.
+    /// The error code as it appears in the log; empty for a success.
     #[prost(string, tag = "3")]
     pub code: String,
-    /// The error's text.
+    /// The error text.
     #[prost(bytes = "bytes", tag = "4")]
     pub text: Bytes,
-    /// 0 no transaction is open, 1 one is, 2 one has failed.
+    /// State of the transaction: 0 none open, 1 open, 2 failed.
     #[prost(uint32, tag = "5")]
     pub state: u32,
-    /// Where the server's log stood.
+    /// The server's log point.
     #[prost(message, optional, tag = "6")]
     pub point: Option<PointMessage>,
 }
 
-/// Why an owner sent nothing to the server.
+/// Why an owner did not send a request to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
-    /// No connection was free in time, too much waits already, or the time to begin with it was over.
+    /// No connection was free in time, the queue is full, or the start deadline has passed.
     TooLate,
-    /// The server can't be reached from there.
+    /// The owner can't reach the server.
     Unreachable,
-    /// The owner stops, or does not understand what it is asked.
+    /// The owner is stopping or does not know the task.
     Unwilling,
-    /// More urgent work and that of other accounts leave no room in time; told at once.
+    /// More urgent work or the work of other accounts leaves no room in time.
     Overloaded,
-    /// The server fails much of what it is given and is set aside for now.
+    /// The owner's circuit breaker for the server is open.
     SetAside,
 }
 
@@ -274,12 +276,12 @@
         NotSent::SetAside,
     ];
 
-    /// Returns the number by which it is told.
+    /// Returns the number on the wire.
     pub fn number(self) -> u32 {
         self as u32
     }
 
-    /// Returns what a number tells; whatever is of a later version counts as unwilling.
+    /// Returns the reason for a number; unknown numbers count as `Unwilling`.
     pub fn from_number(number: u32) -> NotSent {
         NotSent::ALL.get(number as usize).copied().unwrap_or(NotSent::Unwilling)
     }
@@ -298,7 +300,7 @@
 }
 
 impl RelayTask {
-    /// Returns how a task is told; `None` for what daemons never ask each other.
+    /// Converts a task; `None` for tasks that are never forwarded.
     pub fn of(task: &TaskKind) -> Option<RelayTask> {
         Some(match task {
             TaskKind::Begin { read_only } => RelayTask::Begin(*read_only),
@@ -369,7 +371,7 @@
 }
 
 impl RelayRequest {
-    /// Returns what is to be run; `None` if it can't be understood.
+    /// Converts the request to a task; `None` if it is incomplete or unknown.
     pub fn endpoint_task(&self) -> Option<EndpointTask> {
         let values: SessionValues = self
             .values
@@ -384,7 +386,7 @@
         })
     }
 
-    /// Whether running it may change something for good.
+    /// Whether running it may change data.
     pub fn may_write(&self) -> bool {
         match &self.task {
             Some(RelayTask::Write(_) | RelayTask::Commit(_) | RelayTask::Command(_)) => true,
@@ -393,12 +395,12 @@
         }
     }
 
-    /// Returns how urgent it is.
+    /// Returns the rank of its priority.
     pub fn rank(&self) -> Rank {
         Rank::of_priority(u8::try_from(self.priority).unwrap_or(u8::MAX))
     }
 
-    /// Whether another server may do as well: it only reads, and not at the primary for want of a replica.
+    /// Whether another server may run it: it only reads, is not for the primary, and an alternative is known.
     pub fn may_go_elsewhere(&self) -> bool {
         let only_reads = match &self.task {
             Some(RelayTask::Read(_) | RelayTask::Begin(true)) => true,
@@ -408,7 +410,7 @@
         only_reads && !self.at_primary && !self.last_resort
     }
 
-    /// Whether the owner may not begin with it any more at this time of its clock.
+    /// Whether the start deadline has passed at this time of the owner's clock.
     pub fn is_past_start(&self, clock_ms: u64) -> bool {
         clock_ms >= self.start_deadline_ms
     }
@@ -418,21 +420,22 @@
         Duration::from_millis(self.wait_ms)
     }
 
-    /// Returns how long its answer is of use.
+    /// Returns how long the sender waits for the answer.
     pub fn answer_timeout(&self) -> Duration {
         Duration::from_millis(self.answer_timeout_ms)
     }
 }
 
-/// Returns the values as they are told.
+/// Converts the values of a session.
 pub fn values_of(values: &SessionValues) -> Vec<ValueMessage> {
-    let told = values.iter();
-    told.map(|(name, value)| ValueMessage { name: name.to_string(), value: value.to_string() })
+    let pairs = values.iter();
+    pairs
+        .map(|(name, value)| ValueMessage { name: name.to_string(), value: value.to_string() })
         .collect()
 }
 
 impl AnswerMessage {
-    /// Returns how an answer is told.
+    /// Converts an answer of a server.
     pub fn of(answer: Answer) -> AnswerMessage {
         let (proof, code, text) = match answer.outcome {
             Outcome::Complete(proof) => (Some(proof), String::new(), Bytes::new()),
@@ -452,7 +455,7 @@
         }
     }
 
-    /// Returns the answer; `None` if it can't be understood.
+    /// Converts the message to an answer; `None` if it is invalid.
     pub fn answer(self) -> Option<Answer> {
         let outcome = match self.proof {
             Some(proof) => Outcome::Complete(proof),
