--- a/crates/proxy/src/relay/limit_messages.rs
+++ b/crates/proxy/src/relay/limit_messages.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of the limits of client accounts; see `docs/ACCOUNTS.md`.
+//! Messages between daemons about the limits of client accounts; see `docs/ACCOUNTS.md`.
 
 use std::time::Duration;
 
@@ -6,61 +6,61 @@
 use model::Name;
 use prost::Message;
 
-/// A candidate's question, see [`limits::VoteRequest`].
+/// A candidate's request for a vote, see [`limits::VoteRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct VoteRequestMessage {
     /// The candidate's host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// A number of this life of it.
+    /// Random number of the candidate's incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Whether it has a quorum.
+    /// Whether the candidate has a quorum.
     #[prost(bool, tag = "3")]
     pub is_coordinator: bool,
-    /// Whether it has stopped lending and frees those that are bound to it.
+    /// Whether the candidate has stopped granting quota and releases its voters.
     #[prost(bool, tag = "4")]
     pub ends: bool,
 }
 
-/// The answer, see [`limits::Vote`].
+/// The answer to a vote request, see [`limits::Vote`].
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct VoteAnswerMessage {
-    /// Whether the voter is bound to the candidate, in every life of it.
+    /// Whether the voter is bound to the candidate in each of its incarnations.
     #[prost(bool, tag = "1")]
     pub is_granted: bool,
-    /// Whether it is as far as this life knows.
+    /// Whether the voter is bound to the candidate as far as its current incarnation knows.
     #[prost(bool, tag = "2")]
     pub is_bound: bool,
-    /// Whether its part of what is lent without a keeper goes to the candidate.
+    /// Whether the voter's part of the quota that is granted without a coordinator goes to the candidate.
     #[prost(bool, tag = "3")]
     pub is_provisional: bool,
 }
 
-/// A question for operations of an account's limit, see [`limits::Wanted`].
+/// A request for quota of an account's limit, see [`limits::Wanted`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QuotaRequestMessage {
-    /// The asker's host.
+    /// The requesting host.
     #[prost(string, tag = "1")]
     pub host: String,
     /// Operations that it still holds.
     #[prost(uint32, tag = "2")]
     pub unused: u32,
-    /// Operations that it wants.
+    /// Operations that it requests.
     #[prost(uint32, tag = "3")]
     pub wanted: u32,
 }
 
-/// What was lent, see [`limits::Grant`]; neither where the asked daemon is not the keeper.
+/// The answer to a quota request, see [`limits::Grant`]. Count and wait are 0 if the sender is not the coordinator.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QuotaGrantMessage {
-    /// So many operations.
+    /// Number of granted operations.
     #[prost(uint32, tag = "1")]
     pub count: u32,
-    /// Where nothing is left, when to ask again, in milliseconds.
+    /// If nothing is left, the time until the next request may succeed, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub wait_ms: u64,
-    /// Whom the asked daemon takes for the keeper, where it is not itself and knows one.
+    /// The coordinator, if the sender knows another daemon that is; otherwise empty.
     #[prost(string, tag = "3")]
     pub coordinator: String,
 }
@@ -78,7 +78,7 @@
 }
 
 impl VoteRequestMessage {
-    /// Returns the question.
+    /// Converts the message to a vote request.
     pub fn request(&self) -> VoteRequest {
         let host = Name::from(self.host.as_str());
         VoteRequest {
@@ -98,7 +98,7 @@
 }
 
 impl VoteAnswerMessage {
-    /// Returns the answer.
+    /// Converts the message to a vote.
     pub fn vote(self) -> Vote {
         let VoteAnswerMessage { is_granted, is_bound, is_provisional } = self;
         Vote { is_granted, is_bound, is_provisional }
@@ -106,13 +106,13 @@
 }
 
 impl QuotaRequestMessage {
-    /// Returns how a question is told.
+    /// Creates the message for a quota request.
     pub fn of(wanted: &Wanted) -> QuotaRequestMessage {
         let Wanted { host, unused, wanted } = wanted;
         QuotaRequestMessage { host: host.to_string(), unused: *unused, wanted: *wanted }
     }
 
-    /// Returns the question.
+    /// Converts the message to a quota request.
     pub fn wanted(&self) -> Wanted {
         let host = Name::from(self.host.as_str());
         Wanted { host, unused: self.unused, wanted: self.wanted }
@@ -120,7 +120,7 @@
 }
 
 impl QuotaGrantMessage {
-    /// Returns what was lent.
+    /// Converts the message to a grant.
     pub fn grant(&self) -> Grant {
         match (self.count, self.wait_ms) {
             (0, 0) => Grant::NotKeeper,
@@ -134,7 +134,7 @@
     fn from(grant: Grant) -> QuotaGrantMessage {
         let (count, wait_ms) = match grant {
             Grant::Lent(count) => (count, 0),
-            // Rounded up, so that it is never taken for the answer of who does not keep the limits.
+            // Rounded up, since 0 means that the sender is not the coordinator.
             Grant::Empty(wait) => (0, wait.as_millis() as u64 + 1),
             Grant::NotKeeper => (0, 0),
         };
