--- a/crates/proxy/src/relay/mod.rs
+++ b/crates/proxy/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! Statements that run on another daemon's connections.
+//! Forwards statements to the daemons that own the connections to a server.
 //!
-//! Where there are more daemons than connections to a server, few daemons of a zone own them
-//! ([`routing::owners_of`]) and the others hand them their statements over one link each. Rights, floors and
-//! verdicts are judged where the caller is, as on a connection of its own; an owner only runs what it is given.
-//! See `docs/PLATFORM.md`, "Owned connections".
+//! Where there are more daemons than connections to a server, a few daemons of each zone own them
+//! ([`routing::owners_of`]), and the others forward their statements over one link to each. The forwarding daemon
+//! checks leases, log points and verdicts as for its own connections; an owner only runs what it is sent. See
+//! `docs/PLATFORM.md`, "Owned connections".
 
 pub mod lease;
 pub mod limit_messages;
