--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -1,4 +1,4 @@
-//! Running what other daemons hand over, on the connections that this one owns.
+//! The owner's side of a link: runs the requests of another daemon on this daemon's connections.
 
 use std::{
     cell::RefCell,
@@ -35,17 +35,17 @@
     statement::TransactionState,
 };
 
-/// Answers that may wait to be written to one daemon; behind so many nothing more is read from it.
+/// Capacity of the queue of answers to one daemon. While it is full, no requests are read from the link.
 const OUTGOING_CAPACITY: usize = 512;
-/// Requests of one transaction that may wait; its asker sends the next one after the answer.
+/// Capacity of the queue of requests of one transaction. The sender waits for each answer before the next request.
 const TRANSACTION_CAPACITY: usize = 8;
 
-/// What another daemon has asked for over one link.
+/// The open requests of one link.
 #[derive(Default)]
 struct OpenRequests {
-    /// The requests of open transactions.
+    /// The request queues of open transactions, by number.
     transactions: RefCell<HashMap<u64, Transaction>>,
-    /// Statements by themselves that have not ended.
+    /// Single statements that are not finished, by number.
     singles: RefCell<HashMap<u64, CancellationToken>>,
     /// Cancelled when the link ends.
     link: CancellationToken,
@@ -53,11 +53,11 @@
 
 struct Transaction {
     requests: flume::Sender<RelayRequest>,
-    is_unwanted: CancellationToken,
+    cancellation: CancellationToken,
 }
 
 impl OpenRequests {
-    /// Takes back what was asked: what waits does not begin any more.
+    /// Cancels a request or ends a transaction; what is waiting does not start any more.
     fn cancel(&self, request: RelayRequest) {
         if request.transaction == 0 {
             if let Some(single) = self.singles.borrow_mut().remove(&request.number) {
@@ -66,14 +66,14 @@
             return;
         }
         if let Some(transaction) = self.transactions.borrow_mut().remove(&request.transaction) {
-            transaction.is_unwanted.cancel();
-            // One that has ended by itself needs no release.
+            transaction.cancellation.cancel();
+            // A transaction that has already ended needs no release.
             let _ = transaction.requests.try_send(request);
         }
     }
 }
 
-/// Runs what another daemon hands over until its link ends; what is open then is rolled back.
+/// Serves the requests of another daemon until its link ends, and then rolls back what is open.
 pub async fn serve_relay<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     link: AcceptedLink,
@@ -83,24 +83,24 @@
         Err(error) => {
             log::warn!(
                 event = "relay_failed", why = error.to_string().as_str();
-                "another daemon's link could not be taken over"
+                "could not take over the connection of another daemon's link"
             );
             return;
         }
     };
     let (mut sink, mut stream) = frames.split();
     let (answers, outgoing) = flume::bounded::<RelayAnswer>(OUTGOING_CAPACITY);
-    // It says that the link is taken; there is room.
+    // Accepts the link. The queue is empty, so there is room.
     let _ = answers.try_send(answer_to(0, RelayOutcome::Pong(true)));
     let reading = async {
-        let asked = Rc::new(OpenRequests::default());
-        let _ends_with_link = asked.link.clone().drop_guard();
+        let open = Rc::new(OpenRequests::default());
+        let _ends_with_link = open.link.clone().drop_guard();
         while let Some(Ok(frame)) = stream.next().await {
             let Ok(request) = RelayRequest::decode(frame.freeze()) else {
-                log::warn!(event = "peer_garbled"; "another daemon's statement can't be understood");
+                log::warn!(event = "peer_garbled"; "could not parse a request of another daemon");
                 return;
             };
-            if start(&engine, request, &asked, &answers).await.is_err() {
+            if start(&engine, request, &open, &answers).await.is_err() {
                 return;
             }
         }
@@ -129,39 +129,41 @@
     }
 }
 
-/// The link has ended.
+/// Error of a request on a link that has ended.
 struct LinkEnded;
 
-/// Starts what a request asks for.
+/// Starts the task of a request.
 async fn start<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: RelayRequest,
-    asked: &Rc<OpenRequests>,
+    open: &Rc<OpenRequests>,
     answers: &flume::Sender<RelayAnswer>,
 ) -> Result<(), LinkEnded> {
     let (transaction, number) = (request.transaction, request.number);
     let at_once = match &request.task {
         Some(RelayTask::Ping(_)) => Some(RelayOutcome::Pong(true)),
-        Some(RelayTask::Vote(asked)) => {
-            Some(RelayOutcome::Voted(engine.vote(&asked.request()).into()))
+        Some(RelayTask::Vote(message)) => {
+            Some(RelayOutcome::Voted(engine.vote(&message.request()).into()))
         }
-        Some(RelayTask::RequestQuota(asked)) => {
+        Some(RelayTask::RequestQuota(message)) => {
             let account = Name::from(request.account.as_str());
-            Some(RelayOutcome::QuotaGranted(engine.answer_quota_request(&account, &asked.wanted())))
+            Some(RelayOutcome::QuotaGranted(
+                engine.answer_quota_request(&account, &message.wanted()),
+            ))
         }
         Some(RelayTask::Release(_)) => {
-            asked.cancel(request);
+            open.cancel(request);
             return Ok(());
         }
         Some(RelayTask::Begin(_)) if transaction != 0 => {
             let (requests, taken) = flume::bounded(TRANSACTION_CAPACITY);
-            // It is empty, so there is room.
+            // The queue is empty, so there is room.
             let _ = requests.try_send(request);
-            let is_unwanted = asked.link.child_token();
-            let opened = Transaction { requests, is_unwanted: is_unwanted.clone() };
-            asked.transactions.borrow_mut().insert(transaction, opened);
+            let cancellation = open.link.child_token();
+            let opened = Transaction { requests, cancellation: cancellation.clone() };
+            open.transactions.borrow_mut().insert(transaction, opened);
             let answers = answers.clone();
-            tokio::task::spawn_local(run_transaction(engine.clone(), taken, answers, is_unwanted));
+            tokio::task::spawn_local(run_transaction(engine.clone(), taken, answers, cancellation));
             return Ok(());
         }
         Some(RelayTask::Sample(max_age_ms)) => {
@@ -172,26 +174,26 @@
                 await_servers(&engine, until).await;
                 let group = group_of(&engine, &request);
                 let sampled = answer_sample(&group, &engine, max_age, until).await;
-                // The link may have ended meanwhile.
+                // The link may have ended.
                 let answer = answer_to(number, RelayOutcome::Sampled(sampled));
                 let _ = answers.send_async(answer).await;
             });
             return Ok(());
         }
         Some(_) if transaction != 0 => {
-            let transactions = asked.transactions.borrow();
+            let transactions = open.transactions.borrow();
             let known = transactions.get(&transaction);
             let taken = known.is_some_and(|it| it.requests.try_send(request).is_ok());
             (!taken).then(|| RelayOutcome::Lost("the transaction has ended here".to_owned()))
         }
         Some(_) => {
-            let (engine, answers, asked) = (engine.clone(), answers.clone(), asked.clone());
-            let is_unwanted = asked.link.child_token();
-            asked.singles.borrow_mut().insert(number, is_unwanted.clone());
+            let (engine, answers, open) = (engine.clone(), answers.clone(), open.clone());
+            let cancellation = open.link.child_token();
+            open.singles.borrow_mut().insert(number, cancellation.clone());
             tokio::task::spawn_local(async move {
-                let outcome = run_single(&engine, &request, &is_unwanted).await;
-                asked.singles.borrow_mut().remove(&number);
-                // The link may have ended meanwhile.
+                let outcome = run_single(&engine, &request, &cancellation).await;
+                open.singles.borrow_mut().remove(&number);
+                // The link may have ended.
                 let _ = answers.send_async(answer_with_load(&engine, &request, outcome)).await;
             });
             return Ok(());
@@ -206,7 +208,7 @@
     RelayAnswer { number, outcome: Some(outcome), ..RelayAnswer::default() }
 }
 
-/// Tells the server's load with what became of a request, and when asking again may help.
+/// Adds the server's load and a retry delay to the outcome of a request.
 fn answer_with_load<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
@@ -226,57 +228,58 @@
     RelayOutcome::NotSent(why.number())
 }
 
-/// Runs a statement by itself.
+/// Runs a single statement.
 async fn run_single<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
-    is_unwanted: &CancellationToken,
+    cancellation: &CancellationToken,
 ) -> RelayOutcome {
     let received_at = Instant::now();
     await_servers(engine, received_at + request.wait_limit()).await;
     let group = group_of(engine, request);
     let Some(task) = request.endpoint_task() else { return not_sent(NotSent::Unwilling) };
-    let mut lent = match acquire(engine, &group, request, &task, received_at, is_unwanted).await {
-        Ok(lent) => lent,
-        Err(why) => return not_sent(why),
-    };
+    let mut connection =
+        match acquire(engine, &group, request, &task, received_at, cancellation).await {
+            Ok(connection) => connection,
+            Err(why) => return not_sent(why),
+        };
     if request.is_past_start(engine.clock_ms()) {
-        lent.release();
+        connection.release();
         return not_sent(NotSent::TooLate);
     }
-    let (outcome, state) = run(engine, &group, request, &task, &mut lent, received_at).await;
+    let (outcome, state) = run(engine, &group, request, &task, &mut connection, received_at).await;
     match state {
-        Some(TransactionState::Idle) => lent.release(),
-        Some(_) => engine.roll_back(lent),
-        // Closing it rolls back whatever is open.
-        None => drop(lent),
+        Some(TransactionState::Idle) => connection.release(),
+        Some(_) => engine.roll_back(connection),
+        // Closing the connection rolls back what is open.
+        None => drop(connection),
     }
     outcome
 }
 
-/// Runs the statements of a transaction on one connection, until it is released or its asker is gone.
+/// Runs the statements of a transaction on one connection until it is released or the link ends.
 async fn run_transaction<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     requests: flume::Receiver<RelayRequest>,
     answers: flume::Sender<RelayAnswer>,
-    is_unwanted: CancellationToken,
+    cancellation: CancellationToken,
 ) {
-    let mut lent: Option<PooledConnection<E>> = None;
+    let mut connection: Option<PooledConnection<E>> = None;
     loop {
         let rest = engine.control_view().catalog.idle_transaction;
         let request = match rest {
             Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
                 Ok(request) => request,
-                // Its asker ends one that rests for half as long; this one must be gone.
+                // The sender ends an idle transaction after half of this time, so it must be gone.
                 Err(_) => break,
             },
             None => requests.recv_async().await,
         };
         let Ok(request) = request else { break };
         if let Some(RelayTask::Release(is_clean)) = request.task {
-            match lent.take() {
-                Some(lent) if is_clean => lent.release(),
-                Some(lent) => engine.roll_back(lent),
+            match connection.take() {
+                Some(connection) if is_clean => connection.release(),
+                Some(connection) => engine.roll_back(connection),
                 None => {}
             }
             return;
@@ -287,57 +290,58 @@
         let outcome = match request.endpoint_task() {
             None => not_sent(NotSent::Unwilling),
             Some(task) => {
-                if lent.is_none() {
-                    match acquire(&engine, &group, &request, &task, received_at, &is_unwanted).await
+                if connection.is_none() {
+                    match acquire(&engine, &group, &request, &task, received_at, &cancellation)
+                        .await
                     {
-                        Ok(granted) => lent = Some(granted),
+                        Ok(granted) => connection = Some(granted),
                         Err(why) => {
                             let answer = answer_with_load(&engine, &request, not_sent(why));
-                            // The link may have ended meanwhile.
+                            // The link may have ended.
                             let _ = answers.send_async(answer).await;
                             return;
                         }
                     }
                 }
-                let Some(held) = lent.as_mut() else { return };
-                if let Err(why) = await_permit(&engine, &request, held).await {
+                let Some(leased) = connection.as_mut() else { return };
+                if let Err(why) = await_permit(&engine, &request, leased).await {
                     let answer = answer_with_load(&engine, &request, not_sent(why));
-                    // The link may have ended meanwhile.
+                    // The link may have ended.
                     let _ = answers.send_async(answer).await;
                     break;
                 }
                 let (outcome, state) =
-                    run(&engine, &group, &request, &task, held, received_at).await;
+                    run(&engine, &group, &request, &task, leased, received_at).await;
                 if state.is_none() {
-                    lent = None;
+                    connection = None;
                 }
                 outcome
             }
         };
-        let is_over = lent.is_none();
-        // The link may have ended meanwhile; then nothing more comes either.
+        let is_over = connection.is_none();
+        // The link may have ended; then no further request arrives either.
         let _ = answers.send_async(answer_with_load(&engine, &request, outcome)).await;
         if is_over {
             return;
         }
     }
-    if let Some(lent) = lent {
-        engine.roll_back(lent);
+    if let Some(connection) = connection {
+        engine.roll_back(connection);
     }
 }
 
-/// Waits until the next statement of a transaction may begin, for no longer than its asker lets it.
+/// Waits until the next statement of a transaction may start, at most until its start deadline.
 async fn await_permit<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
-    held: &mut PooledConnection<E>,
+    connection: &mut PooledConnection<E>,
 ) -> Result<(), NotSent> {
     let left_ms = request.start_deadline_ms.saturating_sub(engine.clock_ms());
-    held.await_permit(Instant::now() + Duration::from_millis(left_ms)).await?;
+    connection.await_permit(Instant::now() + Duration::from_millis(left_ms)).await?;
     if request.is_past_start(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
 }
 
-/// Waits until this daemon knows the servers: where all start together, others may know before it does that it
+/// Waits until this daemon knows the servers. After a common start other daemons may know before it does that it
 /// owns their connections.
 async fn await_servers<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
@@ -345,7 +349,7 @@
 ) {
     let mut beliefs = engine.control_view.clone();
     let known = beliefs.wait_for(|beliefs| beliefs.is_ready());
-    // What comes too late is told so by the pool.
+    // After a timeout the pool refuses the request.
     let _ = tokio::time::timeout_at(until.into(), known).await;
 }
 
@@ -356,14 +360,14 @@
     engine.group(&Name::from(request.service.as_str()), &engine.control_view())
 }
 
-/// Finds a connection of this daemon's own; nothing is handed on a second time.
+/// Acquires a connection of this daemon; requests are not forwarded again.
 async fn acquire<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     group: &Rc<Group<E>>,
     request: &RelayRequest,
     task: &EndpointTask,
     received_at: Instant,
-    is_unwanted: &CancellationToken,
+    cancellation: &CancellationToken,
 ) -> Result<PooledConnection<E>, NotSent> {
     if engine.is_stopping() {
         return Err(NotSent::Unwilling);
@@ -382,7 +386,7 @@
         opens_transaction: matches!(request.task, Some(RelayTask::Begin(_))),
         is_forwarded: true,
         previous_attempts: request.previous_attempts,
-        cancellation: Some(is_unwanted.clone()),
+        cancellation: Some(cancellation.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
             _ => Some(Principal::from_told(&request.account)),
@@ -397,13 +401,14 @@
     })
 }
 
-/// Runs it; returns what its asker is told, and where the connection stands, `None` if it is of no more use.
+/// Runs the task. Returns the outcome and the transaction state of the connection, `None` if the connection can't
+/// be used any more.
 async fn run<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     group: &Rc<Group<E>>,
     request: &RelayRequest,
     task: &EndpointTask,
-    lent: &mut PooledConnection<E>,
+    connection: &mut PooledConnection<E>,
     received_at: Instant,
 ) -> (RelayOutcome, Option<TransactionState>) {
     let deadline = received_at + request.answer_timeout();
@@ -412,20 +417,20 @@
         TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => false,
     };
     let service = Name::from(request.service.as_str());
-    let route = lent.server_route();
+    let route = connection.server_route();
     let known = group.samples.borrow().latest();
     let sent_at = Instant::now();
-    // Whether a second server is tried is for the asker to say.
+    // The sender decides whether a second server is tried.
     let watch =
         Watch { service: &service, slow_after: request.answer_timeout(), may_run_again: is_read };
-    match engine.run_watched(group, task, lent, deadline, watch).await {
+    match engine.run_watched(group, task, connection, deadline, watch).await {
         Ok(answer) => {
             let took = answer.error_code().is_none().then(|| sent_at.elapsed());
             engine.note_health(group, &route.server, outcome_of(answer.error_code()));
             engine.note_answer(group, &service, &route, answer.point, took);
             if request.at_primary && answer.error_code().is_none() {
                 let sample = Sample { sent_at, known, point: answer.point };
-                engine.note_handed_over(group, &service, &route.server, sample);
+                engine.note_forwarded_sample(group, &service, &route.server, sample);
             }
             let state = answer.state;
             (RelayOutcome::Answered(AnswerMessage::of(answer)), Some(state))
