--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -1,12 +1,9 @@
-//! Where a primary's log stood, as the owner of its connections in the zone knows it.
+//! Samples of a primary's log point, shared by the owner of its connections in the zone.
 //!
-//! A read that may be a little old runs at any server once somebody knows where the primary's log stood. After a start
-//! nobody does, and the first read of each daemon and group would go to the primary, which runs three at a time, while
-//! the replicas had nothing to do. The owner sees all of its zone's statements there, so it is asked first; of those that
-//! ask at the same time one reads at the primary and the others wait for what that shows.
-//!
-//! With 295 daemons, of the requests in the two seconds in which all are killed 0.53 were worth their time in place of
-//! 0.46, and 0.999 in place of 0.955 in the first two seconds of a day. See `docs/PLATFORM.md`, "Owned connections".
+//! A bounded stale read may run at any server once a recent log point of the primary is known. After a start no
+//! daemon knows one, and the first reads of all daemons would overload the primary. So they ask the owner, which
+//! sends one of them to the primary and lets the others wait for its result. See `docs/PLATFORM.md`, "Owned
+//! connections".
 
 use std::time::{Duration, Instant};
 
@@ -25,26 +22,27 @@
     },
 };
 
-/// How long an owner may let a question for a sample wait: a read of some 20 ms at the primary behind two others. A read
-/// that gets no sample then goes to the primary, with a quarter of its target latency of 250 ms spent.
+/// How long a sample request may wait at the owner: a read at a busy primary. Without a sample the read goes to the
+/// primary and needs the rest of its target latency.
 const OWNER_WAIT: Duration = Duration::from_millis(60);
-/// How long the asker waits for the answer.
+/// How long the requesting daemon waits for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
-/// How long whoever was sent to the primary is waited for before another one is sent.
+/// How long the owner waits for the daemon that it sent to the primary before it sends another one.
 pub const SAMPLING_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// What an owner does about a question for a sample.
+/// What an owner does about a sample request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleStep {
-    /// Tell this sample: when the primary was asked, and what it showed.
+    /// Return this sample: when it was requested from the primary, and the log point.
     Return(Instant, LogPoint),
-    /// Send the asker to the primary.
+    /// Send the requesting daemon to the primary.
     ReadPrimary,
-    /// Wait for what somebody shows who was sent there.
+    /// Wait for the result of the daemon that was sent to the primary.
     Wait,
 }
 
-/// Says what to do about a question by the latest sample and the moment until which somebody is expected to show one.
+/// Decides on a sample request from the latest sample and the time until which a result from the primary is
+/// expected.
 pub fn next_sample_step(
     latest: Option<(Instant, LogPoint)>,
     max_age: Duration,
@@ -62,10 +60,10 @@
     }
 }
 
-/// Asks the owner of a primary's connections where its log stood at most `max_age` ago.
+/// Requests a sample of the primary's log point that is at most `max_age` old from the owner of its connections.
 ///
-/// The sample counts from when this question was sent less the age that the answer tells: the answer was made later, so
-/// the sample never seems younger than it is, however long the answer was on its way.
+/// The sample's time is the send time of this request minus the age in the answer. The answer was made later, so
+/// the sample never seems younger than it is.
 pub(crate) async fn request_sample(
     link: &RelayLink,
     service: &Name,
@@ -80,7 +78,7 @@
         task: Some(RelayTask::Sample(max_age.as_millis() as u64)),
         ..RelayRequest::default()
     };
-    // Whatever else comes, the read goes to the primary, which tells the same.
+    // On any other outcome the read goes to the primary, which returns its log point too.
     let Ok(RelayOutcome::Sampled(sampled)) = link.call(request, sent_at + ANSWER_TIMEOUT).await
     else {
         return None;
@@ -89,8 +87,8 @@
     Some((asked_at, sampled))
 }
 
-/// Answers such a question: at once with a sample that is young enough, or by sending the asker to the primary, or with what
-/// somebody shows who was sent there a moment ago.
+/// Answers a sample request: with a recent sample, or by sending the requesting daemon to the primary, or with the
+/// result of a daemon that was sent there before.
 pub(crate) async fn answer_sample<C: CallerDialect, E: EndpointDialect>(
     group: &Group<E>,
     engine: &Engine<C, E>,
@@ -101,7 +99,7 @@
     loop {
         let sampled = group.sample_added.notified();
         tokio::pin!(sampled);
-        // From here on nothing is missed between the look and the wait.
+        // Registers for the notification before the check, so that none is missed.
         sampled.as_mut().enable();
         let now = Instant::now();
         let latest = group.samples.borrow().latest_sample();
@@ -124,7 +122,7 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Takes over from an owner where the primary's log stood at most `max_age` ago; `true` if it knows.
+    /// Fetches a sample that is at most `max_age` old from the owner; returns whether there was one.
     pub(crate) async fn fetch_sample(
         &self,
         group: &Group<E>,
@@ -133,26 +131,25 @@
         max_age: Duration,
     ) -> bool {
         let Some(link) = group.pool.owner_link(primary) else { return false };
-        let heard = request_sample(&link, service, primary, max_age).await;
-        let Some((asked_at, sampled)) = heard else { return false };
+        let answer = request_sample(&link, service, primary, max_age).await;
+        let Some((asked_at, sampled)) = answer else { return false };
         let Some(point) = sampled.point else { return false };
         group.samples.borrow_mut().add(asked_at, point.into());
         true
     }
 
-    /// Keeps what a statement showed that was handed over for the primary, if it is the primary by what this daemon
-    /// knows itself.
-    pub(crate) fn note_handed_over(
+    /// Keeps the sample from a forwarded statement, if the server is the primary by this daemon's own view.
+    pub(crate) fn note_forwarded_sample(
         &self,
         group: &Group<E>,
         service: &Name,
         server: &Name,
         sample: Sample,
     ) {
-        let beliefs = self.control_view();
-        let lead = beliefs.usable_leader(service, sample.sent_at);
-        if let Some(lead) = lead.filter(|lead| lead.server == *server) {
-            self.add_sample(group, service, lead, sample);
+        let view = self.control_view();
+        let leader = view.usable_leader(service, sample.sent_at);
+        if let Some(leader) = leader.filter(|leader| leader.server == *server) {
+            self.add_sample(group, service, leader, sample);
         }
     }
 }
