--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of a server when those that wait leave, or what has its permit is lost.
+//! The queue of a server when waiting statements are withdrawn or permits are dropped.
 
 use std::{
     rc::Rc,
@@ -10,8 +10,8 @@
 use proxy::serve::server_queue::{QueuePermit, QueueRefusal, ServerQueue};
 use tokio::task::{JoinHandle, LocalSet, spawn_local, yield_now};
 
-/// Far beyond what any of these takes.
-const LASTS: Duration = Duration::from_secs(60);
+/// Longer than any of these tests takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -23,7 +23,7 @@
 }
 
 fn request(account: &str, stage: Stage) -> Request {
-    let until = Instant::now() + LASTS;
+    let until = Instant::now() + TIMEOUT;
     Request { rank: Rank::ALL[1], account: Name::from(account), stage, until }
 }
 
@@ -31,40 +31,42 @@
     queue.await_permit(request("first", Stage::Alone)).await.expect("the server is free")
 }
 
-/// Lets one wait, and returns once it does.
+/// Starts a statement that has to wait, and returns when it does.
 async fn wait(
     queue: &Rc<ServerQueue>,
     account: &'static str,
 ) -> JoinHandle<Result<QueuePermit, QueueRefusal>> {
     let before = queue.outstanding();
-    let waits = queue.clone();
+    let waiting_queue = queue.clone();
     let waiter =
-        spawn_local(async move { waits.await_permit(request(account, Stage::Alone)).await });
+        spawn_local(
+            async move { waiting_queue.await_permit(request(account, Stage::Alone)).await },
+        );
     while queue.outstanding() == before {
         yield_now().await;
     }
     waiter
 }
 
-/// The link of a daemon ends while its statements wait at the owner.
+/// Guards against statements of a daemon whose link has ended.
 #[test]
-fn who_stops_waiting_is_taken_out_and_holds_up_nobody() {
+fn a_cancelled_waiter_is_removed_and_blocks_nobody() {
     run(async {
         let queue = queue();
         let permit = begin(&queue).await;
-        let gone = wait(&queue, "gone").await;
-        let stays = wait(&queue, "stays").await;
-        gone.abort();
-        assert!(gone.await.is_err());
+        let cancelled = wait(&queue, "gone").await;
+        let remaining = wait(&queue, "stays").await;
+        cancelled.abort();
+        assert!(cancelled.await.is_err());
         assert_eq!(queue.outstanding(), 2);
         drop(permit);
-        assert!(stays.await.unwrap().is_ok());
+        assert!(remaining.await.unwrap().is_ok());
     });
 }
 
-/// A server's connection is lost: whatever held it gives its permit back as it is dropped.
+/// Guards against permits that are lost with the connection to the server.
 #[test]
-fn a_turn_that_is_lost_goes_to_the_next() {
+fn a_dropped_permit_goes_to_the_next_waiter() {
     run(async {
         let queue = queue();
         let permit = begin(&queue).await;
@@ -79,24 +81,24 @@
     });
 }
 
-/// A permit was given, and its asker was gone before it took it.
+/// Guards against a permit that is granted just before its receiver is cancelled.
 #[test]
-fn a_turn_that_nobody_takes_goes_to_the_next() {
+fn a_permit_for_a_cancelled_waiter_goes_to_the_next() {
     run(async {
         let queue = queue();
         let permit = begin(&queue).await;
-        let gone = wait(&queue, "gone").await;
-        let stays = wait(&queue, "stays").await;
+        let cancelled = wait(&queue, "gone").await;
+        let remaining = wait(&queue, "stays").await;
         drop(permit);
-        gone.abort();
-        assert!(gone.await.is_err());
-        assert!(stays.await.unwrap().is_ok());
+        cancelled.abort();
+        assert!(cancelled.await.is_err());
+        assert!(remaining.await.unwrap().is_ok());
     });
 }
 
-/// A transaction rests: its connection is its own, its slot is others'.
+/// Guards against idle transactions that block a server's slots.
 #[test]
-fn a_transaction_that_rests_leaves_its_slot_and_keeps_its_connection() {
+fn an_idle_transaction_releases_its_slot_and_keeps_its_connection() {
     run(async {
         let queue =
             ServerQueue::new(Name::from("s1"), Room { slots: 1, connections: 4, owners: 1 });
@@ -104,12 +106,12 @@
         opened.release_slot(true);
         let other = begin(&queue).await;
         let _second = begin(&queue).await;
-        let next = async { opened.await_next_statement(Instant::now() + LASTS).await.is_ok() };
+        let next = async { opened.await_next_statement(Instant::now() + TIMEOUT).await.is_ok() };
         let ends = async {
             yield_now().await;
             drop(other);
         };
-        let (has_next, ()) = tokio::join!(next, ends);
-        assert!(has_next);
+        let (next_runs, ()) = tokio::join!(next, ends);
+        assert!(next_runs);
     });
 }
