--- a/crates/proxy/tests/shares.rs
+++ b/crates/proxy/tests/shares.rs
@@ -1,12 +1,12 @@
-//! How the connections of a server are divided.
+//! Division of a server's connections.
 
 use proxy::serve::share::{DaemonCounts, IdlePolicy, OwnerQuota, Share, share_of};
 
-/// Statements that a server of these tests runs at a time.
+/// Number of statements that a server runs at a time in these tests.
 const SLOTS: u32 = 1;
 
 #[test]
-fn shares_never_add_up_to_more_than_is_granted_unless_they_are_scarce() {
+fn shares_never_exceed_what_is_granted_unless_connections_are_scarce() {
     let share = |limit, overflow, idle_policy| Share { limit, overflow, idle_policy, owned: None };
     let scarce = |idle_policy, owned| Share {
         limit: 1,
@@ -37,16 +37,16 @@
             IdlePolicy::KeepNone => 0,
         };
         assert!(kept == 0 || kept + 3 <= granted, "{granted} among {daemons}");
-        // One daemon that borrows leaves everybody else their own share and the reserve.
-        let borrows = expected.overflow;
-        assert!(borrows == 0 || kept + borrows + 3 <= granted, "{granted} among {daemons}");
+        // When one daemon uses its overflow, the shares of all others and the reserve remain.
+        let overflow = expected.overflow;
+        assert!(overflow == 0 || kept + overflow + 3 <= granted, "{granted} among {daemons}");
     }
 }
 
-/// An account's connection does no other's work, so a server's connections are in one owner's hands, who leaves room for
-/// those of its former life and for commands.
+/// A connection serves one account only, so one owner has all connections of a server. Part of them stays free for
+/// those of its former incarnation and for commands.
 #[test]
-fn where_there_are_accounts_one_owner_keeps_most_of_what_a_server_grants() {
+fn with_accounts_one_owner_has_most_of_a_servers_connections() {
     let counts = DaemonCounts { daemons: 71, in_zone: 25, zones: 3 };
     for (granted, max, kept) in [(29, 20, 10), (53, 40, 20), (15, 9, 4), (4, 1, 1), (0, 1, 1)] {
         let owned = Some(OwnerQuota::Single { max, kept });
@@ -59,23 +59,23 @@
     assert_eq!(share_of(29, SLOTS, few, true).owned, None);
 }
 
-/// Two regions of three zones before few connections: an owner in each zone had two of them, so a server ran no more than two
-/// statements for the region that asked most, and the others' connections rested.
+/// Guards against slots that stay unused because an owner in each zone has fewer connections than the server has
+/// slots.
 #[test]
-fn where_a_zones_owner_could_not_use_a_servers_slots_one_owner_serves_all_zones() {
+fn one_owner_serves_all_zones_if_zone_owners_could_not_use_all_slots() {
     let counts = DaemonCounts { daemons: 88, in_zone: 16, zones: 6 };
     assert_eq!(share_of(58, 2, counts, false).owned, Some(OwnerQuota::PerZone(2)));
     let owned = Some(OwnerQuota::Single { max: 44, kept: 22 });
     assert_eq!(share_of(58, 6, counts, false).owned, owned);
-    // What is granted bounds what slots can ask for.
+    // The owner's quota can't exceed what the server grants.
     let counts = DaemonCounts { daemons: 20, in_zone: 10, zones: 2 };
     assert_eq!(share_of(4, 6, counts, false).owned, Some(OwnerQuota::PerZone(1)));
 }
 
-/// Behind a queue a first owner has connections for transactions that rest; it keeps no more of them for good, the second one has
-/// no more than before, and both of every zone leave room for what dead daemons leave behind.
+/// The first owner with a queue has connections for idle transactions, but keeps no more of them. The second has no
+/// more than without a queue, and both leave room for the connections of dead daemons.
 #[test]
-fn an_owner_with_a_queue_has_room_for_transactions_that_rest() {
+fn an_owner_with_a_queue_has_room_for_idle_transactions() {
     for (granted, daemons, zones) in [(58, 88, 6), (53, 71, 3), (23, 21, 3)] {
         let counts = DaemonCounts { daemons, in_zone: daemons / zones, zones };
         let owned = share_of(granted, SLOTS, counts, false).owned.expect("connections are scarce");
@@ -85,6 +85,6 @@
         assert!(owned.kept_by(0) <= owned.count());
         assert!((at(0) + at(1)) * zones <= granted * 4 / 5, "{granted}");
     }
-    let once = OwnerQuota::Single { max: 20, kept: 10 };
-    assert_eq!(once.limit_of(0, true), 20);
+    let single = OwnerQuota::Single { max: 20, kept: 10 };
+    assert_eq!(single.limit_of(0, true), 20);
 }
