--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What daemons tell the owners of connections, and when an owner counts as dead.
+//! Messages to the owners of connections, and the links to owners.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
     },
 };
 
-fn handed_over(task: &EndpointTask) -> Option<EndpointTask> {
+fn forwarded(task: &EndpointTask) -> Option<EndpointTask> {
     let request = RelayRequest {
         id: task.id.clone().unwrap_or_default(),
         values: values_of(&task.values),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_owner_is_given_exactly_what_the_caller_asked() {
+fn an_owner_receives_exactly_what_the_caller_sent() {
     let body = Bytes::from_static(b"1a4  with two blanks \x01");
     let shape = |class| PreparedShape { class, shape: Name::from("q2c") };
     let execute = |class| {
@@ -63,15 +63,15 @@
         for id in [None, Some(Bytes::from_static(b"5c0e7a21d94b36f8"))] {
             let min_point = Some(LogPoint::new(3, 1_209));
             let task = EndpointTask { id, kind: kind.clone(), values: values.clone(), min_point };
-            assert_eq!(handed_over(&task), Some(task.clone()));
+            assert_eq!(forwarded(&task), Some(task.clone()));
         }
     }
-    // Whatever prepares a connection is for its owner to say.
-    assert_eq!(handed_over(&EndpointTask::internal(TaskKind::Command(EndpointText::Reset))), None);
+    // Commands that prepare a connection are sent by its owner alone.
+    assert_eq!(forwarded(&EndpointTask::internal(TaskKind::Command(EndpointText::Reset))), None);
 }
 
 #[test]
-fn a_server_s_answer_comes_back_as_it_was() {
+fn a_servers_answer_is_returned_unchanged() {
     let codes = [
         ErrorCode::Overloaded,
         ErrorCode::Aborted,
@@ -107,18 +107,18 @@
 }
 
 #[test]
-fn why_an_owner_sent_nothing_is_told_by_number() {
+fn the_reason_for_not_sending_is_a_number() {
     for why in [NotSent::TooLate, NotSent::Unreachable, NotSent::Unwilling] {
         assert_eq!(NotSent::from_number(why.number()), why);
     }
     assert_eq!(NotSent::from_number(99), NotSent::Unwilling);
 }
 
-/// A server may take long to answer; an owner that lives says so at once.
+/// A server may be slow to answer; a living owner answers a ping at once.
 #[test]
-fn an_owner_counts_as_dead_only_if_it_does_not_say_that_it_lives() {
-    let heard_at = Instant::now();
-    let after = |ms| heard_at + Duration::from_millis(ms);
+fn an_owner_counts_as_dead_only_if_it_does_not_answer_a_ping() {
+    let received_at = Instant::now();
+    let after = |ms| received_at + Duration::from_millis(ms);
     let cases = [
         ("a moment ago", None, 150, LivenessAction::Wait),
         ("quiet for a while", None, 200, LivenessAction::Ping),
@@ -127,7 +127,7 @@
     ];
     for (name, pinged_after_ms, now_ms, expected) in cases {
         assert_eq!(
-            check_liveness(heard_at, pinged_after_ms.map(after), after(now_ms)),
+            check_liveness(received_at, pinged_after_ms.map(after), after(now_ms)),
             expected,
             "{name}"
         );
@@ -135,7 +135,7 @@
 }
 
 mod link {
-    //! A link to an owner that answers, is slow, leaves, freezes or was never there.
+    //! A link to an owner that answers, is slow, closes, freezes or is not there.
 
     use std::net::SocketAddr;
 
@@ -157,7 +157,7 @@
 
     type Frames = Framed<tokio::net::TcpStream, LengthDelimitedCodec>;
 
-    /// Far beyond what any of these takes.
+    /// Longer than any of these tests takes.
     const DEADLINE: Duration = Duration::from_secs(60);
 
     async fn owner() -> (TcpListener, SocketAddr) {
@@ -166,10 +166,10 @@
         (listener, address)
     }
 
-    /// What the owners' clocks show as they take a link.
+    /// The owners' clock when they accept a link.
     const CLOCK_MS: u64 = 7_000;
 
-    /// Accepts a link, reads that it is one and takes it.
+    /// Accepts a connection, reads the request for a link and accepts it.
     async fn accept(listener: &TcpListener) -> Frames {
         let mut frames = accept_only(listener).await;
         answer(&mut frames, 0, RelayOutcome::Pong(true)).await;
@@ -209,7 +209,7 @@
     }
 
     #[test]
-    fn an_owner_that_is_not_there_was_sent_nothing() {
+    fn an_unreachable_owner_was_sent_nothing() {
         run(async {
             let (listener, address) = owner().await;
             drop(listener);
@@ -217,14 +217,14 @@
             let lost = link.call(write(), Instant::now() + DEADLINE).await;
             assert_eq!(lost, Err((Progress::NotSent, ConnectionLost::OwnerLost)));
             assert!(link.is_down());
-            // Nor is anything else.
+            // Later requests fail in the same way.
             let lost = link.call(write(), Instant::now() + DEADLINE).await;
             assert_eq!(lost, Err((Progress::NotSent, ConnectionLost::OwnerLost)));
         });
     }
 
     #[test]
-    fn an_owner_that_does_not_take_the_link_was_sent_nothing() {
+    fn an_owner_that_rejects_the_link_was_sent_nothing() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
@@ -234,51 +234,51 @@
         });
     }
 
-    /// Found by the soak: a frozen owner was taken for dead, the caller was told that the outcome was open and wrote
-    /// again, and then the owner went on with the first write.
+    /// Guards against a frozen owner that runs a write after its caller was told that the outcome is unknown and
+    /// wrote again.
     #[test]
-    fn nobody_hears_of_a_lost_write_while_the_owner_may_still_begin_with_it() {
+    fn a_lost_write_is_not_reported_while_the_owner_may_still_start_it() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
-            let waits = Duration::from_millis(200);
-            let request = RelayRequest { wait_ms: waits.as_millis() as u64, ..write() };
+            let wait_limit = Duration::from_millis(200);
+            let request = RelayRequest { wait_ms: wait_limit.as_millis() as u64, ..write() };
             let asked = async {
                 let lost = link.call(request, Instant::now() + DEADLINE).await;
                 (lost, Instant::now())
             };
-            let leaves = async {
-                let shows_clock_at = Instant::now();
+            let closes = async {
+                let accepted_at = Instant::now();
                 let mut frames = accept(&listener).await;
-                (read(&mut frames).await, shows_clock_at)
+                (read(&mut frames).await, accepted_at)
             };
-            let ((lost, told_at), (request, shows_clock_at)) = tokio::join!(asked, leaves);
+            let ((lost, reported_at), (request, accepted_at)) = tokio::join!(asked, closes);
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
-            let may_begin_for = Duration::from_millis(request.start_deadline_ms - CLOCK_MS);
-            assert!(may_begin_for >= waits);
-            assert!(told_at >= shows_clock_at + may_begin_for);
+            let may_start_for = Duration::from_millis(request.start_deadline_ms - CLOCK_MS);
+            assert!(may_start_for >= wait_limit);
+            assert!(reported_at >= accepted_at + may_start_for);
             assert!(!request.is_past_start(request.start_deadline_ms - 1));
             assert!(request.is_past_start(request.start_deadline_ms));
         });
     }
 
     #[test]
-    fn an_owner_that_leaves_with_a_write_may_have_run_it() {
+    fn an_owner_that_closes_after_a_write_may_have_run_it() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
             let asked = link.call(write(), Instant::now() + DEADLINE);
-            let leaves = async {
+            let closes = async {
                 let mut frames = accept(&listener).await;
                 read(&mut frames).await;
             };
-            let (lost, ()) = tokio::join!(asked, leaves);
+            let (lost, ()) = tokio::join!(asked, closes);
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
         });
     }
 
     #[test]
-    fn an_owner_that_is_frozen_is_found_out_long_before_the_deadline() {
+    fn a_frozen_owner_is_detected_before_the_deadline() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
@@ -286,24 +286,24 @@
             tokio::pin!(asked);
             let mut frames = tokio::select! {
                 frames = accept(&listener) => frames,
-                _ = &mut asked => panic!("nothing was answered"),
+                _ = &mut asked => panic!("no answer was sent"),
             };
-            // It reads all the while and says nothing.
+            // Reads everything and sends nothing.
             let frozen = async {
                 while frames.next().await.is_some() {}
                 std::future::pending().await
             };
             let lost = tokio::select! {
                 lost = &mut asked => lost,
-                () = frozen => unreachable!("it waits for ever"),
+                () = frozen => unreachable!("it never returns"),
             };
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
         });
     }
 
-    /// A caller that leaves takes its work out of the queue at the owner too.
+    /// Guards against statements of departed callers in the owner's queue.
     #[test]
-    fn what_nobody_waits_for_any_more_is_taken_back() {
+    fn an_abandoned_request_is_cancelled() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
@@ -316,13 +316,13 @@
                         read(&mut frames).await;
                         frames
                     } => frames,
-                    _ = &mut asked => panic!("nothing was answered"),
+                    _ = &mut asked => panic!("no answer was sent"),
                 }
             };
-            let taken_back = read(&mut frames).await;
-            assert_eq!((taken_back.number, taken_back.transaction), (1, 0));
-            assert_eq!(taken_back.task, Some(RelayTask::Release(false)));
-            // What was answered is not.
+            let cancelled = read(&mut frames).await;
+            assert_eq!((cancelled.number, cancelled.transaction), (1, 0));
+            assert_eq!(cancelled.task, Some(RelayTask::Release(false)));
+            // An answered request is not cancelled.
             let answered = async {
                 let request = read(&mut frames).await;
                 answer(&mut frames, request.number, RelayOutcome::NotSent(0)).await;
@@ -335,15 +335,15 @@
             };
             let next = tokio::select! {
                 next = answered => next,
-                _ = asked => panic!("the last one is not answered"),
+                _ = asked => panic!("the last request has no answer"),
             };
             assert_eq!(next.task, write().task);
         });
     }
 
-    /// Statements that keep coming and are given up must not hide that the owner says nothing.
+    /// Guards against requests that are cancelled early and keep resetting the liveness check.
     #[test]
-    fn an_owner_that_is_frozen_is_found_out_while_requests_keep_coming() {
+    fn a_frozen_owner_is_detected_while_requests_keep_arriving() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
@@ -352,7 +352,7 @@
                 while frames.next().await.is_some() {}
             };
             let asks = async {
-                // Far more than come before it counts as dead, each given up long before that.
+                // More requests than fit before the owner counts as dead; each is cancelled long before that.
                 for _ in 0..400 {
                     let read = RelayTask::Read(Bytes::from_static(b"a 1"));
                     let request = RelayRequest { task: Some(read), ..RelayRequest::default() };
@@ -362,23 +362,23 @@
                         return;
                     }
                 }
-                panic!("it is not found out");
+                panic!("the frozen owner was not detected");
             };
             tokio::join!(frozen, asks);
         });
     }
 
     #[test]
-    fn answers_find_their_requests_in_whatever_order_they_come_and_a_slow_server_is_waited_for() {
+    fn answers_in_any_order_match_their_requests_and_slow_servers_are_awaited() {
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
             let deadline = Instant::now() + DEADLINE;
-            let lives = async {
+            let owner_answers = async {
                 let mut frames = accept(&listener).await;
                 let first = read(&mut frames).await.number;
                 let second = read(&mut frames).await.number;
-                // Asked several times whether it lives, it says so.
+                // Answers several pings.
                 for _ in 0..3 {
                     let ping = read(&mut frames).await;
                     assert_eq!(ping.task, Some(RelayTask::Ping(true)));
@@ -387,30 +387,33 @@
                 answer(&mut frames, second, RelayOutcome::Lost("second".to_owned())).await;
                 answer(&mut frames, first, RelayOutcome::Lost("first".to_owned())).await;
             };
-            let (first, second, ()) =
-                tokio::join!(link.call(write(), deadline), link.call(write(), deadline), lives);
+            let (first, second, ()) = tokio::join!(
+                link.call(write(), deadline),
+                link.call(write(), deadline),
+                owner_answers
+            );
             assert_eq!(first, Ok(RelayOutcome::Lost("first".to_owned())));
             assert_eq!(second, Ok(RelayOutcome::Lost("second".to_owned())));
         });
     }
 
-    /// The pattern: an owner behind a partition. Every request of a second was sent to find out whether it is back.
+    /// Guards against sending requests to an unreachable owner only to find out whether it is back.
     #[test]
-    fn a_link_that_was_lost_is_opened_again_without_requests() {
+    fn a_lost_link_is_reconnected_without_requests() {
         run(async {
             let (listener, address) = owner().await;
             let links = RelayLinks::new(true);
             let start = Instant::now();
-            let first = links.to_first([address], start).unwrap();
+            let first = links.first_usable([address], start).unwrap();
             drop(accept_only(&listener).await);
             until_down(&first).await;
-            // It is passed over for a moment, and then tried with nothing on it.
-            assert!(links.to_first([address], start).is_none());
+            // The owner is avoided for a moment, and then reconnected without requests.
+            assert!(links.first_usable([address], start).is_none());
             let later = start + Duration::from_secs(60);
-            assert!(links.to_first([address], later).is_none());
+            assert!(links.first_usable([address], later).is_none());
             let mut frames = accept(&listener).await;
             let link = loop {
-                if let Some(link) = links.to_first([address], later) {
+                if let Some(link) = links.first_usable([address], later) {
                     break link;
                 }
                 tokio::task::yield_now().await;
@@ -426,7 +429,7 @@
         });
     }
 
-    /// The pattern: the owner is gone and the second one is there; nobody waits for the first.
+    /// Guards against requests that wait for an owner that is gone while the second one is available.
     #[test]
     fn the_second_owner_is_used_while_the_link_to_the_first_is_lost() {
         run(async {
@@ -435,24 +438,25 @@
             drop(gone);
             let links = RelayLinks::new(true);
             let start = Instant::now();
-            until_down(&links.to_first([first, second], start).unwrap()).await;
+            until_down(&links.first_usable([first, second], start).unwrap()).await;
             for after_ms in [0, 1_000, 60_000] {
                 let now = start + Duration::from_millis(after_ms);
-                assert_eq!(links.to_first([first, second], now).unwrap().owner(), second);
+                assert_eq!(links.first_usable([first, second], now).unwrap().owner(), second);
             }
         });
     }
 
-    /// The pattern: a partition ends, and the keeper of the limits needs the votes of members that could not be reached.
+    /// Guards against a missing majority after a partition, when the limit coordinator needs votes of members that
+    /// were unreachable.
     #[test]
-    fn a_member_that_alone_can_answer_is_never_passed_over() {
+    fn the_link_to_a_member_is_never_avoided() {
         run(async {
             let (gone, address) = owner().await;
             drop(gone);
             let links = RelayLinks::new(true);
             let now = Instant::now();
             for _ in 0..3 {
-                let link = links.to_member(address, now);
+                let link = links.member_link(address, now);
                 assert!(!link.is_down());
                 until_down(&link).await;
             }
