--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -1,10 +1,11 @@
-//! Samples of primaries' logs on their way through daemons that wait, freeze and start anew, in any order.
+//! Model test of the exchange of primary samples between daemons that wait, freeze and restart, in any order.
 //!
-//! The messages and conversions are the engine's own; the daemons, their clocks and the delays are modelled. What must
-//! hold: wherever a sample arrives, it counts from no later than when its primary was asked, since a read that goes by
-//! it must see everything that was acknowledged before. Variants that are broken on purpose are noticed.
+//! The messages and conversions are the engine's own; the daemons, their clocks and the delays are modelled.
+//! Invariant: a sample never counts as younger than its request to the primary, since a read that relies on it must
+//! see everything acknowledged before. The test must detect the deliberate faults.
 //!
-//! Left out: what a promotion does to a sample (`reads.rs` and `history_model.rs`), and which sample is told to whom.
+//! Not covered: how a promotion affects a sample (`reads.rs` and `history_model.rs`), and which sample is sent to
+//! whom.
 
 use std::{
     collections::HashMap,
@@ -20,42 +21,42 @@
 
 const DAEMONS: usize = 4;
 
-/// What is broken on purpose.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
-    Nothing,
-    /// An answer counts from when it came, not from when its question was sent.
+enum Fault {
+    None,
+    /// A sample's age counts from the arrival of the answer, not from the time of the request.
     FromArrival,
-    /// A clock of an earlier life is taken for the present one.
-    AnyLife,
+    /// A clock of an earlier incarnation is used for the current one.
+    IgnoredIncarnation,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A daemon asks the primary.
+    /// A daemon requests a sample from the primary.
     Sample(usize),
-    /// One daemon asks another one; each part takes so many milliseconds.
+    /// One daemon sends a request to another; each part takes this long, in milliseconds.
     Ask { asker: usize, asked: usize, there_ms: u64, held_ms: u64, back_ms: u64 },
-    /// A daemon starts anew.
+    /// A daemon restarts.
     Restart(usize),
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
 }
 
 struct Daemon {
-    life: u64,
+    incarnation: u64,
     epoch: Instant,
     sample: Option<PrimarySample>,
-    /// What was last heard of each other daemon's clock, and when.
-    heard: HashMap<usize, (ClockMessage, Instant)>,
+    /// The last known clock of each other daemon, and when it was received.
+    last_clocks: HashMap<usize, (ClockMessage, Instant)>,
 }
 
 struct Fleet {
     base: Instant,
     now_us: u64,
-    lives: u64,
+    incarnations: u64,
     daemons: Vec<Daemon>,
-    /// When each sample was asked for, by its point.
+    /// When each sample was requested, by its position.
     asked_at: Vec<Instant>,
     service: Name,
 }
@@ -84,15 +85,15 @@
         let mut fleet = Fleet {
             base,
             now_us: 0,
-            lives: 0,
+            incarnations: 0,
             daemons: Vec::new(),
             asked_at: Vec::new(),
             service: Name::from("ledger1"),
         };
         for _ in 0..DAEMONS {
-            // Clocks that began at different moments, and not on a whole millisecond.
+            // The clocks start at different times, and not on a whole millisecond.
             fleet.now_us += 12_345;
-            let daemon = fleet.new_life();
+            let daemon = fleet.new_incarnation();
             fleet.daemons.push(daemon);
         }
         fleet
@@ -106,12 +107,17 @@
         self.now_us += ms * 1_000 + 377;
     }
 
-    fn new_life(&mut self) -> Daemon {
-        self.lives += 1;
-        Daemon { life: self.lives, epoch: self.now(), sample: None, heard: HashMap::new() }
+    fn new_incarnation(&mut self) -> Daemon {
+        self.incarnations += 1;
+        Daemon {
+            incarnation: self.incarnations,
+            epoch: self.now(),
+            sample: None,
+            last_clocks: HashMap::new(),
+        }
     }
 
-    fn play(&mut self, event: &Event, broken: Broken) {
+    fn apply(&mut self, event: &Event, fault: Fault) {
         match event {
             Event::Sample(daemon) => {
                 let asked_at = self.now();
@@ -121,37 +127,38 @@
                 self.keep(*daemon, PrimarySample { asked_at, point });
             }
             Event::Ask { asker, asked, there_ms, held_ms, back_ms } => {
-                let (request, sent_at) = self.request(*asker, *asked, broken);
+                let (request, sent_at) = self.request(*asker, *asked, fault);
                 self.pass(*there_ms);
                 let received_at = self.now();
                 self.take_request(*asked, &request, received_at);
                 self.pass(*held_ms);
                 let mut answer = self.answer(*asked, received_at);
                 self.pass(*back_ms);
-                let counts_from = match broken {
-                    Broken::FromArrival => self.now(),
+                let counts_from = match fault {
+                    Fault::FromArrival => self.now(),
                     _ => sent_at,
                 };
                 for (_, sample) in answer.take_contents(counts_from).samples {
                     self.keep(*asker, sample);
                 }
-                let heard = answer.clock.map(|clock| (clock, self.now()));
-                self.daemons[*asker].heard.extend(heard.map(|heard| (*asked, heard)));
+                let last_clock = answer.clock.map(|clock| (clock, self.now()));
+                self.daemons[*asker].last_clocks.extend(last_clock.map(|clock| (*asked, clock)));
             }
-            Event::Restart(daemon) => self.daemons[*daemon] = self.new_life(),
+            Event::Restart(daemon) => self.daemons[*daemon] = self.new_incarnation(),
             Event::Wait(ms) => self.pass(*ms),
         }
     }
 
-    fn request(&self, asker: usize, asked: usize, broken: Broken) -> (FollowRequest, Instant) {
+    fn request(&self, asker: usize, asked: usize, fault: Fault) -> (FollowRequest, Instant) {
         let daemon = &self.daemons[asker];
-        let heard = daemon.heard.get(&asked);
-        let told = daemon
-            .sample
-            .zip(heard)
-            .and_then(|(sample, (_, heard_at))| sample.to_message_since(&self.service, *heard_at));
-        let clock = heard.map(|(clock, _)| match broken {
-            Broken::AnyLife => ClockMessage { incarnation: self.daemons[asked].life, ..*clock },
+        let last_clock = daemon.last_clocks.get(&asked);
+        let told = daemon.sample.zip(last_clock).and_then(|(sample, (_, received_at))| {
+            sample.to_message_since(&self.service, *received_at)
+        });
+        let clock = last_clock.map(|(clock, _)| match fault {
+            Fault::IgnoredIncarnation => {
+                ClockMessage { incarnation: self.daemons[asked].incarnation, ..*clock }
+            }
             _ => *clock,
         });
         let request = FollowRequest {
@@ -163,8 +170,8 @@
     }
 
     fn take_request(&mut self, asked: usize, request: &FollowRequest, received_at: Instant) {
-        let Daemon { life, epoch, .. } = self.daemons[asked];
-        for (_, sample) in request.local_samples(life, epoch, received_at) {
+        let Daemon { incarnation, epoch, .. } = self.daemons[asked];
+        for (_, sample) in request.local_samples(incarnation, epoch, received_at) {
             self.keep(asked, sample);
         }
     }
@@ -175,7 +182,7 @@
         FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
             clock: Some(ClockMessage {
-                incarnation: daemon.life,
+                incarnation: daemon.incarnation,
                 at_ms: now.duration_since(daemon.epoch).as_millis() as u64,
             }),
             samples: told.into_iter().collect(),
@@ -203,30 +210,30 @@
     }
 }
 
-fn run(broken: Broken) -> Result<(), String> {
+fn run(fault: Fault) -> Result<(), String> {
     let config = Config { cases: 10_000, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let events = prop::collection::vec(event(), 0..30);
-    let played = runner.run(&events, |events| {
+    let result = runner.run(&events, |events| {
         let mut fleet = Fleet::new();
         for event in &events {
-            fleet.play(event, broken);
+            fleet.apply(event, fault);
             fleet.check()?;
         }
         Ok(())
     });
-    played.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 #[test]
 fn a_sample_never_seems_younger_than_it_is() {
-    run(Broken::Nothing).unwrap();
+    run(Fault::None).unwrap();
 }
 
 #[test]
-fn a_broken_variant_is_noticed() {
-    for broken in [Broken::FromArrival, Broken::AnyLife] {
-        assert!(run(broken).is_err(), "{broken:?} goes unnoticed");
+fn deliberate_faults_are_detected() {
+    for fault in [Fault::FromArrival, Fault::IgnoredIncarnation] {
+        assert!(run(fault).is_err(), "{fault:?} was not detected");
     }
 }
