--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -66,19 +66,19 @@
         principal: None,
     };
     // Session values on the connection do not affect a status command.
-    let lent = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
-    let mut lent = lent.ok()?;
-    let reached = lent.server_route();
+    let connection = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
+    let mut connection = connection.ok()?;
+    let server_route = connection.server_route();
     let task = EndpointTask::internal(TaskKind::Command(command.text.clone()));
-    match lent.run(&task, command.deadline).await {
+    match connection.run(&task, command.deadline).await {
         Ok(answer) => {
-            lent.release();
+            connection.release();
             let row = answer.rows.first()?;
             engine.endpoint_dialect.decode_status(row)
         }
         Err((_, lost)) => {
-            drop(lent);
-            engine.note_loss(&group, &command.service, &reached, &lost);
+            drop(connection);
+            engine.note_loss(&group, &command.service, &server_route, &lost);
             None
         }
     }
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -327,9 +327,9 @@
         deadline: Instant,
     ) -> Result<PooledConnection<E>, AcquireError> {
         loop {
-            let lent = group.pool.acquire(request.clone(), values, deadline).await;
-            self.count_forwarded(&request, &lent);
-            let offer = match lent {
+            let acquired = group.pool.acquire(request.clone(), values, deadline).await;
+            self.count_forwarded(&request, &acquired);
+            let offer = match acquired {
                 Ok(offer) => offer,
                 Err(NoConnection::NoServer) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
@@ -338,24 +338,24 @@
                     return Err(AcquireError::Overloaded { retry_delay });
                 }
             };
-            let place = match offer {
-                Offer::Ready(lent) => return Ok(lent),
-                Offer::Open(place) => place,
+            let permit = match offer {
+                Offer::Ready(connection) => return Ok(connection),
+                Offer::Open(permit) => permit,
             };
-            let server = place.entry.server.clone();
+            let server = permit.entry.server.clone();
             let tunnel_peer = group.pool.tunnel_to(&server);
-            match self.open(&place, tunnel_peer).await {
+            match self.open(&permit, tunnel_peer).await {
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
-                        true => self.note_reachable(group, &place.entry.service, &server),
+                        true => self.note_reachable(group, &permit.entry.service, &server),
                         false => group.pool.on_tunnel(&server, true),
                     }
-                    return Ok(place.opened(connection));
+                    return Ok(permit.opened(connection));
                 }
                 Err(lost) => {
-                    let service = place.entry.service.clone();
-                    drop(place);
+                    let service = permit.entry.service.clone();
+                    drop(permit);
                     match tunnel_peer {
                         None => self.on_open_failed(group, &service, &server, &lost),
                         Some(peer) => self.on_tunnel_failed(group, &server, peer, &lost),
@@ -375,11 +375,15 @@
     }
 
     /// Counts the outcome for a statement that another daemon forwarded to the connections of this one.
-    fn count_forwarded(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
+    fn count_forwarded(
+        &self,
+        request: &ConnectionRequest,
+        acquired: &Result<Offer<E>, NoConnection>,
+    ) {
         if !request.is_forwarded || request.principal.is_none() {
             return;
         }
-        let outcome = match lent {
+        let outcome = match acquired {
             Ok(_) => "begun",
             Err(NoConnection::Overloaded { .. } | NoConnection::QueueFull) => "refused",
             Err(NoConnection::TooLate) => "too_late",
@@ -397,11 +401,11 @@
     /// Opens a connection, through a tunnel of another daemon if one is in use.
     async fn open(
         &self,
-        place: &OpeningPermit<E>,
+        permit: &OpeningPermit<E>,
         tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
-        let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
-        let introduction = self.introduce(&place.principal);
+        let (dialect, entry) = (&self.endpoint_dialect, &*permit.entry);
+        let introduction = self.introduce(&permit.principal);
         let Some(peer) = tunnel_peer else {
             return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -42,7 +42,7 @@
 
 /// A connection on which a statement may run now, with the conditions that it runs under.
 pub(crate) struct Assignment<E: EndpointDialect> {
-    pub(crate) lent: PooledConnection<E>,
+    pub(crate) connection: PooledConnection<E>,
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
     /// The latest point that the primary's log had reached, as known before the statement was sent.
@@ -91,22 +91,22 @@
             group.retries.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
             let sent = self
-                .send(&group, job, &mut assignment.lent, assignment.min_point, may_run_again)
+                .send(&group, job, &mut assignment.connection, assignment.min_point, may_run_again)
                 .await;
-            let reached = assignment.lent.server_route();
-            let server = reached.server.clone();
-            self.note_own_health(&group, &reached, &sent);
+            let server_route = assignment.connection.server_route();
+            let server = server_route.server.clone();
+            self.note_own_health(&group, &server_route, &sent);
             let next = match sent {
                 Ok(answer) => match answer.error_code() {
                     None if self.is_lease_still_valid(job, &assignment) => {
                         return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
-                        assignment.lent.release();
+                        assignment.connection.release();
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
-                        self.note_path_answered(&group.pool, &reached);
+                        self.note_path_answered(&group.pool, &server_route);
                         self.on_server_error(
                             &group,
                             job,
@@ -115,7 +115,7 @@
                             assignment.min_point,
                             &answer,
                         );
-                        assignment.lent.release();
+                        assignment.connection.release();
                         let next = after_error(code, class);
                         if let NextStep::Report(_) = next {
                             return Answer { state: TransactionState::Idle, ..answer };
@@ -130,7 +130,7 @@
                         attempts.sent -= 1;
                     }
                     attempts.last_error = refusal_code(&lost);
-                    self.note_loss(&group, &job.route.service, &reached, &lost);
+                    self.note_loss(&group, &job.route.service, &server_route, &lost);
                     if let Some(error) =
                         self.overload_refusal(&group, job, &attempts, &server, &lost)
                     {
@@ -156,7 +156,7 @@
         let is_primary_read =
             job.work.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
-            || assignment.lent.server_route().is_own
+            || assignment.connection.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
@@ -218,25 +218,26 @@
         };
         // Computed here because the wait for a connection starts after the wait for a primary.
         let wait_deadline = job.wait_deadline(Instant::now(), group.pool.has_queues());
-        let lent = match self.acquire(group, request, job.values, wait_deadline).await {
-            Ok(lent) => lent,
+        let connection = match self.acquire(group, request, job.values, wait_deadline).await {
+            Ok(connection) => connection,
             Err(error) => return Err(self.on_acquire_failed(group, job, attempts, error).await),
         };
         // The primary lease may have expired while the statement waited for a connection.
         let now = Instant::now();
         if min_point.is_none() && !self.is_current_leader(service, leader.as_ref(), now) {
-            lent.release();
+            connection.release();
             return Err(AssignError::Retry);
         }
         // A read at the primary needs no minimum point while the lease holds. The current view is checked, since
         // the lease may have been given up while the statement waited for its connection.
         let leader = leader.filter(|leader| {
-            leader.server == *lent.server() && self.is_current_leader(service, Some(leader), now)
+            leader.server == *connection.server()
+                && self.is_current_leader(service, Some(leader), now)
         });
         let min_point = if leader.is_some() { None } else { min_point };
-        self.count_sent(&lent, group, leader.is_some());
+        self.count_sent(&connection, group, leader.is_some());
         let known_point = group.samples.borrow().latest();
-        Ok(Assignment { lent, leader, min_point, known_point })
+        Ok(Assignment { connection, leader, min_point, known_point })
     }
 
     /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
@@ -268,14 +269,14 @@
     /// Counts a statement sent, by the role of its server and whether that is in the same zone.
     pub(crate) fn count_sent(
         &self,
-        lent: &PooledConnection<E>,
+        connection: &PooledConnection<E>,
         group: &Group<E>,
         is_primary: bool,
     ) {
         let role = if is_primary { "primary" } else { "replica" };
         let is_same_zone = group
             .pool
-            .entry_of(lent.server())
+            .entry_of(connection.server())
             .is_some_and(|entry| entry.availability_zone == self.settings.availability_zone);
         let zone = if is_same_zone { "same" } else { "other" };
         self.metrics.sent.with_label_values(&[role, zone]).inc();
@@ -326,20 +327,21 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         job: &Job<'_>,
-        lent: &mut PooledConnection<E>,
+        connection: &mut PooledConnection<E>,
         min_point: Option<LogPoint>,
         may_run_again: bool,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        if let Err(why) = lent.await_permit(job.deadline()).await {
+        if let Err(why) = connection.await_permit(job.deadline()).await {
             return Err((Progress::NotSent, ConnectionLost::NotGranted(why.into())));
         }
-        let average = group.pool.latency_of(lent.server());
+        let average = group.pool.latency_of(connection.server());
         let watch = Watch {
             service: &job.route.service,
             slow_after: job.route.target_latency.max(average * SLOW_ANSWER_FACTOR),
             may_run_again,
         };
-        self.run_watched(group, &job.endpoint_task(min_point), lent, job.deadline(), watch).await
+        self.run_watched(group, &job.endpoint_task(min_point), connection, job.deadline(), watch)
+            .await
     }
 
     /// Runs a task on a connection while monitoring whether its server is alive.
@@ -347,16 +349,16 @@
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         task: &EndpointTask,
-        lent: &mut PooledConnection<E>,
+        connection: &mut PooledConnection<E>,
         deadline: Instant,
         watch: Watch<'_>,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
-        let reached = lent.server_route();
-        let answered = lent.run(task, deadline);
+        let server_route = connection.server_route();
+        let answered = connection.run(task, deadline);
         tokio::pin!(answered);
         tokio::select! {
             answered = &mut answered => answered,
-            () = self.until_abandoned(group, &reached, watch) => {
+            () = self.until_abandoned(group, &server_route, watch) => {
                 Err((Progress::Sent, ConnectionLost::TimedOut))
             }
         }
@@ -367,19 +369,19 @@
     async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
-        reached: &ServerRoute,
+        server_route: &ServerRoute,
         watch: Watch<'_>,
     ) {
         let Watch { service, slow_after, may_run_again } = watch;
-        let server = &reached.server;
+        let server = &server_route.server;
         let sent_at = Instant::now();
         let probe_at = sent_at + self.settings.suspect_after;
         let slow_at = sent_at + slow_after;
-        let mut probed = !reached.is_own;
+        let mut probed = !server_route.is_own;
         let mut slow = false;
         loop {
             let lost = group.server_unreachable.notified();
-            if may_run_again && reached.is_direct && self.is_unreachable(group, server) {
+            if may_run_again && server_route.is_direct && self.is_unreachable(group, server) {
                 return;
             }
             tokio::select! {
@@ -406,10 +408,10 @@
         answer: Answer,
         sent_at: Instant,
     ) -> Answer {
-        let reached = assignment.lent.server_route();
-        assignment.lent.release();
+        let server_route = assignment.connection.server_route();
+        assignment.connection.release();
         let service = &job.route.service;
-        self.note_answer(group, service, &reached, answer.point, Some(sent_at.elapsed()));
+        self.note_answer(group, service, &server_route, answer.point, Some(sent_at.elapsed()));
         self.note_served(group, job, assignment.leader.is_some());
         let Some(leader) = assignment.leader else { return answer };
         let sample = Sample { sent_at, known_point: assignment.known_point, point: answer.point };
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
-    tries: RefCell<TryBudget>,
+    retry_budget: RefCell<TryBudget>,
 }
 
 /// The attempts made so far to run one statement.
@@ -208,7 +208,7 @@
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.told());
-        self.hold_state.tries.borrow_mut().on_success(&account, job.rank());
+        self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
             self.end_outage(group, &job.route.service, Instant::now());
         }
@@ -348,7 +348,7 @@
         let now = Instant::now();
         let view = self.control_view();
         let leader = view.usable_leader(&job.route.service, now);
-        // An empty name means that no server was found, which here stands for the primary.
+        // An empty name means that no server was found, which here means that the primary was not found.
         if needs_primary(job)
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
@@ -362,8 +362,8 @@
             Some(_) | None => Cause::Path,
         };
         let account = Name::from(job.principal.told());
-        let mut tries = self.hold_state.tries.borrow_mut();
-        let may = tries.may_send_again(&account, job.rank(), attempts.sent, cause);
+        let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
+        let may = retry_budget.may_send_again(&account, job.rank(), attempts.sent, cause);
         if !may {
             self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
         }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -91,8 +91,10 @@
         transaction: None,
     };
     session.run().await;
-    if let Some(lent) = session.transaction.take().and_then(|transaction| transaction.lent) {
-        engine.roll_back(lent);
+    if let Some(connection) =
+        session.transaction.take().and_then(|transaction| transaction.connection)
+    {
+        engine.roll_back(connection);
     }
     engine.callers.set(engine.callers.get() - 1);
 }
@@ -235,7 +237,7 @@
     /// Until when the open transaction may stay idle, if it holds a connection.
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
-        transaction.lent.as_ref()?;
+        transaction.connection.as_ref()?;
         Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
     }
 
@@ -343,8 +345,8 @@
         let Some(transaction) = self.transaction.take() else {
             return self.local_error(ErrorCode::Malformed, "no transaction is open");
         };
-        if let Some(lent) = transaction.lent {
-            self.engine.roll_back(lent);
+        if let Some(connection) = transaction.connection {
+            self.engine.roll_back(connection);
         }
         self.local_success()
     }
@@ -366,7 +368,7 @@
             Some(transaction) if transaction.principal() != principal => {
                 return self.local_error(ErrorCode::Aborted, "the key belongs to another account");
             }
-            Some(transaction) => transaction.lent.is_none(),
+            Some(transaction) => transaction.connection.is_none(),
             None => true,
         };
         if is_first
@@ -468,18 +470,18 @@
         }
     }
 
-    /// Fails the open transaction and rolls it back at its server. The caller is told with its next message.
+    /// Fails the open transaction and rolls it back at its server. The caller gets the error with its next message.
     fn fail_transaction(&mut self, why: &str) {
         let Some(transaction) = &mut self.transaction else { return };
         transaction.failed = true;
-        if let Some(lent) = transaction.lent.take() {
+        if let Some(connection) = transaction.connection.take() {
             log::info!(
                 event = "transaction_ended", service = &*transaction.route.service,
-                server = &**lent.server(), why = why,
-                lent_ms = lent.held_for().as_millis() as u64;
+                server = &**connection.server(), why = why,
+                lent_ms = connection.held_for().as_millis() as u64;
                 "an open transaction was rolled back"
             );
-            self.engine.roll_back(lent);
+            self.engine.roll_back(connection);
         }
     }
 
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -38,7 +38,7 @@
     /// Whether it is read-only.
     pub read_only: bool,
     /// Its connection; `None` before the first statement that runs on a server.
-    pub lent: Option<PooledConnection<E>>,
+    pub connection: Option<PooledConnection<E>>,
     /// The leader under whose lease it began, if it runs at the primary.
     pub(crate) leader: Option<GroupLeader>,
     /// Whether it may have written.
@@ -58,7 +58,7 @@
             route,
             account,
             read_only,
-            lent: None,
+            connection: None,
             leader: None,
             wrote: false,
             failed: false,
@@ -91,7 +91,7 @@
         let group = self.group(&job.route.service, &self.control_view());
         let mut attempts = Attempts { opens_transaction: true, ..Attempts::default() };
         loop {
-            let is_first = transaction.lent.is_none();
+            let is_first = transaction.connection.is_none();
             if is_first
                 && let Some(answer) =
                     self.open_transaction(&group, job, transaction, &mut attempts).await
@@ -99,13 +99,13 @@
                 transaction.failed = true;
                 return answer;
             }
-            let Some(lent) = transaction.lent.as_mut() else { continue };
-            let reached = lent.server_route();
+            let Some(connection) = transaction.connection.as_mut() else { continue };
+            let server_route = connection.server_route();
             let sent_at = Instant::now();
-            match self.send(&group, job, lent, None, false).await {
+            match self.send(&group, job, connection, None, false).await {
                 Ok(answer) => {
                     let took = answer.error_code().is_none().then(|| sent_at.elapsed());
-                    self.note_answer(&group, &job.route.service, &reached, answer.point, took);
+                    self.note_answer(&group, &job.route.service, &server_route, answer.point, took);
                     match self.transaction_step(&answer, is_first, job) {
                         TransactionStep::Deliver => {
                             return self
@@ -114,20 +114,21 @@
                         }
                         TransactionStep::RetryOnConnection => tokio::time::sleep(RETRY_PAUSE).await,
                         TransactionStep::Restart => {
-                            if let Some(lent) = transaction.lent.take() {
-                                self.roll_back(lent);
+                            if let Some(connection) = transaction.connection.take() {
+                                self.roll_back(connection);
                             }
                             tokio::time::sleep(RETRY_PAUSE).await;
                         }
                     }
                 }
                 Err((progress, lost)) => {
-                    transaction.lent = None;
+                    transaction.connection = None;
                     transaction.failed = true;
-                    self.note_loss(&group, &job.route.service, &reached, &lost);
+                    self.note_loss(&group, &job.route.service, &server_route, &lost);
                     let is_commit = job.work == Work::Commit;
                     let code = transaction_after_loss(is_commit, transaction.wrote, progress);
-                    let mut answer = self.lost_connection_answer(job, &reached.server, code, &lost);
+                    let mut answer =
+                        self.lost_connection_answer(job, &server_route.server, code, &lost);
                     if !is_commit {
                         answer.state = TransactionState::Failed;
                     }
@@ -138,14 +139,14 @@
     }
 
     /// Rolls a transaction back in the background and returns its connection to the pool.
-    pub fn roll_back(self: &Rc<Self>, mut lent: PooledConnection<E>) {
+    pub fn roll_back(self: &Rc<Self>, mut connection: PooledConnection<E>) {
         tokio::task::spawn_local(async move {
             let rollback = EndpointTask::internal(TaskKind::Rollback);
             let deadline = Instant::now() + BEGIN_TIMEOUT;
-            match lent.run(&rollback, deadline).await {
-                Ok(answer) if answer.state == TransactionState::Idle => lent.release(),
+            match connection.run(&rollback, deadline).await {
+                Ok(answer) if answer.state == TransactionState::Idle => connection.release(),
                 // Closing the connection also rolls the transaction back.
-                Ok(_) | Err(_) => drop(lent),
+                Ok(_) | Err(_) => drop(connection),
             }
         });
     }
@@ -173,17 +174,18 @@
                 EndpointTask { min_point: assignment.min_point, ..EndpointTask::internal(kind) };
             let sent_at = Instant::now();
             attempts.sent += 1;
-            let reached = assignment.lent.server_route();
+            let server_route = assignment.connection.server_route();
             // At an owner, the wait for a connection comes first.
             let has_queues = group.pool.has_queues();
-            let max_wait = if reached.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
+            let max_wait =
+                if server_route.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
             let deadline = job.deadline().min(sent_at + max_wait + BEGIN_TIMEOUT);
-            let begun = assignment.lent.run(&begin, deadline).await;
-            let server = reached.server.clone();
-            let next = match begun {
+            let opened = assignment.connection.run(&begin, deadline).await;
+            let server = server_route.server.clone();
+            let next = match opened {
                 Ok(answer) => match answer.error_code() {
                     None if !self.is_begin_valid(job, &assignment) => {
-                        self.roll_back(assignment.lent);
+                        self.roll_back(assignment.connection);
                         NextStep::AwaitPrimary
                     }
                     None => {
@@ -193,7 +195,7 @@
                             let sample = Sample { sent_at, known_point, point: answer.point };
                             self.add_sample(group, &job.route.service, leader, sample);
                         }
-                        transaction.lent = Some(assignment.lent);
+                        transaction.connection = Some(assignment.connection);
                         transaction.leader = assignment.leader;
                         return None;
                     }
@@ -208,8 +210,8 @@
                         );
                         attempts.last_error = Some(code);
                         match answer.state {
-                            TransactionState::Idle => assignment.lent.release(),
-                            _ => self.roll_back(assignment.lent),
+                            TransactionState::Idle => assignment.connection.release(),
+                            _ => self.roll_back(assignment.connection),
                         }
                         match after_error(code, StatementClass::Read) {
                             NextStep::Report(_) => NextStep::TryElsewhere,
@@ -220,7 +222,7 @@
                 Err((_, lost)) => {
                     drop(assignment);
                     attempts.last_error = refusal_code(&lost);
-                    self.note_loss(group, &job.route.service, &reached, &lost);
+                    self.note_loss(group, &job.route.service, &server_route, &lost);
                     if let Some(error) = self.overload_refusal(group, job, attempts, &server, &lost)
                     {
                         return Some(refusal(error, TransactionState::Failed));
@@ -238,7 +240,7 @@
     /// for longer than the primary lease under which it was sent.
     fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         assignment.leader.is_none()
-            || assignment.lent.server_route().is_own
+            || assignment.connection.server_route().is_own
             || self.is_current_leader(
                 &job.route.service,
                 assignment.leader.as_ref(),
@@ -277,7 +279,7 @@
         if let Some(code) = answer.error_code() {
             self.log_server_error(
                 job,
-                transaction.lent.as_ref().map(PooledConnection::server),
+                transaction.connection.as_ref().map(PooledConnection::server),
                 code,
             );
         }
@@ -288,15 +290,15 @@
             }
             TransactionState::Failed => {
                 transaction.failed = true;
-                if let Some(lent) = transaction.lent.take() {
-                    self.roll_back(lent);
+                if let Some(connection) = transaction.connection.take() {
+                    self.roll_back(connection);
                 }
                 return answer;
             }
             TransactionState::Idle => {}
         }
-        if let Some(lent) = transaction.lent.take() {
-            lent.release();
+        if let Some(connection) = transaction.connection.take() {
+            connection.release();
         }
         let Some(leader) = transaction.leader.clone() else { return answer };
         let committed = matches!(answer.outcome, Outcome::Complete(_)) && job.work == Work::Commit;
