--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -1,5 +1,5 @@
 //! Acquires connections to servers that have a statement queue at this daemon: a statement first waits for
-//! its turn in the queue, then gets a connection.
+//! a permit of the queue, then gets a connection.
 
 use std::{
     rc::Rc,
@@ -55,8 +55,8 @@
         self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
     }
 
-    /// Waits for the statement's turn in the queue of the server at `index`, then returns a connection or the
-    /// permission to open one. Returns `None` if there was no connection and a server must be chosen again.
+    /// Waits for a permit from the queue of the server at `index`, then returns a connection or the permission
+    /// to open one. Returns `None` if there was no connection and a server must be chosen again.
     pub(super) async fn acquire_queued(
         self: &Rc<Self>,
         index: usize,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Waits for a turn, unless the requesting daemon cancels the request or disconnects.
+/// Waits for a permit, unless the requesting daemon cancels the request or disconnects.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
     wait: impl Future<Output = Result<QueuePermit, QueueRefusal>>,
