--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -60,7 +60,7 @@
 /// Cost of opening a connection, whose handshake takes a slot of the server.
 const OPEN_PENALTY: Duration = Duration::from_millis(15);
 
-/// Chooses among the servers that may run a statement; `scarce` tells that there are more daemons than
+/// Chooses among the servers that may run a statement; `scarce` is set if there are more daemons than
 /// connections to a server.
 pub fn choose(candidates: &[Candidate], scarce: bool) -> Choice {
     let primary_penalty = if scarce { SCARCE_PRIMARY_PENALTY } else { PRIMARY_PENALTY };
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -102,8 +102,8 @@
         self.arrived + self.route.timeout
     }
 
-    /// Returns how long the statement may wait for a connection; `has_queues` tells whether owners queue
-    /// statements per server.
+    /// Returns how long the statement may wait for a connection; `has_queues` is set if owners queue statements
+    /// per server.
     pub(crate) fn max_wait(&self, has_queues: bool) -> Duration {
         let share = if has_queues { QUEUED_WAIT_SHARE } else { WAIT_SHARE };
         self.route.target_latency.mul_f64(share)
--- a/crates/proxy/tests/history_model.rs
+++ b/crates/proxy/tests/history_model.rs
@@ -26,7 +26,7 @@
     Heal(usize),
     /// Every server that is not partitioned receives the log of the primary with the latest term.
     Replicate,
-    /// The primary is replaced; the flags tell which servers answer the promoter.
+    /// The primary is replaced; the flags mark the servers that answer the promoter.
     Replace([bool; SERVERS]),
 }
 
