--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -28,7 +28,7 @@
 };
 
 /// How many daemons are asked for a tunnel at a time. Finds one within a second where half of the fleet reaches the
-/// server, and limits the connects to a server that is gone.
+/// server, and limits the connects to a dead server.
 const PARALLEL_TUNNEL_TRIES: usize = 4;
 
 /// How often the search for a tunnel is repeated. Candidates become known once other daemons have reported which
@@ -38,7 +38,7 @@
 /// The paths to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
-    through_owners: HashMap<SocketAddr, Circuit>,
+    owner_circuits: HashMap<SocketAddr, Circuit>,
     /// Whether connects of this daemon to the server time out.
     is_unreachable: bool,
     /// Whether a tunneled connection was opened since then.
@@ -51,13 +51,13 @@
 
 impl ServerPaths {
     /// Whether a statement may be sent through an owner now.
-    pub(crate) fn may_pass(&self, owner: &SocketAddr, now: Instant) -> bool {
-        self.through_owners.get(owner).is_none_or(|circuit| circuit.may_pass(now))
+    pub(crate) fn may_forward(&self, owner: &SocketAddr, now: Instant) -> bool {
+        self.owner_circuits.get(owner).is_none_or(|circuit| circuit.may_pass(now))
     }
 
     /// Records that a statement is sent through an owner.
-    pub(crate) fn on_pass(&mut self, owner: &SocketAddr, now: Instant) {
-        if let Some(circuit) = self.through_owners.get_mut(owner) {
+    pub(crate) fn on_forward(&mut self, owner: &SocketAddr, now: Instant) {
+        if let Some(circuit) = self.owner_circuits.get_mut(owner) {
             circuit.on_pass(now);
         }
     }
@@ -73,8 +73,8 @@
     }
 
     /// Drops the state of daemons that are no longer owners.
-    pub(crate) fn keep_only(&mut self, owners: &[SocketAddr]) {
-        self.through_owners.retain(|owner, _| owners.contains(owner));
+    pub(crate) fn retain_owners(&mut self, owners: &[SocketAddr]) {
+        self.owner_circuits.retain(|owner, _| owners.contains(owner));
     }
 
     fn on_outcome(
@@ -83,13 +83,13 @@
         outcome: PathOutcome,
         now: Instant,
     ) -> Option<CircuitChange> {
-        if outcome == PathOutcome::Answered && !self.through_owners.contains_key(&owner) {
+        if outcome == PathOutcome::Answered && !self.owner_circuits.contains_key(&owner) {
             return None;
         }
-        let circuit = self.through_owners.entry(owner).or_default();
+        let circuit = self.owner_circuits.entry(owner).or_default();
         let change = circuit.on_outcome(outcome, now);
         if change == Some(CircuitChange::Closed) {
-            self.through_owners.remove(&owner);
+            self.owner_circuits.remove(&owner);
         }
         change
     }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -150,7 +150,7 @@
                 (None, _, IdlePolicy::KeepNone) => (share.limit, 0),
             };
             slot.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
-            slot.paths.keep_only(&slot.owners);
+            slot.paths.retain_owners(&slot.owners);
             slot.overflow = share.overflow;
             let max = slot.limit + share.overflow;
             slot.set_queue(self.queue_room(slot, &share));
@@ -200,7 +200,7 @@
             state.servers.iter().filter(|slot| slot.is_fit(request, now)).count() <= 1;
         let slot = &mut state.servers[index];
         let link = self.owner_of(slot, request, now)?;
-        slot.paths.on_pass(&link.owner(), now);
+        slot.paths.on_forward(&link.owner(), now);
         slot.in_use_remote += 1;
         let options = LeaseOptions {
             service: slot.entry.service.clone(),
@@ -239,7 +239,7 @@
 
     /// Returns the link to the first owner that is reachable and has a working path to the server.
     pub(super) fn owner_in_use(&self, slot: &ServerSlot<E>, now: Instant) -> Option<Rc<RelayLink>> {
-        let owners = slot.owners.iter().filter(|owner| slot.paths.may_pass(owner, now));
+        let owners = slot.owners.iter().filter(|owner| slot.paths.may_forward(owner, now));
         self.relays.first_usable(owners.copied(), now)
     }
 
@@ -305,8 +305,8 @@
             if slot.is_unreachable(now) {
                 return None;
             }
-            let waits_elsewhere = request.principal.is_some();
-            let queue = slot.queue.as_ref().filter(|_| waits_elsewhere);
+            let may_queue = request.principal.is_some();
+            let queue = slot.queue.as_ref().filter(|_| may_queue);
             Some(Candidate {
                 index,
                 reach: match slot.tunnels.is_empty() {
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -105,7 +105,7 @@
         server: &str,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
-        if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
+        if self.with_slot(server, |slot| slot.is_unavailable_until(deadline)) == Some(true) {
             return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -361,7 +361,7 @@
     }
 
     /// Whether there is no connection and none may be opened before `deadline`.
-    pub(crate) fn is_out_of_reach_until(&self, deadline: Instant) -> bool {
+    pub(crate) fn is_unavailable_until(&self, deadline: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| until >= deadline);
         is_paused && self.in_use == 0 && self.idle.is_empty()
     }
