--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -82,7 +82,7 @@
         match &self.backing {
             Backing::Local(connection) => &connection.server,
             Backing::Remote(lease) => lease.server(),
-            Backing::Released => unreachable!("what was given back is not used"),
+            Backing::Released => unreachable!("a released connection is not used"),
         }
     }
 
@@ -122,7 +122,7 @@
             }
             Backing::Remote(lease) => lease.run(task, deadline).await,
             Backing::Released => {
-                let lost = ConnectionLost::Broken("it was given back".to_owned());
+                let lost = ConnectionLost::Broken("the connection was released".to_owned());
                 Err((Progress::NotSent, lost))
             }
         }
