--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -31,7 +31,7 @@
 const GRANT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long an operation may wait for the coordinator, or for one to be elected, before it is refused.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(220);
-/// The same while no coordinator was heard of since this daemon started. Covers the first election after a restart
+/// The same while no coordinator was known since this daemon started. Covers the first election after a restart
 /// of all daemons, where a refused caller would only retry at another daemon that has just started.
 const STARTUP_ADMISSION_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause before the coordinator is looked up again.
@@ -192,7 +192,7 @@
 
     /// Requests quota from the coordinator, or from a random voter that may know it.
     ///
-    /// A daemon that is not a member is not asked for its vote and hears of no coordinator, though it may reach it.
+    /// A daemon that is not a member is not asked for its vote, so it may not know the coordinator although it can reach it.
     async fn request_grant(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
@@ -201,11 +201,11 @@
         if coordinator.as_ref() == Some(&self.settings.host) {
             return self.grant_quota(account, &wanted);
         }
-        let Some(asked) = coordinator.or_else(|| self.limits.random_voter(&self.settings.host))
+        let Some(target) = coordinator.or_else(|| self.limits.random_voter(&self.settings.host))
         else {
             return Grant::NotKeeper;
         };
-        let address = view.members.get(&asked).copied();
+        let address = view.members.get(&target).copied();
         let Some(address) = address else { return Grant::NotKeeper };
         let link = self.relays.member_link(address, now);
         let request = RelayRequest {
@@ -220,7 +220,7 @@
         let grant = granted.grant();
         let reported =
             (!granted.coordinator.is_empty()).then(|| Name::from(granted.coordinator.as_str()));
-        let coordinator = if grant == Grant::NotKeeper { reported } else { Some(asked) };
+        let coordinator = if grant == Grant::NotKeeper { reported } else { Some(target) };
         if let Some(coordinator) = coordinator {
             self.limits.note_coordinator(coordinator, Instant::now());
         }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -39,18 +39,17 @@
 const VOTE_ROUND_INTERVAL: Duration = Duration::from_millis(190);
 /// Timeout of a vote request: a round trip between zones, on busy hosts.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(180);
-/// How long no coordinator may be heard of before the first voter in order campaigns: a little more than two
-/// rounds.
+/// How long the coordinator may be silent before the first voter in order campaigns: a little more than two rounds.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(420);
-/// The same for a daemon that has heard of no coordinator since it started, so that accounts are served soon after
-/// all daemons restart together.
+/// The same for a daemon that knew no coordinator since it started, so that accounts are served soon after all
+/// daemons restart together.
 const STARTUP_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(20);
 /// How long the set of voters must be unchanged before their votes elect a coordinator: while a fleet starts, each
 /// daemon sees more and more members.
 const STABLE_MEMBERS_FOR: Duration = Duration::from_millis(200);
 /// How long a candidate campaigns without a quorum before it frees its voters.
 const CANDIDACY_LIMIT: Duration = Duration::from_millis(1_200);
-/// The same for a candidate that grants its part of the limits: longer, since it serves its voters meanwhile.
+/// The same for a candidate that grants its part of the limits: longer, since it serves its voters during the campaign.
 const PARTIAL_CANDIDACY_LIMIT: Duration = Duration::from_millis(5_000);
 /// How often it is checked whether this daemon should campaign.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
@@ -78,10 +77,10 @@
 /// This daemon's state in the election, and the quota that it holds or grants.
 pub(crate) struct Limits {
     rule: WindowRule,
-    life: u64,
+    incarnation: u64,
     voter: RefCell<Voter>,
     candidacy: RefCell<Option<Candidacy>>,
-    began_at: Cell<Instant>,
+    campaign_began_at: Cell<Instant>,
     next_term: Cell<u64>,
     no_campaign_until: Cell<Option<Instant>>,
     coordinator_seen_at: Cell<Option<Instant>>,
@@ -97,10 +96,10 @@
         let now = Instant::now();
         Limits {
             rule,
-            life: rand::rng().random(),
+            incarnation: rand::rng().random(),
             voter: RefCell::new(Voter::new(times(rule.window), now)),
             candidacy: RefCell::default(),
-            began_at: Cell::new(now),
+            campaign_began_at: Cell::new(now),
             next_term: Cell::new(1),
             no_campaign_until: Cell::new(None),
             coordinator_seen_at: Cell::new(None),
@@ -121,7 +120,7 @@
         self.voter.borrow_mut().note_keeper(host, now);
     }
 
-    /// Whether a coordinator was heard of since this daemon started, or it is a candidate itself.
+    /// Whether a coordinator was known since this daemon started, or it is a candidate itself.
     pub(super) fn has_seen_coordinator(&self) -> bool {
         self.coordinator_seen_at.get().is_some() || self.candidacy.borrow().is_some()
     }
@@ -152,7 +151,7 @@
     /// Votes on a candidate's request.
     fn vote(&self, request: &VoteRequest, view: &ControlView, now: Instant) -> Vote {
         let vote = self.voter.borrow_mut().vote(request, view.is_member(now), now);
-        if request.life == self.life {
+        if request.life == self.incarnation {
             return vote;
         }
         if request.ends {
@@ -300,9 +299,9 @@
                 Standing::Partial { .. } => PARTIAL_CANDIDACY_LIMIT,
                 _ => CANDIDACY_LIMIT,
             };
-            let is_expired = now.duration_since(limits.began_at.get()) > candidacy_limit;
+            let is_expired = now.duration_since(limits.campaign_began_at.get()) > candidacy_limit;
             if limits.is_coordinator(now) {
-                limits.began_at.set(now);
+                limits.campaign_began_at.set(now);
             } else if is_expired {
                 limits.resign();
                 let pause = VOTE_DURATION.mul_f64(rand::rng().random_range(1.0..2.0));
@@ -325,7 +324,7 @@
         }
         let term = limits.next_term.get();
         *limits.candidacy.borrow_mut() = Some(Candidacy::new(times(limits.rule.window), term));
-        limits.began_at.set(now);
+        limits.campaign_began_at.set(now);
         true
     }
 
@@ -334,7 +333,8 @@
     fn release_voters(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = &self.settings.host;
         let host = own.clone();
-        let request = VoteRequest { host, life: self.limits.life, is_keeper: false, ends: true };
+        let request =
+            VoteRequest { host, life: self.limits.incarnation, is_keeper: false, ends: true };
         self.limits.vote(&request, view, now);
         for (host, address) in self.limits.others(own) {
             self.ask_for_vote(host, address, &request, now);
@@ -345,8 +345,12 @@
     fn ask_for_votes(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = self.settings.host.clone();
         let is_keeper = self.limits.is_coordinator(now);
-        let request =
-            VoteRequest { host: own.clone(), life: self.limits.life, is_keeper, ends: false };
+        let request = VoteRequest {
+            host: own.clone(),
+            life: self.limits.incarnation,
+            is_keeper,
+            ends: false,
+        };
         let vote = self.limits.vote(&request, view, now);
         if !vote.is_bound {
             // This daemon has voted for another candidate.
