--- a/crates/proxy/src/serve/share.rs
+++ b/crates/proxy/src/serve/share.rs
@@ -102,19 +102,20 @@
 /// server runs at a time.
 pub fn share_of(granted: u32, slots: u32, counts: DaemonCounts, by_account: bool) -> Share {
     let shared = granted.saturating_sub(RESERVED_CONNECTIONS);
-    let each = shared / counts.daemons.max(1);
-    let idle_policy = match each {
+    let per_daemon = shared / counts.daemons.max(1);
+    let idle_policy = match per_daemon {
         0 if counts.in_zone.max(1) * KEPT_IN_ZONE_DIVISOR <= shared => IdlePolicy::KeepOneInZone,
         0 => IdlePolicy::KeepNone,
         _ => IdlePolicy::KeepOne,
     };
     // Scarce connections have no overflow.
-    let overflow = match each {
+    let overflow = match per_daemon {
         0 => 0,
-        _ => (shared - each * counts.daemons.max(1)).min(MIN_CONNECTIONS.saturating_sub(each)),
+        _ => (shared - per_daemon * counts.daemons.max(1))
+            .min(MIN_CONNECTIONS.saturating_sub(per_daemon)),
     };
     let per_zone = connections_per_owner(shared, counts.zones);
-    let owned = match each {
+    let owned = match per_daemon {
         0 if by_account || per_zone < slots.min(shared) => {
             let (max, kept) = single_owner_connections(shared);
             Some(OwnerQuota::Single { max, kept })
@@ -122,5 +123,5 @@
         0 => Some(OwnerQuota::PerZone(per_zone)),
         _ => None,
     };
-    Share { limit: each.max(1), overflow, idle_policy, owned }
+    Share { limit: per_daemon.max(1), overflow, idle_policy, owned }
 }
