--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -45,7 +45,7 @@
 const START_SLACK: Duration = Duration::from_millis(150);
 
 /// Why a request got no outcome: how far it had come, and what was lost.
-pub type LinkLost = (Progress, ConnectionLost);
+pub type CallError = (Progress, ConnectionLost);
 
 /// A request that waits for its answer: the receiver, the server that runs it, and the time until which the owner
 /// may start it.
@@ -131,7 +131,7 @@
         &self,
         request: RelayRequest,
         deadline: Instant,
-    ) -> Result<RelayOutcome, LinkLost> {
+    ) -> Result<RelayOutcome, CallError> {
         let start_until = Instant::now() + request.wait_limit() + START_SLACK;
         let may_write = request.may_write();
         let answered = self.call_once(request, start_until, deadline).await;
@@ -146,7 +146,7 @@
         request: RelayRequest,
         start_until: Instant,
         deadline: Instant,
-    ) -> Result<RelayOutcome, LinkLost> {
+    ) -> Result<RelayOutcome, CallError> {
         let number = self.next_number();
         let (answer, answered) = oneshot::channel();
         if self.is_down() {
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -401,7 +401,7 @@
     }
 
     /// Whether another server may run it: it only reads, is not for the primary, and an alternative is known.
-    pub fn may_go_elsewhere(&self) -> bool {
+    pub fn has_alternative(&self) -> bool {
         let only_reads = match &self.task {
             Some(RelayTask::Read(_) | RelayTask::Begin(true)) => true,
             Some(RelayTask::Execute(execute)) => !execute.writes,
@@ -411,7 +411,7 @@
     }
 
     /// Whether the start deadline has passed at this time of the owner's clock.
-    pub fn is_past_start(&self, clock_ms: u64) -> bool {
+    pub fn is_past_start_deadline(&self, clock_ms: u64) -> bool {
         clock_ms >= self.start_deadline_ms
     }
 
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -46,7 +46,7 @@
     /// The request queues of open transactions, by number.
     transactions: RefCell<HashMap<u64, Transaction>>,
     /// Single statements that are not finished, by number.
-    singles: RefCell<HashMap<u64, CancellationToken>>,
+    statements: RefCell<HashMap<u64, CancellationToken>>,
     /// Cancelled when the link ends.
     link: CancellationToken,
 }
@@ -60,7 +60,7 @@
     /// Cancels a request or ends a transaction; what is waiting does not start any more.
     fn cancel(&self, request: RelayRequest) {
         if request.transaction == 0 {
-            if let Some(single) = self.singles.borrow_mut().remove(&request.number) {
+            if let Some(single) = self.statements.borrow_mut().remove(&request.number) {
                 single.cancel();
             }
             return;
@@ -189,10 +189,10 @@
         Some(_) => {
             let (engine, answers, open) = (engine.clone(), answers.clone(), open.clone());
             let cancellation = open.link.child_token();
-            open.singles.borrow_mut().insert(number, cancellation.clone());
+            open.statements.borrow_mut().insert(number, cancellation.clone());
             tokio::task::spawn_local(async move {
                 let outcome = run_single(&engine, &request, &cancellation).await;
-                open.singles.borrow_mut().remove(&number);
+                open.statements.borrow_mut().remove(&number);
                 // The link may have ended.
                 let _ = answers.send_async(answer_with_load(&engine, &request, outcome)).await;
             });
@@ -243,7 +243,7 @@
             Ok(connection) => connection,
             Err(why) => return not_sent(why),
         };
-    if request.is_past_start(engine.clock_ms()) {
+    if request.is_past_start_deadline(engine.clock_ms()) {
         connection.release();
         return not_sent(NotSent::TooLate);
     }
@@ -338,7 +338,7 @@
 ) -> Result<(), NotSent> {
     let left_ms = request.start_deadline_ms.saturating_sub(engine.clock_ms());
     connection.await_permit(Instant::now() + Duration::from_millis(left_ms)).await?;
-    if request.is_past_start(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
+    if request.is_past_start_deadline(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
 }
 
 /// Waits until this daemon knows the servers. After a common start other daemons may know before it does that it
@@ -347,8 +347,8 @@
     engine: &Rc<Engine<C, E>>,
     until: Instant,
 ) {
-    let mut beliefs = engine.control_view.clone();
-    let known = beliefs.wait_for(|beliefs| beliefs.is_ready());
+    let mut view = engine.control_view.clone();
+    let known = view.wait_for(|view| view.is_ready());
     // After a timeout the pool refuses the request.
     let _ = tokio::time::timeout_at(until.into(), known).await;
 }
@@ -373,7 +373,7 @@
         return Err(NotSent::Unwilling);
     }
     let server = Name::from(request.server.as_str());
-    if request.may_go_elsewhere() && !engine.pass_read(group, &server) {
+    if request.has_alternative() && !engine.pass_read(group, &server) {
         return Err(NotSent::SetAside);
     }
     let connection_request = ConnectionRequest {
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -120,10 +120,10 @@
     let received_at = Instant::now();
     let after = |ms| received_at + Duration::from_millis(ms);
     let cases = [
-        ("a moment ago", None, 150, LivenessAction::Wait),
-        ("quiet for a while", None, 200, LivenessAction::Ping),
-        ("asked a moment ago", Some(200), 400, LivenessAction::Wait),
-        ("asked, and nothing came", Some(200), 450, LivenessAction::GiveUp),
+        ("data arrived recently", None, 150, LivenessAction::Wait),
+        ("no data for a while", None, 200, LivenessAction::Ping),
+        ("pinged recently", Some(200), 400, LivenessAction::Wait),
+        ("pinged, without an answer", Some(200), 450, LivenessAction::GiveUp),
     ];
     for (name, pinged_after_ms, now_ms, expected) in cases {
         assert_eq!(
@@ -243,7 +243,7 @@
             let link = RelayLink::start(address);
             let wait_limit = Duration::from_millis(200);
             let request = RelayRequest { wait_ms: wait_limit.as_millis() as u64, ..write() };
-            let asked = async {
+            let call = async {
                 let lost = link.call(request, Instant::now() + DEADLINE).await;
                 (lost, Instant::now())
             };
@@ -252,13 +252,13 @@
                 let mut frames = accept(&listener).await;
                 (read(&mut frames).await, accepted_at)
             };
-            let ((lost, reported_at), (request, accepted_at)) = tokio::join!(asked, closes);
+            let ((lost, reported_at), (request, accepted_at)) = tokio::join!(call, closes);
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
             let may_start_for = Duration::from_millis(request.start_deadline_ms - CLOCK_MS);
             assert!(may_start_for >= wait_limit);
             assert!(reported_at >= accepted_at + may_start_for);
-            assert!(!request.is_past_start(request.start_deadline_ms - 1));
-            assert!(request.is_past_start(request.start_deadline_ms));
+            assert!(!request.is_past_start_deadline(request.start_deadline_ms - 1));
+            assert!(request.is_past_start_deadline(request.start_deadline_ms));
         });
     }
 
@@ -267,12 +267,12 @@
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
-            let asked = link.call(write(), Instant::now() + DEADLINE);
+            let call = link.call(write(), Instant::now() + DEADLINE);
             let closes = async {
                 let mut frames = accept(&listener).await;
                 read(&mut frames).await;
             };
-            let (lost, ()) = tokio::join!(asked, closes);
+            let (lost, ()) = tokio::join!(call, closes);
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
         });
     }
@@ -282,11 +282,11 @@
         run(async {
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
-            let asked = link.call(write(), Instant::now() + DEADLINE);
-            tokio::pin!(asked);
+            let call = link.call(write(), Instant::now() + DEADLINE);
+            tokio::pin!(call);
             let mut frames = tokio::select! {
                 frames = accept(&listener) => frames,
-                _ = &mut asked => panic!("no answer was sent"),
+                _ = &mut call => panic!("no answer was sent"),
             };
             // Reads everything and sends nothing.
             let frozen = async {
@@ -294,7 +294,7 @@
                 std::future::pending().await
             };
             let lost = tokio::select! {
-                lost = &mut asked => lost,
+                lost = &mut call => lost,
                 () = frozen => unreachable!("it never returns"),
             };
             assert_eq!(lost, Err((Progress::Sent, ConnectionLost::OwnerLost)));
@@ -308,15 +308,15 @@
             let (listener, address) = owner().await;
             let link = RelayLink::start(address);
             let mut frames = {
-                let asked = link.call(write(), Instant::now() + DEADLINE);
-                tokio::pin!(asked);
+                let call = link.call(write(), Instant::now() + DEADLINE);
+                tokio::pin!(call);
                 tokio::select! {
                     frames = async {
                         let mut frames = accept(&listener).await;
                         read(&mut frames).await;
                         frames
                     } => frames,
-                    _ = &mut asked => panic!("no answer was sent"),
+                    _ = &mut call => panic!("no answer was sent"),
                 }
             };
             let cancelled = read(&mut frames).await;
@@ -328,14 +328,14 @@
                 answer(&mut frames, request.number, RelayOutcome::NotSent(0)).await;
                 read(&mut frames).await
             };
-            let asked = async {
+            let call = async {
                 let deadline = Instant::now() + DEADLINE;
                 link.call(write(), deadline).await.unwrap();
                 link.call(write(), deadline).await
             };
             let next = tokio::select! {
                 next = answered => next,
-                _ = asked => panic!("the last request has no answer"),
+                _ = call => panic!("the last request has no answer"),
             };
             assert_eq!(next.task, write().task);
         });
@@ -407,7 +407,7 @@
             let first = links.first_usable([address], start).unwrap();
             drop(accept_only(&listener).await);
             until_down(&first).await;
-            // The owner is avoided for a moment, and then reconnected without requests.
+            // The owner is avoided at first, and then reconnected without requests.
             assert!(links.first_usable([address], start).is_none());
             let later = start + Duration::from_secs(60);
             assert!(links.first_usable([address], later).is_none());
@@ -419,12 +419,12 @@
                 tokio::task::yield_now().await;
             };
             assert!(link.is_connected());
-            let asked = link.call(write(), Instant::now() + DEADLINE);
+            let call = link.call(write(), Instant::now() + DEADLINE);
             let answers = async {
                 let number = read(&mut frames).await.number;
                 answer(&mut frames, number, RelayOutcome::Lost("answered".to_owned())).await;
             };
-            let (answered, ()) = tokio::join!(asked, answers);
+            let (answered, ()) = tokio::join!(call, answers);
             assert_eq!(answered, Ok(RelayOutcome::Lost("answered".to_owned())));
         });
     }
