--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -36,7 +36,7 @@
     /// A daemon requests a sample from the primary.
     Sample(usize),
     /// One daemon sends a request to another; each part takes this long, in milliseconds.
-    Ask { asker: usize, asked: usize, there_ms: u64, held_ms: u64, back_ms: u64 },
+    Request { sender: usize, receiver: usize, there_ms: u64, held_ms: u64, back_ms: u64 },
     /// A daemon restarts.
     Restart(usize),
     /// Time passes, in milliseconds.
@@ -63,9 +63,9 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let ask = (0..DAEMONS, 1..DAEMONS, 0_u64..400, 0_u64..900, 0_u64..2_000).prop_map(
-        |(asker, distance, there_ms, held_ms, back_ms)| Event::Ask {
-            asker,
-            asked: (asker + distance) % DAEMONS,
+        |(sender, distance, there_ms, held_ms, back_ms)| Event::Request {
+            sender,
+            receiver: (sender + distance) % DAEMONS,
             there_ms,
             held_ms,
             back_ms,
@@ -126,66 +126,68 @@
                 let point = LogPoint::new(1, self.asked_at.len() as u64);
                 self.keep(*daemon, PrimarySample { asked_at, point });
             }
-            Event::Ask { asker, asked, there_ms, held_ms, back_ms } => {
-                let (request, sent_at) = self.request(*asker, *asked, fault);
+            Event::Request { sender, receiver, there_ms, held_ms, back_ms } => {
+                let (request, sent_at) = self.request(*sender, *receiver, fault);
                 self.pass(*there_ms);
                 let received_at = self.now();
-                self.take_request(*asked, &request, received_at);
+                self.take_request(*receiver, &request, received_at);
                 self.pass(*held_ms);
-                let mut answer = self.answer(*asked, received_at);
+                let mut answer = self.answer(*receiver, received_at);
                 self.pass(*back_ms);
                 let counts_from = match fault {
                     Fault::FromArrival => self.now(),
                     _ => sent_at,
                 };
                 for (_, sample) in answer.take_contents(counts_from).samples {
-                    self.keep(*asker, sample);
+                    self.keep(*sender, sample);
                 }
                 let last_clock = answer.clock.map(|clock| (clock, self.now()));
-                self.daemons[*asker].last_clocks.extend(last_clock.map(|clock| (*asked, clock)));
+                self.daemons[*sender]
+                    .last_clocks
+                    .extend(last_clock.map(|clock| (*receiver, clock)));
             }
             Event::Restart(daemon) => self.daemons[*daemon] = self.new_incarnation(),
             Event::Wait(ms) => self.pass(*ms),
         }
     }
 
-    fn request(&self, asker: usize, asked: usize, fault: Fault) -> (FollowRequest, Instant) {
-        let daemon = &self.daemons[asker];
-        let last_clock = daemon.last_clocks.get(&asked);
-        let told = daemon.sample.zip(last_clock).and_then(|(sample, (_, received_at))| {
+    fn request(&self, sender: usize, receiver: usize, fault: Fault) -> (FollowRequest, Instant) {
+        let daemon = &self.daemons[sender];
+        let last_clock = daemon.last_clocks.get(&receiver);
+        let message = daemon.sample.zip(last_clock).and_then(|(sample, (_, received_at))| {
             sample.to_message_since(&self.service, *received_at)
         });
         let clock = last_clock.map(|(clock, _)| match fault {
             Fault::IgnoredIncarnation => {
-                ClockMessage { incarnation: self.daemons[asked].incarnation, ..*clock }
+                ClockMessage { incarnation: self.daemons[receiver].incarnation, ..*clock }
             }
             _ => *clock,
         });
         let request = FollowRequest {
             last_clock: clock,
-            samples: told.into_iter().collect(),
+            samples: message.into_iter().collect(),
             ..FollowRequest::default()
         };
         (request, self.now())
     }
 
-    fn take_request(&mut self, asked: usize, request: &FollowRequest, received_at: Instant) {
-        let Daemon { incarnation, epoch, .. } = self.daemons[asked];
+    fn take_request(&mut self, receiver: usize, request: &FollowRequest, received_at: Instant) {
+        let Daemon { incarnation, epoch, .. } = self.daemons[receiver];
         for (_, sample) in request.local_samples(incarnation, epoch, received_at) {
-            self.keep(asked, sample);
+            self.keep(receiver, sample);
         }
     }
 
-    fn answer(&self, asked: usize, received_at: Instant) -> FollowAnswer {
-        let (daemon, now) = (&self.daemons[asked], self.now());
-        let told = daemon.sample.map(|sample| sample.to_message(&self.service, now));
+    fn answer(&self, receiver: usize, received_at: Instant) -> FollowAnswer {
+        let (daemon, now) = (&self.daemons[receiver], self.now());
+        let message = daemon.sample.map(|sample| sample.to_message(&self.service, now));
         FollowAnswer {
             held_ms: now.duration_since(received_at).as_millis() as u64,
             clock: Some(ClockMessage {
                 incarnation: daemon.incarnation,
                 at_ms: now.duration_since(daemon.epoch).as_millis() as u64,
             }),
-            samples: told.into_iter().collect(),
+            samples: message.into_iter().collect(),
             ..FollowAnswer::default()
         }
     }
