--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -30,7 +30,8 @@
 
 /// How often the promoter checks the groups if nothing wakes it.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Groups whose current primary is determined concurrently, so that their answers can be read within the command timeout.
+/// The largest number of groups whose servers are queried concurrently for an unrecorded or unconfirmed primary, so that
+/// a small host can read their answers within the command timeout.
 const MAX_CONCURRENT_DISCOVERIES: usize = 32;
 /// The shortest pause after a check of the groups.
 const MIN_PAUSE: Duration = Duration::from_millis(5);
@@ -144,7 +145,7 @@
         match acquired {
             Ok(TransactionOutcome::Done(revision)) => log::info!(
                 event = "duty_taken", fencing_token = revision.fencing_token();
-                "this daemon is the promoter now"
+                "acquired the promoter role"
             ),
             Ok(TransactionOutcome::Conflict) => {}
             Ok(TransactionOutcome::LeaseOver) => self.state.borrow_mut().promoter_lease = None,
