--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -16,7 +16,7 @@
     },
     serve::{
         endpoint_task::{EndpointTask, TaskKind},
-        job::Work,
+        job::EndpointStatement,
         replay::SessionValues,
     },
     statement::{
@@ -305,10 +305,10 @@
         Some(match task {
             TaskKind::Begin { read_only } => RelayTask::Begin(*read_only),
             TaskKind::Rollback => RelayTask::Rollback(true),
-            TaskKind::Work(Work::Commit) => RelayTask::Commit(true),
-            TaskKind::Work(Work::Read(body)) => RelayTask::Read(body.clone()),
-            TaskKind::Work(Work::Write(body)) => RelayTask::Write(body.clone()),
-            TaskKind::Work(Work::Execute { shape, arguments }) => {
+            TaskKind::Statement(EndpointStatement::Commit) => RelayTask::Commit(true),
+            TaskKind::Statement(EndpointStatement::Read(body)) => RelayTask::Read(body.clone()),
+            TaskKind::Statement(EndpointStatement::Write(body)) => RelayTask::Write(body.clone()),
+            TaskKind::Statement(EndpointStatement::Execute { shape, arguments }) => {
                 RelayTask::Execute(ExecuteMessage {
                     writes: shape.class == StatementClass::Write,
                     shape: shape.shape.to_string(),
@@ -323,10 +323,10 @@
         Some(match self {
             RelayTask::Begin(read_only) => TaskKind::Begin { read_only: *read_only },
             RelayTask::Rollback(_) => TaskKind::Rollback,
-            RelayTask::Commit(_) => TaskKind::Work(Work::Commit),
-            RelayTask::Read(body) => TaskKind::Work(Work::Read(body.clone())),
-            RelayTask::Write(body) => TaskKind::Work(Work::Write(body.clone())),
-            RelayTask::Execute(execute) => TaskKind::Work(Work::Execute {
+            RelayTask::Commit(_) => TaskKind::Statement(EndpointStatement::Commit),
+            RelayTask::Read(body) => TaskKind::Statement(EndpointStatement::Read(body.clone())),
+            RelayTask::Write(body) => TaskKind::Statement(EndpointStatement::Write(body.clone())),
+            RelayTask::Execute(execute) => TaskKind::Statement(EndpointStatement::Execute {
                 shape: PreparedShape {
                     class: match execute.writes {
                         true => StatementClass::Write,
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -413,7 +413,9 @@
 ) -> (RelayOutcome, Option<TransactionState>) {
     let deadline = received_at + request.answer_timeout();
     let is_read = match &task.kind {
-        TaskKind::Work(work) => work.class() == StatementClass::Read && request.transaction == 0,
+        TaskKind::Statement(statement) => {
+            statement.class() == StatementClass::Read && request.transaction == 0
+        }
         TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => false,
     };
     let service = Name::from(request.service.as_str());
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -9,7 +9,7 @@
     dialect::EndpointDialect,
     serve::{
         connection::{ConnectionLost, EndpointConnection},
-        job::Work,
+        job::EndpointStatement,
         replay::SessionValues,
         verdict::Progress,
     },
@@ -27,7 +27,7 @@
     /// Roll the transaction back.
     Rollback,
     /// Run a caller's statement.
-    Work(Work),
+    Statement(EndpointStatement),
     /// Run a query or command of the daemon itself.
     Command(EndpointText),
 }
@@ -59,7 +59,9 @@
         deadline: Instant,
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         let before = match &self.kind {
-            TaskKind::Work(work) => connection.environment.prepare_for(&self.values, work.shape()),
+            TaskKind::Statement(statement) => {
+                connection.environment.prepare_for(&self.values, statement.shape())
+            }
             TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => Vec::new(),
         };
         let Some(text) = self.text(connection) else {
@@ -89,13 +91,17 @@
             TaskKind::Begin { read_only } => EndpointText::Begin { read_only: *read_only },
             TaskKind::Rollback => EndpointText::Rollback,
             TaskKind::Command(text) => text.clone(),
-            TaskKind::Work(Work::Read(body)) => EndpointText::Read(body.clone()),
-            TaskKind::Work(Work::Write(body)) => EndpointText::Write(body.clone()),
-            TaskKind::Work(Work::Commit) => EndpointText::Commit,
-            TaskKind::Work(Work::Execute { shape, arguments }) => EndpointText::Execute {
-                number: connection.environment.number_of(shape)?,
-                arguments: arguments.clone(),
-            },
+            TaskKind::Statement(EndpointStatement::Read(body)) => EndpointText::Read(body.clone()),
+            TaskKind::Statement(EndpointStatement::Write(body)) => {
+                EndpointText::Write(body.clone())
+            }
+            TaskKind::Statement(EndpointStatement::Commit) => EndpointText::Commit,
+            TaskKind::Statement(EndpointStatement::Execute { shape, arguments }) => {
+                EndpointText::Execute {
+                    number: connection.environment.number_of(shape)?,
+                    arguments: arguments.clone(),
+                }
+            }
         })
     }
 }
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -80,7 +80,7 @@
         loop {
             let group = self.group(&job.route.service, &self.control_view());
             self.report_usage(&group, &job.route.service);
-            let class = job.work.class();
+            let class = job.statement.class();
             let mut assignment = match self.assign(&group, job, class, &mut attempts).await {
                 Ok(assignment) => assignment,
                 Err(AssignError::Refuse(error)) => return refusal(error, TransactionState::Idle),
@@ -154,7 +154,7 @@
     /// A read that was forwarded to an owner may have waited there for longer than the lease lasts.
     fn is_lease_still_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         let is_primary_read =
-            job.work.class() == StatementClass::Read && assignment.leader.is_some();
+            job.statement.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
             || assignment.connection.server_route().is_own
             || self.is_current_leader(
@@ -289,7 +289,7 @@
         attempts: &mut Attempts,
         error: AcquireError,
     ) -> AssignError {
-        if job.work.class() == StatementClass::Read
+        if job.statement.class() == StatementClass::Read
             && job.route.reads != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
@@ -416,7 +416,7 @@
         let Some(leader) = assignment.leader else { return answer };
         let sample = Sample { sent_at, known_point: assignment.known_point, point: answer.point };
         self.add_sample(group, service, &leader, sample);
-        if job.work.class() == StatementClass::Write
+        if job.statement.class() == StatementClass::Write
             && !self.confirm_write(service, &leader, answer.point, job.deadline()).await
         {
             return self.unconfirmed_write(job, &leader);
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -34,7 +34,7 @@
 
 /// A statement that has to run on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum EndpointStatement {
     /// A read.
     Read(Bytes),
     /// A write.
@@ -50,20 +50,20 @@
     Commit,
 }
 
-impl Work {
+impl EndpointStatement {
     /// Returns whether it is a read or a write.
     pub fn class(&self) -> StatementClass {
         match self {
-            Work::Read(_) => StatementClass::Read,
-            Work::Write(_) => StatementClass::Write,
-            Work::Execute { shape, .. } => shape.class,
-            Work::Commit => StatementClass::Write,
+            EndpointStatement::Read(_) => StatementClass::Read,
+            EndpointStatement::Write(_) => StatementClass::Write,
+            EndpointStatement::Execute { shape, .. } => shape.class,
+            EndpointStatement::Commit => StatementClass::Write,
         }
     }
 
     pub(crate) fn shape(&self) -> Option<&PreparedShape> {
         match self {
-            Work::Execute { shape, .. } => Some(shape),
+            EndpointStatement::Execute { shape, .. } => Some(shape),
             _ => None,
         }
     }
@@ -74,7 +74,7 @@
     /// The caller's identifier for the request.
     pub id: Bytes,
     /// The statement.
-    pub work: Work,
+    pub statement: EndpointStatement,
     /// The route that applies to it.
     pub route: &'a Arc<Route>,
     /// The values of its session.
@@ -92,7 +92,7 @@
     pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
-            kind: TaskKind::Work(self.work.clone()),
+            kind: TaskKind::Statement(self.statement.clone()),
             values: self.values.clone(),
             min_point,
         }
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -142,7 +142,7 @@
         task: &EndpointTask,
         answered: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
-        let has_run = matches!(task.kind, TaskKind::Work(_))
+        let has_run = matches!(task.kind, TaskKind::Statement(_))
             && answered.as_ref().is_ok_and(|answer| answer.error_code().is_none());
         for permit in self.permit.iter_mut().chain(self.statement_permit.iter_mut()) {
             permit.release_slot(has_run);
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -418,5 +418,5 @@
 
 /// Whether only the primary can run a statement, regardless of samples of its log position.
 fn needs_primary(job: &Job<'_>) -> bool {
-    job.work.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
+    job.statement.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
 }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -19,7 +19,7 @@
         caller_link::CallerLink,
         connection::refusal,
         engine::Engine,
-        job::{Job, Work, id_text},
+        job::{EndpointStatement, Job, id_text},
         replay::SessionValues,
         transaction::Transaction,
     },
@@ -289,16 +289,23 @@
             Statement::Commit if self.transaction.is_none() => {
                 self.local_error(ErrorCode::Malformed, "no transaction is open")
             }
-            Statement::Commit => self.on_server_statement(id, Work::Commit, arrived).await,
+            Statement::Commit => {
+                self.on_endpoint_statement(id, EndpointStatement::Commit, arrived).await
+            }
             Statement::Read { body } => {
-                self.on_server_statement(id, Work::Read(body), arrived).await
+                self.on_endpoint_statement(id, EndpointStatement::Read(body), arrived).await
             }
             Statement::Write { body } => {
-                self.on_server_statement(id, Work::Write(body), arrived).await
+                self.on_endpoint_statement(id, EndpointStatement::Write(body), arrived).await
             }
             Statement::Execute { name, arguments } => match self.prepared.get(&name).cloned() {
                 Some(shape) => {
-                    self.on_server_statement(id, Work::Execute { shape, arguments }, arrived).await
+                    self.on_endpoint_statement(
+                        id,
+                        EndpointStatement::Execute { shape, arguments },
+                        arrived,
+                    )
+                    .await
                 }
                 None => self.local_error(ErrorCode::UnknownStatement, "no such prepared name"),
             },
@@ -351,7 +358,12 @@
         self.local_success()
     }
 
-    async fn on_server_statement(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
+    async fn on_endpoint_statement(
+        &mut self,
+        id: Bytes,
+        statement: EndpointStatement,
+        arrived: Instant,
+    ) -> Answer {
         let route = match &self.transaction {
             Some(transaction) => Some(transaction.route.clone()),
             None => self.route(),
@@ -378,22 +390,23 @@
             self.fail_if_open();
             return refusal(error, self.state());
         }
-        let writes = work.class() == model::StatementClass::Write;
-        let is_commit = work == Work::Commit;
+        let writes = statement.class() == model::StatementClass::Write;
+        let is_commit = statement == EndpointStatement::Commit;
         let own_point = self.own_points.get(&route.service).copied();
         let values = std::mem::take(&mut self.values);
-        let job = Job { id, work, route: &route, values: &values, own_point, arrived, principal };
+        let job =
+            Job { id, statement, route: &route, values: &values, own_point, arrived, principal };
         let engine = self.engine.clone();
         let answer = match &mut self.transaction {
             Some(transaction) => engine.run_in_transaction(&job, transaction).await,
             None => engine.run_single(&job).await,
         };
-        self.after_work(&job, &answer, writes, is_commit);
+        self.after_statement(&job, &answer, writes, is_commit);
         self.values = values;
         answer
     }
 
-    fn after_work(&mut self, job: &Job<'_>, answer: &Answer, writes: bool, is_commit: bool) {
+    fn after_statement(&mut self, job: &Job<'_>, answer: &Answer, writes: bool, is_commit: bool) {
         let succeeded = matches!(answer.outcome, Outcome::Complete(_));
         let ended = answer.state == TransactionState::Idle;
         let wrote = match &self.transaction {
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -18,7 +18,7 @@
         endpoint_task::{EndpointTask, TaskKind},
         engine::{Engine, Group},
         execute::{AssignError, Assignment, RETRY_PAUSE, Sample, refusal_code},
-        job::{Job, Work},
+        job::{EndpointStatement, Job},
         pooled_connection::PooledConnection,
         primary_wait::Attempts,
         verdict::{NextStep, after_error, transaction_after_loss},
@@ -125,7 +125,7 @@
                     transaction.connection = None;
                     transaction.failed = true;
                     self.note_loss(&group, &job.route.service, &server_route, &lost);
-                    let is_commit = job.work == Work::Commit;
+                    let is_commit = job.statement == EndpointStatement::Commit;
                     let code = transaction_after_loss(is_commit, transaction.wrote, progress);
                     let mut answer =
                         self.lost_connection_answer(job, &server_route.server, code, &lost);
@@ -285,7 +285,7 @@
         }
         match answer.state {
             TransactionState::Open => {
-                transaction.wrote |= job.work.class() == StatementClass::Write;
+                transaction.wrote |= job.statement.class() == StatementClass::Write;
                 return answer;
             }
             TransactionState::Failed => {
@@ -301,7 +301,8 @@
             connection.release();
         }
         let Some(leader) = transaction.leader.clone() else { return answer };
-        let committed = matches!(answer.outcome, Outcome::Complete(_)) && job.work == Work::Commit;
+        let committed = matches!(answer.outcome, Outcome::Complete(_))
+            && job.statement == EndpointStatement::Commit;
         if committed
             && transaction.wrote
             && !self.confirm_write(&job.route.service, &leader, answer.point, job.deadline()).await
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -11,7 +11,7 @@
     },
     serve::{
         endpoint_task::{EndpointTask, TaskKind},
-        job::Work,
+        job::EndpointStatement,
         replay::SessionValues,
     },
     statement::{
@@ -35,7 +35,7 @@
     let body = Bytes::from_static(b"1a4  with two blanks \x01");
     let shape = |class| PreparedShape { class, shape: Name::from("q2c") };
     let execute = |class| {
-        TaskKind::Work(Work::Execute {
+        TaskKind::Statement(EndpointStatement::Execute {
             shape: shape(class),
             arguments: Bytes::from_static(b"1a4 x"),
         })
@@ -45,9 +45,9 @@
         TaskKind::Begin { read_only: true },
         TaskKind::Begin { read_only: false },
         TaskKind::Rollback,
-        TaskKind::Work(Work::Commit),
-        TaskKind::Work(Work::Read(body.clone())),
-        TaskKind::Work(Work::Write(body)),
+        TaskKind::Statement(EndpointStatement::Commit),
+        TaskKind::Statement(EndpointStatement::Read(body.clone())),
+        TaskKind::Statement(EndpointStatement::Write(body)),
         execute(StatementClass::Read),
         execute(StatementClass::Write),
         TaskKind::Command(EndpointText::Status),
