--- a/crates/proxy/src/relay/links.rs
+++ b/crates/proxy/src/relay/links.rs
@@ -11,7 +11,7 @@
 use crate::relay::link::RelayLink;
 
 /// How long an owner that refuses requests is avoided: about as long as a daemon takes to restart and rejoin.
-/// Without separate reconnects it also applies to an owner whose link was lost.
+/// Without `reconnects_first` it also applies to an owner whose link was lost.
 const AVOID_FOR: Duration = Duration::from_millis(1_000);
 /// Delay of the first reconnect after a link was lost. Doubles with each failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(125);
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -111,7 +111,7 @@
                     break;
                 }
             }
-            // Clears the state. It does not matter for a server that is no longer listed.
+            // Also clears the state of a server that is no longer listed.
             engine.note_reachable(&group, &service, &server);
         });
     }
