--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -418,7 +418,7 @@
     };
     let service = Name::from(request.service.as_str());
     let route = connection.server_route();
-    let known = group.samples.borrow().latest();
+    let known_point = group.samples.borrow().latest();
     let sent_at = Instant::now();
     // The sender decides whether a second server is tried.
     let watch =
@@ -429,7 +429,7 @@
             engine.note_health(group, &route.server, outcome_of(answer.error_code()));
             engine.note_answer(group, &service, &route, answer.point, took);
             if request.at_primary && answer.error_code().is_none() {
-                let sample = Sample { sent_at, known, point: answer.point };
+                let sample = Sample { sent_at, known_point, point: answer.point };
                 engine.note_forwarded_sample(group, &service, &route.server, sample);
             }
             let state = answer.state;
