--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -33,10 +33,10 @@
     /// recorded as a probe.
     pub(crate) fn pass_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
-        let may_pass = group.pool.with_slot(server, |slot| {
-            let may_pass = slot.health.may_pass(now);
+        let may_pass = group.pool.with_server(server, |pooled| {
+            let may_pass = pooled.health.may_pass(now);
             if may_pass {
-                slot.health.on_pass(now);
+                pooled.health.on_pass(now);
             }
             may_pass
         });
@@ -65,7 +65,8 @@
             return;
         }
         let now = Instant::now();
-        let change = group.pool.with_slot(server, |slot| slot.health.on_outcome(outcome, now));
+        let change =
+            group.pool.with_server(server, |pooled| pooled.health.on_outcome(outcome, now));
         let Some(Some(change)) = change else { return };
         let state = match change {
             CircuitChange::Opened => "open",
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -119,33 +119,35 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let PoolState { servers, waiters, .. } = &mut *state;
-        let Some(slot) = servers.iter().find(|slot| &*slot.entry.server == server) else { return };
-        if !slot.is_unreachable(now) {
+        let Some(pooled) = servers.iter().find(|pooled| &*pooled.entry.server == server) else {
+            return;
+        };
+        if !pooled.is_unreachable(now) {
             return;
         }
         for queue in waiters {
-            queue.retain(|waiter| waiter.request.only.as_ref() != Some(&slot.entry.server));
+            queue.retain(|waiter| waiter.request.only.as_ref() != Some(&pooled.entry.server));
         }
     }
 
     /// Records that a server answered this daemon directly, even if only to a connect.
     pub(crate) fn on_direct_answer(&self, server: &str) {
-        self.with_slot(server, |slot| slot.paths.on_direct_answer(Instant::now()));
+        self.with_server(server, |pooled| pooled.paths.on_direct_answer(Instant::now()));
     }
 
     fn is_unreachable(&self, server: &str) -> bool {
-        self.with_slot(server, |slot| slot.paths.is_unreachable).unwrap_or(false)
+        self.with_server(server, |pooled| pooled.paths.is_unreachable).unwrap_or(false)
     }
 
     /// Marks the search for a tunnel as running; `Some(true)` if one is needed and none was running.
     fn begin_tunnel_search(&self, server: &str) -> Option<bool> {
-        self.with_slot(server, |slot| {
-            slot.paths.is_unreachable && !std::mem::replace(&mut slot.paths.is_searching, true)
+        self.with_server(server, |pooled| {
+            pooled.paths.is_unreachable && !std::mem::replace(&mut pooled.paths.is_searching, true)
         })
     }
 
     fn end_tunnel_search(&self, server: &str) {
-        self.with_slot(server, |slot| slot.paths.is_searching = false);
+        self.with_server(server, |pooled| pooled.paths.is_searching = false);
     }
 
     /// Records an attempt of this daemon's own callers, which counts as a probe if the server's circuit breaker is
@@ -158,21 +160,22 @@
 
     /// Records whether a connection to a server could be opened through a tunnel.
     pub(crate) fn on_tunnel(&self, server: &str, is_open: bool) {
-        self.with_slot(server, |slot| slot.paths.has_tunnel = is_open);
+        self.with_server(server, |pooled| pooled.paths.has_tunnel = is_open);
     }
 
     /// Returns the next few daemons to try a tunnel through, if one is needed and none works yet.
     pub(crate) fn tunnels_to_try(&self, server: &str) -> Vec<SocketAddr> {
         let now = Instant::now();
-        let to_try = self.with_slot(server, |slot| {
-            let is_wanted = slot.paths.is_unreachable && !slot.paths.has_tunnel;
-            let has_owner = self.owner_in_use(slot, now).is_some();
-            if !is_wanted || has_owner || !slot.has_tunnel(now) {
+        let to_try = self.with_server(server, |pooled| {
+            let is_wanted = pooled.paths.is_unreachable && !pooled.paths.has_tunnel;
+            let has_owner = self.owner_in_use(pooled, now).is_some();
+            if !is_wanted || has_owner || !pooled.has_tunnel(now) {
                 return Vec::new();
             }
-            slot.tunnels
+            pooled
+                .tunnels
                 .iter()
-                .skip(slot.next_tunnel)
+                .skip(pooled.next_tunnel)
                 .take(PARALLEL_TUNNEL_TRIES)
                 .copied()
                 .collect()
@@ -185,7 +188,7 @@
         if !self.has_circuits() {
             return;
         }
-        self.with_slot(server, |slot| slot.paths.on_unreachable(asked_at));
+        self.with_server(server, |pooled| pooled.paths.on_unreachable(asked_at));
         self.fail_waiters_for(server);
     }
 }
@@ -262,7 +265,7 @@
                 self.note_path_outcome(pool, route, PathOutcome::Refused);
             }
             ConnectionLost::NotGranted(NotSent::SetAside) => {
-                pool.with_slot(&route.server, |slot| slot.note_circuit_open());
+                pool.with_server(&route.server, |pooled| pooled.note_circuit_open());
             }
             _ => {}
         }
@@ -272,7 +275,7 @@
         let Some(owner) = route.owner.filter(|_| self.settings.overload.circuits) else { return };
         let now = Instant::now();
         let change =
-            pool.with_slot(&route.server, |slot| slot.paths.on_outcome(owner, outcome, now));
+            pool.with_server(&route.server, |pooled| pooled.paths.on_outcome(owner, outcome, now));
         if let Some(Some(change)) = change {
             self.log_circuit(&route.server, owner, change);
         }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -31,10 +31,10 @@
         connection::EndpointConnection,
         connection_request::ConnectionRequest,
         pooled_connection::{Backing, OpeningPermit, PooledConnection},
+        pooled_server::PooledServer,
         replay::{Environment, SessionValues},
         server_queue::QueuePermit,
         share::{IdlePolicy, OwnerQuota, Share},
-        slot::ServerSlot,
     },
 };
 
@@ -46,7 +46,7 @@
 
 pub(super) struct PoolState<E: EndpointDialect> {
     pub(super) idle_policy: IdlePolicy,
-    pub(super) servers: Vec<ServerSlot<E>>,
+    pub(super) servers: Vec<PooledServer<E>>,
     pub(super) waiters: [VecDeque<Waiter<E>>; PRIORITIES],
     /// Whether some daemons own the connections on behalf of others.
     pub(super) has_owners: bool,
@@ -115,31 +115,31 @@
         let mut state = self.state.borrow_mut();
         state.idle_policy = share.idle_policy;
         state.has_owners = share.owned.is_some();
-        for slot in &mut state.servers {
-            slot.listed = entries.iter().any(|entry| entry.server == slot.entry.server);
-            if !slot.listed {
-                slot.idle.clear();
+        for pooled in &mut state.servers {
+            pooled.listed = entries.iter().any(|entry| entry.server == pooled.entry.server);
+            if !pooled.listed {
+                pooled.idle.clear();
             }
         }
-        state.servers.retain(|slot| slot.listed || slot.in_use > 0);
+        state.servers.retain(|pooled| pooled.listed || pooled.in_use > 0);
         for entry in entries {
-            match state.servers.iter_mut().find(|slot| slot.entry.server == entry.server) {
-                Some(slot) => slot.set_entry(entry.clone()),
-                None => state.servers.push(ServerSlot::new(entry.clone())),
+            match state.servers.iter_mut().find(|pooled| pooled.entry.server == entry.server) {
+                Some(pooled) => pooled.set_entry(entry.clone()),
+                None => state.servers.push(PooledServer::new(entry.clone())),
             }
         }
-        for slot in &mut state.servers {
-            slot.set_tunnels(tunnels.get(&slot.entry.server).cloned().unwrap_or_default());
-            let is_near = slot.entry.availability_zone == *self.layout.zone();
-            let server = &slot.entry.server;
+        for pooled in &mut state.servers {
+            pooled.set_tunnels(tunnels.get(&pooled.entry.server).cloned().unwrap_or_default());
+            let is_near = pooled.entry.availability_zone == *self.layout.zone();
+            let server = &pooled.entry.server;
             let ownership = match share.owned {
                 None => None,
                 Some(OwnerQuota::PerZone(_)) => owners.in_zone(server, self.layout.zone()),
                 Some(OwnerQuota::Single { .. }) => owners
-                    .in_zone(server, &slot.entry.availability_zone)
+                    .in_zone(server, &pooled.entry.availability_zone)
                     .or_else(|| owners.in_any_zone(server)),
             };
-            (slot.limit, slot.min_idle) = match (&ownership, share.owned, share.idle_policy) {
+            (pooled.limit, pooled.min_idle) = match (&ownership, share.owned, share.idle_policy) {
                 (Some(ownership), Some(owned), _) if ownership.is_owner => {
                     let rank = ownership.owners_before.len();
                     (owned.limit_of(rank, self.overload.queue), owned.kept_by(rank))
@@ -149,15 +149,15 @@
                 (None, _, IdlePolicy::KeepOneInZone) => (share.limit, u32::from(is_near)),
                 (None, _, IdlePolicy::KeepNone) => (share.limit, 0),
             };
-            slot.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
-            slot.paths.retain_owners(&slot.owners);
-            slot.overflow = share.overflow;
-            let max = slot.limit + share.overflow;
-            slot.set_queue(self.queue_room(slot, &share));
-            slot.set_competing(self.do_accounts_compete(&share));
-            let surplus = (slot.idle.len() as u32 + slot.in_use).saturating_sub(max) as usize;
-            let kept = slot.idle.len().saturating_sub(surplus);
-            slot.idle.truncate(kept);
+            pooled.owners = ownership.map(|it| it.owners_before).unwrap_or_default();
+            pooled.paths.retain_owners(&pooled.owners);
+            pooled.overflow = share.overflow;
+            let max = pooled.limit + share.overflow;
+            pooled.set_queue(self.queue_room(pooled, &share));
+            pooled.set_competing(self.do_accounts_compete(&share));
+            let surplus = (pooled.idle.len() as u32 + pooled.in_use).saturating_sub(max) as usize;
+            let kept = pooled.idle.len().saturating_sub(surplus);
+            pooled.idle.truncate(kept);
         }
         drop(state);
         self.serve_waiters();
@@ -197,17 +197,17 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last_resort =
-            state.servers.iter().filter(|slot| slot.is_fit(request, now)).count() <= 1;
-        let slot = &mut state.servers[index];
-        let link = self.owner_of(slot, request, now)?;
-        slot.paths.on_forward(&link.owner(), now);
-        slot.in_use_remote += 1;
+            state.servers.iter().filter(|pooled| pooled.is_fit(request, now)).count() <= 1;
+        let pooled = &mut state.servers[index];
+        let link = self.owner_of(pooled, request, now)?;
+        pooled.paths.on_forward(&link.owner(), now);
+        pooled.in_use_remote += 1;
         let options = LeaseOptions {
-            service: slot.entry.service.clone(),
-            server: slot.entry.server.clone(),
+            service: pooled.entry.service.clone(),
+            server: pooled.entry.server.clone(),
             wait_until,
             priority: request.priority,
-            at_primary: request.primary.as_ref() == Some(&slot.entry.server),
+            at_primary: request.primary.as_ref() == Some(&pooled.entry.server),
             yields: request.yields,
             previous_attempts: request.previous_attempts,
             last_resort,
@@ -227,19 +227,23 @@
 
     fn owner_of(
         &self,
-        slot: &ServerSlot<E>,
+        pooled: &PooledServer<E>,
         request: &ConnectionRequest,
         now: Instant,
     ) -> Option<Rc<RelayLink>> {
         if request.is_forwarded {
             return None;
         }
-        self.owner_in_use(slot, now)
+        self.owner_in_use(pooled, now)
     }
 
     /// Returns the link to the first owner that is reachable and has a working path to the server.
-    pub(super) fn owner_in_use(&self, slot: &ServerSlot<E>, now: Instant) -> Option<Rc<RelayLink>> {
-        let owners = slot.owners.iter().filter(|owner| slot.paths.may_forward(owner, now));
+    pub(super) fn owner_in_use(
+        &self,
+        pooled: &PooledServer<E>,
+        now: Instant,
+    ) -> Option<Rc<RelayLink>> {
+        let owners = pooled.owners.iter().filter(|owner| pooled.paths.may_forward(owner, now));
         self.relays.first_usable(owners.copied(), now)
     }
 
@@ -247,12 +251,14 @@
     /// unreachable.
     pub(crate) fn owner_link(&self, server: &str) -> Option<Rc<RelayLink>> {
         let now = Instant::now();
-        self.with_slot(server, |slot| self.owner_in_use(slot, now))?
+        self.with_server(server, |pooled| self.owner_in_use(pooled, now))?
     }
 
     /// Counts down the work that runs on connections of an owner.
     pub(super) fn release_remote(&self, server: &str) {
-        self.with_slot(server, |slot| slot.in_use_remote = slot.in_use_remote.saturating_sub(1));
+        self.with_server(server, |pooled| {
+            pooled.in_use_remote = pooled.in_use_remote.saturating_sub(1)
+        });
     }
 
     fn choose_now(&self, request: &ConnectionRequest) -> Choice {
@@ -267,9 +273,9 @@
         }
         if candidates.is_empty() && request.only.is_none() {
             // No server is left: consider those that are avoided after recent failures too.
-            for slot in &mut state.servers {
-                slot.avoid_until = None;
-                slot.lagging_until = None;
+            for pooled in &mut state.servers {
+                pooled.avoid_until = None;
+                pooled.lagging_until = None;
             }
             candidates = self.candidates(&mut state, request, now);
         }
@@ -283,47 +289,47 @@
         now: Instant,
     ) -> Vec<Candidate> {
         let fit =
-            state.servers.iter_mut().enumerate().filter(|(_, slot)| slot.is_fit(request, now));
-        fit.filter_map(|(index, slot)| {
-            slot.forget_old_latency(now);
-            if let Some(owner) = self.owner_of(slot, request, now) {
-                let wait = self.reported_wait(&owner, &slot.entry.server, request.rank(), now);
+            state.servers.iter_mut().enumerate().filter(|(_, pooled)| pooled.is_fit(request, now));
+        fit.filter_map(|(index, pooled)| {
+            pooled.forget_old_latency(now);
+            if let Some(owner) = self.owner_of(pooled, request, now) {
+                let wait = self.reported_wait(&owner, &pooled.entry.server, request.rank(), now);
                 return Some(Candidate {
                     index,
-                    reach: self.layout.reach(&slot.entry.availability_zone),
-                    is_primary: request.primary.as_ref() == Some(&slot.entry.server),
+                    reach: self.layout.reach(&pooled.entry.availability_zone),
+                    is_primary: request.primary.as_ref() == Some(&pooled.entry.server),
                     // The owner has the queue, since it sees the demand of the whole zone.
                     idle: 1,
-                    in_use: slot.in_use_remote,
+                    in_use: pooled.in_use_remote,
                     limit: u32::MAX,
                     is_full: false,
                     is_non_preferred: false,
-                    latency_us: slot.latency.get_us(),
+                    latency_us: pooled.latency.get_us(),
                     wait_us: wait.as_micros() as u64,
                 });
             }
-            if slot.is_unreachable(now) {
+            if pooled.is_unreachable(now) {
                 return None;
             }
             let may_queue = request.principal.is_some();
-            let queue = slot.queue.as_ref().filter(|_| may_queue);
+            let queue = pooled.queue.as_ref().filter(|_| may_queue);
             Some(Candidate {
                 index,
-                reach: match slot.tunnels.is_empty() {
-                    true => self.layout.reach(&slot.entry.availability_zone),
+                reach: match pooled.tunnels.is_empty() {
+                    true => self.layout.reach(&pooled.entry.availability_zone),
                     // A connection through another daemon is never the nearest.
                     false => {
-                        Reach::SameRegion.max(self.layout.reach(&slot.entry.availability_zone))
+                        Reach::SameRegion.max(self.layout.reach(&pooled.entry.availability_zone))
                     }
                 },
-                is_primary: request.primary.as_ref() == Some(&slot.entry.server),
-                idle: slot.idle_for(request),
-                in_use: queue.map_or(slot.in_use, |queue| queue.outstanding()),
+                is_primary: request.primary.as_ref() == Some(&pooled.entry.server),
+                idle: pooled.idle_for(request),
+                in_use: queue.map_or(pooled.in_use, |queue| queue.outstanding()),
                 // Statements wait in the server's own queue, if it has one.
-                limit: queue.map_or_else(|| slot.limit_at(now), |_| u32::MAX),
-                is_full: slot.is_full_for(request),
+                limit: queue.map_or_else(|| pooled.limit_at(now), |_| u32::MAX),
+                is_full: pooled.is_full_for(request),
                 is_non_preferred: false,
-                latency_us: slot.latency.get_us(),
+                latency_us: pooled.latency.get_us(),
                 wait_us: 0,
             })
         })
@@ -338,18 +344,18 @@
         request: &ConnectionRequest,
     ) -> Option<Box<EndpointConnection<E>>> {
         let mut state = self.state.borrow_mut();
-        let slot = &mut state.servers[index];
-        slot.idle.retain(|(_, connection)| connection.is_reusable());
+        let pooled = &mut state.servers[index];
+        pooled.idle.retain(|(_, connection)| connection.is_reusable());
         let fitting = |wanted: fn(&Environment, &SessionValues) -> bool| {
-            slot.idle.iter().rposition(|(_, idle)| {
+            pooled.idle.iter().rposition(|(_, idle)| {
                 request.accepts_principal(&idle.principal) && wanted(&idle.environment, values)
             })
         };
         let best = fitting(Environment::has_values)
             .or_else(|| fitting(Environment::can_become))
             .or_else(|| fitting(|_, _| true))?;
-        slot.on_acquired(request.yields);
-        Some(slot.idle.remove(best).1)
+        pooled.on_acquired(request.yields);
+        Some(pooled.idle.remove(best).1)
     }
 
     pub(super) fn permit_opening(
@@ -359,12 +365,12 @@
         permit: Option<QueuePermit>,
     ) -> OpeningPermit<E> {
         let mut state = self.state.borrow_mut();
-        let slot = &mut state.servers[index];
-        slot.make_room();
-        slot.on_acquired(request.yields);
+        let pooled = &mut state.servers[index];
+        pooled.make_room();
+        pooled.on_acquired(request.yields);
         OpeningPermit {
             pool: self.clone(),
-            entry: slot.entry.clone(),
+            entry: pooled.entry.clone(),
             yields: request.yields,
             is_opened: false,
             permit,
@@ -376,7 +382,7 @@
     pub(super) fn offer_opening(self: &Rc<Self>, server: &str, waiter: Waiter<E>) {
         let found = {
             let state = self.state.borrow();
-            state.servers.iter().position(|slot| &*slot.entry.server == server)
+            state.servers.iter().position(|pooled| &*pooled.entry.server == server)
         };
         let Some(index) = found else { return };
         let permit = self.permit_opening(index, &waiter.request, None);
@@ -401,13 +407,13 @@
         }
     }
 
-    pub(super) fn with_slot<R>(
+    pub(super) fn with_server<R>(
         &self,
         server: &str,
-        act: impl FnOnce(&mut ServerSlot<E>) -> R,
+        act: impl FnOnce(&mut PooledServer<E>) -> R,
     ) -> Option<R> {
         let mut state = self.state.borrow_mut();
-        state.servers.iter_mut().find(|slot| &*slot.entry.server == server).map(act)
+        state.servers.iter_mut().find(|pooled| &*pooled.entry.server == server).map(act)
     }
 
     /// Closes connections that have been idle for too long. Returns `true` if more may have to be closed later.
@@ -415,8 +421,8 @@
         let mut state = self.state.borrow_mut();
         let is_scarce = state.idle_policy != IdlePolicy::KeepOne;
         if is_scarce {
-            for slot in &mut state.servers {
-                slot.close_spare();
+            for pooled in &mut state.servers {
+                pooled.close_spare();
             }
         }
         is_scarce
@@ -424,22 +430,22 @@
 
     pub(super) fn put_idle(&self, connection: Box<EndpointConnection<E>>) {
         let server = connection.server.clone();
-        self.with_slot(&server, |slot| {
-            slot.on_released(false);
-            let is_wanted = (connection.is_direct || !slot.tunnels.is_empty())
-                && connection.incarnation == slot.entry.incarnation;
+        self.with_server(&server, |pooled| {
+            pooled.on_released(false);
+            let is_wanted = (connection.is_direct || !pooled.tunnels.is_empty())
+                && connection.incarnation == pooled.entry.incarnation;
             if is_wanted
-                && slot.listed
-                && (slot.idle.len() as u32 + slot.in_use) < slot.limit + slot.overflow
+                && pooled.listed
+                && (pooled.idle.len() as u32 + pooled.in_use) < pooled.limit + pooled.overflow
             {
-                slot.idle.push((Instant::now(), connection));
-                slot.close_spare();
+                pooled.idle.push((Instant::now(), connection));
+                pooled.close_spare();
             }
         });
     }
 
     pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
-        self.with_slot(server, |slot| slot.on_released(yields));
+        self.with_server(server, |pooled| pooled.on_released(yields));
         self.serve_waiters();
     }
 }
--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -9,7 +9,7 @@
     serve::{
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer, PRIORITIES, PoolState, Waiter},
-        slot::ServerSlot,
+        pooled_server::PooledServer,
     },
 };
 
@@ -47,9 +47,9 @@
             let free = {
                 let now = Instant::now();
                 let state = self.state.borrow();
-                let mut free = state.servers.iter().filter(|slot| slot.has_room(now));
-                let waits = |slot: &&ServerSlot<E>| self.has_waiter(&state, slot);
-                free.find(waits).map(|slot| slot.entry.clone())
+                let mut free = state.servers.iter().filter(|pooled| pooled.has_room(now));
+                let waits = |pooled: &&PooledServer<E>| self.has_waiter(&state, pooled);
+                free.find(waits).map(|pooled| pooled.entry.clone())
             };
             let Some(entry) = free else { return };
             let Some(waiter) = self.next_waiter(&entry.server) else { return };
@@ -57,28 +57,25 @@
         }
     }
 
-    fn has_waiter(&self, state: &PoolState<E>, slot: &ServerSlot<E>) -> bool {
+    fn has_waiter(&self, state: &PoolState<E>, pooled: &PooledServer<E>) -> bool {
         let now = Instant::now();
-        state
-            .waiters
-            .iter()
-            .flatten()
-            .filter(|waiter| !waiter.grant.is_closed())
-            .any(|waiter| slot.is_fit(&waiter.request, now) && !slot.is_full_for(&waiter.request))
+        state.waiters.iter().flatten().filter(|waiter| !waiter.grant.is_closed()).any(|waiter| {
+            pooled.is_fit(&waiter.request, now) && !pooled.is_full_for(&waiter.request)
+        })
     }
 
     pub(super) fn next_waiter(&self, server: &str) -> Option<Waiter<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let PoolState { servers, waiters, .. } = &mut *state;
-        let slot = servers.iter().find(|slot| &*slot.entry.server == server)?;
-        if !slot.listed {
+        let pooled = servers.iter().find(|pooled| &*pooled.entry.server == server)?;
+        if !pooled.listed {
             return None;
         }
         for queue in waiters {
             queue.retain(|waiter| !waiter.grant.is_closed());
             let fits = |request: &ConnectionRequest| {
-                slot.is_fit(request, now) && !slot.is_full_for(request)
+                pooled.is_fit(request, now) && !pooled.is_full_for(request)
             };
             if let Some(index) = queue.iter().position(|waiter| fits(&waiter.request)) {
                 return queue.remove(index);
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -177,7 +177,7 @@
         self.permit = None;
         self.acquired_at = Instant::now();
         if std::mem::take(&mut self.yields) {
-            self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
+            self.pool.with_server(self.server(), |pooled| pooled.yielding -= 1);
         }
         while let Some(waiter) = self.pool.next_waiter(self.server()) {
             if !self.may_serve(&waiter.request) {
@@ -185,14 +185,14 @@
             }
             if waiter.request.yields {
                 self.yields = true;
-                self.pool.with_slot(self.server(), |slot| slot.yielding += 1);
+                self.pool.with_server(self.server(), |pooled| pooled.yielding += 1);
             }
             match waiter.grant.send(Offer::Ready(self)) {
                 Ok(()) => return,
                 Err(Offer::Ready(connection)) => {
                     self = connection;
                     if std::mem::take(&mut self.yields) {
-                        self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
+                        self.pool.with_server(self.server(), |pooled| pooled.yielding -= 1);
                     }
                 }
                 Err(Offer::Open(_)) => return,
@@ -229,7 +229,7 @@
         };
         let server = connection.server.clone();
         drop(connection);
-        self.pool.with_slot(&server, |slot| slot.on_released(false));
+        self.pool.with_server(&server, |pooled| pooled.on_released(false));
         self.pool.offer_opening(&server, waiter);
     }
 }
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -53,7 +53,7 @@
 const TUNNEL_PAUSE: Duration = Duration::from_millis(500);
 
 /// One server and the connections to it.
-pub(crate) struct ServerSlot<E> {
+pub(crate) struct PooledServer<E> {
     pub(crate) entry: Arc<ServerEntry>,
     /// Idle connections and since when each is idle, the longest idle first.
     pub(crate) idle: Vec<(Instant, Box<EndpointConnection<E>>)>,
@@ -97,9 +97,9 @@
     pub(crate) listed: bool,
 }
 
-impl<E> ServerSlot<E> {
-    pub(crate) fn new(entry: Arc<ServerEntry>) -> ServerSlot<E> {
-        ServerSlot {
+impl<E> PooledServer<E> {
+    pub(crate) fn new(entry: Arc<ServerEntry>) -> PooledServer<E> {
+        PooledServer {
             entry,
             idle: Vec::new(),
             in_use: 0,
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -16,10 +16,10 @@
     serve::{
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
+        pooled_server::PooledServer,
         replay::SessionValues,
         server_queue::{QueuePermit, QueueRefusal},
         share::{OwnerQuota, Share},
-        slot::ServerSlot,
     },
 };
 
@@ -28,10 +28,10 @@
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns the capacity for the queue of a server, if its statements are to be queued.
-    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
+    pub(super) fn queue_room(&self, pooled: &PooledServer<E>, share: &Share) -> Option<Room> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
-        let slots = slot.entry.slots;
-        let connections = slot.limit + share.overflow;
+        let slots = pooled.entry.slots;
+        let connections = pooled.limit + share.overflow;
         let owners = match owned {
             OwnerQuota::Single { .. } => 1,
             // The owners of all zones share the slots in the same way as the connections.
@@ -52,7 +52,7 @@
 
     /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
-        self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
+        self.with_server(server, |pooled| pooled.queue.as_ref().map(|queue| queue.report()))?
     }
 
     /// Waits for a permit from the queue of the server at `index`, then returns a connection or the permission
@@ -66,8 +66,8 @@
     ) -> Result<Option<Offer<E>>, NoConnection> {
         let (server, queue) = {
             let state = self.state.borrow();
-            let slot = &state.servers[index];
-            (slot.entry.server.clone(), slot.queue.clone())
+            let pooled = &state.servers[index];
+            (pooled.entry.server.clone(), pooled.queue.clone())
         };
         let permit = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
@@ -81,7 +81,7 @@
         // The list of servers may have changed during the wait.
         let found = {
             let state = self.state.borrow();
-            state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
+            state.servers.iter().position(|pooled| pooled.listed && pooled.entry.server == server)
         };
         let Some(index) = found else { return Ok(None) };
         if let Some(principal) = &request.principal {
@@ -105,7 +105,7 @@
         server: &str,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
-        if self.with_slot(server, |slot| slot.is_unavailable_until(deadline)) == Some(true) {
+        if self.with_server(server, |pooled| pooled.is_unavailable_until(deadline)) == Some(true) {
             return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -15,35 +15,36 @@
     catalog::ServerEntry,
     dialect::EndpointDialect,
     relay::link::RelayLink,
-    serve::{pool::GroupPool, slot::ServerSlot},
+    serve::{pool::GroupPool, pooled_server::PooledServer},
 };
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Records an answer of a server, with its log point and, if it succeeded, its latency.
     pub fn on_answer(&self, server: &str, point: Option<LogPoint>, took: Option<Duration>) {
-        self.with_slot(server, |slot| slot.note_answer(point, took));
+        self.with_server(server, |pooled| pooled.note_answer(point, took));
     }
 
     /// Records that a server's log did not hold the required point.
     pub fn on_lagging(&self, server: &str) {
-        self.with_slot(server, ServerSlot::note_lagging);
+        self.with_server(server, PooledServer::note_lagging);
     }
 
     /// Records that a server could not be reached or failed; it is skipped for a while.
     pub fn on_failure(&self, server: &str) {
-        self.with_slot(server, ServerSlot::note_failure);
+        self.with_server(server, PooledServer::note_failure);
     }
 
     /// Closes the idle connections to a server after one of its connections fell silent: usually all of them
     /// did, and each would make another statement time out.
     pub fn on_silence(&self, server: &str) {
-        self.with_slot(server, |slot| slot.idle.clear());
+        self.with_server(server, |pooled| pooled.idle.clear());
     }
 
     /// Records that a connection could not be opened. No further one is opened during a backoff, so that a
     /// server which refuses connections is not flooded; statements wait for the existing ones.
     pub fn on_open_failed(self: &Rc<Self>, server: &str, refused: bool) {
-        let Some(backoff) = self.with_slot(server, |slot| slot.note_open_failed(refused)) else {
+        let Some(backoff) = self.with_server(server, |pooled| pooled.note_open_failed(refused))
+        else {
             return;
         };
         let pool = self.clone();
@@ -78,8 +79,9 @@
     pub fn expected_wait(&self) -> Duration {
         let state = self.state.borrow();
         let waiting: usize = state.waiters.iter().map(VecDeque::len).sum();
-        let connections: u32 = state.servers.iter().map(|slot| slot.limit).sum();
-        let latency_us = state.servers.iter().map(|slot| slot.latency.get_us()).max().unwrap_or(0);
+        let connections: u32 = state.servers.iter().map(|pooled| pooled.limit).sum();
+        let latency_us =
+            state.servers.iter().map(|pooled| pooled.latency.get_us()).max().unwrap_or(0);
         let outstanding = 1 + waiting as u64 / u64::from(connections.max(1));
         Duration::from_micros(u64::from(latency_us) * outstanding)
     }
@@ -88,12 +90,12 @@
     /// not at all.
     pub fn tunnel_to(&self, server: &str) -> Option<SocketAddr> {
         let now = Instant::now();
-        self.with_slot(server, |slot| slot.tunnel(now))?
+        self.with_server(server, |pooled| pooled.tunnel(now))?
     }
 
     /// Records that a connection to a server through another daemon failed.
     pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
-        self.with_slot(server, |slot| slot.note_tunnel_failed(peer));
+        self.with_server(server, |pooled| pooled.note_tunnel_failed(peer));
     }
 
     /// Whether every listed server except the given one was lagging recently.
@@ -101,18 +103,18 @@
         let now = Instant::now();
         let state = self.state.borrow();
         let mut others =
-            state.servers.iter().filter(|slot| slot.listed && &*slot.entry.server != primary);
-        others.clone().next().is_some() && others.all(|slot| slot.has_lagged(now))
+            state.servers.iter().filter(|pooled| pooled.listed && &*pooled.entry.server != primary);
+        others.clone().next().is_some() && others.all(|pooled| pooled.has_lagged(now))
     }
 
     /// Returns the average latency of a server; zero if it is unknown.
     pub fn latency_of(&self, server: &str) -> Duration {
-        let us = self.with_slot(server, |slot| slot.latency.get_us()).unwrap_or(0);
+        let us = self.with_server(server, |pooled| pooled.latency.get_us()).unwrap_or(0);
         Duration::from_micros(u64::from(us))
     }
 
     /// Returns the entry of a server by its identity.
     pub fn entry_of(&self, server: &str) -> Option<Arc<ServerEntry>> {
-        self.with_slot(server, |slot| slot.entry.clone())
+        self.with_server(server, |pooled| pooled.entry.clone())
     }
 }
