--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -57,7 +57,7 @@
             .is_some_and(|(_, heard_at)| heard_at.elapsed() < UPSTREAM_ANSWER_TTL)
     }
 
-    /// Waits after a failed call until a store read of any daemon shows that the store is back, or until the backoff ends.
+    /// Waits after a failed call until any daemon's store read shows that the store is back, or until the backoff ends.
     pub(crate) async fn await_store(&self, backoff: &mut Backoff) {
         let is_silent = || self.state.borrow().is_store_silent(self.store_silence_timeout());
         if self.upstream().is_none() {
--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -1,8 +1,8 @@
 //! The steps of a change of primary.
 //!
-//! Record the change, so that daemons stop using the primary → stop the servers → wait until no daemon can hold a primary
-//! lease → record the successor → order its promotion → verify → record the outcome. A new promoter can resume at
-//! every step. `docs/PLATFORM.md`, "Who leads", has the argument and the table of faults.
+//! Record the change, so that daemons stop using the primary → stop the servers → wait until no daemon can hold a
+//! primary lease → record the successor → order its promotion → verify → record the outcome. A new promoter can resume
+//! at every step. `docs/PLATFORM.md`, "Who leads", has the argument and the table of faults.
 
 use std::{
     sync::Arc,
@@ -90,8 +90,8 @@
     Leaving,
     /// Enough witnesses can't reach the primary.
     Unreachable,
-    /// The data of every replica is too old for the reads, and the primary can't run all of them alone. A replica that has
-    /// received everything can take over immediately, and the old primary then serves reads.
+    /// The data of every replica is too old for the reads, and the primary can't run all of them alone. A replica that
+    /// has received everything can take over immediately, and the old primary then serves reads.
     ReplicasBehind,
 }
 
@@ -244,8 +244,8 @@
         }
         let ended = self.complete_change(service, run, &mut commands).await;
         if let Err(ChangeFailure::Store(_)) = &ended {
-            // The change can't continue without the store. Until it is back, daemons use the old primary on evidence, which
-            // requires servers that are not paused. The daemon that resumes the change stops them again.
+            // The change can't continue without the store. Until it is back, daemons use the old primary on evidence,
+            // which requires servers that are not paused. The daemon that resumes the change stops them again.
             let entries = self.entries(service).into_iter();
             commands.send_all(entries.map(|entry| (entry, EndpointText::Resume)).collect()).await;
         }
@@ -269,8 +269,8 @@
         }
         let stopped = self.fence_old_primary(service, &mut run, commands).await?;
         if let Some(mut chosen) = run.chosen() {
-            // A promotion may have been ordered before, so it is repeated for the same server. If that server is not primary
-            // yet, it may have received more entries since it was chosen.
+            // A promotion may have been ordered before, so it is repeated for the same server. If that server is not
+            // primary yet, it may have received more entries since it was chosen.
             let now = stopped.iter().find(|server| server.server == chosen.server);
             if let Some(now) = now.filter(|now| now.status.term.0 == run.record.term) {
                 chosen.kept_position = now.status.received.position.0;
@@ -387,7 +387,7 @@
         Err(ChangeFailure::NotSettled)
     }
 
-    /// Orders the promotion directly after the store confirmed the promoter lease; `false` if the server is not running.
+    /// Orders the promotion after the store confirmed the promoter lease; `false` if the server is not running.
     pub(crate) async fn order_promotion(
         &self,
         service: &Name,
@@ -487,13 +487,12 @@
     }
 }
 
-/// Whether the old primary still leads.
 fn old_primary_leads(stopped: &[StoppedServer]) -> bool {
     stopped.iter().any(|server| server.is_old_primary && server.status.leads)
 }
 
-/// Whether the chosen server has become primary, rather than having remained so. A server that leads in the recorded term
-/// under another identity is the old primary after a restart.
+/// Whether the chosen server has become primary, rather than having remained so. A server that leads in the recorded
+/// term under another identity is the old primary after a restart.
 pub(crate) fn has_taken_over(
     record: &LeadershipRecord,
     chosen: &ChosenServer,
--- a/crates/proxy/src/control/evidence.rs
+++ b/crates/proxy/src/control/evidence.rs
@@ -30,9 +30,9 @@
 
 /// Whether evidence of the term `found` may grant a primary lease to a daemon with this knowledge.
 ///
-/// The evidence may come from a daemon without a connection to the store that queried the servers before they were stopped.
-/// A daemon that knows of the change from the store has acknowledged the stop and must not resume: a write would be
-/// acknowledged by a primary whose replicas no longer receive entries, and then be discarded.
+/// The evidence may come from a daemon without a connection to the store that queried the servers before they were
+/// stopped. A daemon that knows of the change from the store has acknowledged the stop and must not resume: a write
+/// would be acknowledged by a primary whose replicas no longer receive entries, and then be discarded.
 pub fn may_grant_primary_lease(found: Term, known: KnownLeader) -> bool {
     found >= known.term && (!known.changing || known.is_store_silent)
 }
@@ -48,9 +48,10 @@
 
 /// Judges the statuses of a group's servers; `servers` includes those that did not answer.
 ///
-/// A majority suffices to extend a lease that was valid when the servers were queried: a change of primary waits for such
-/// a lease to expire, so none has completed. After the lease has expired, a change may have completed and the old primary
-/// with an uninformed replica may still form a majority. Then only all servers together show that none leads a later term.
+/// A majority suffices to extend a lease that was valid when the servers were queried: a change of primary waits for
+/// such a lease to expire, so none has completed. After the lease has expired, a change may have completed and the old
+/// primary with an uninformed replica may still form a majority. Then only the statuses of all servers show
+/// that none leads a later term.
 pub fn judge_statuses(
     statuses: &[(Name, EndpointStatus)],
     servers: usize,
--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -30,23 +30,23 @@
 const QUERIES_PER_EVIDENCE_DURATION: u32 = 2;
 /// How often the groups to query are determined while the store does not answer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// How long before the end of its primary lease a daemon with an upstream queries the servers itself: a round trip and the
-/// server's processing time.
+/// How long before the end of its primary lease a daemon with an upstream queries the servers itself: a round trip and
+/// the server's processing time.
 const QUERY_BEFORE_EXPIRY: Duration = Duration::from_millis(50);
 /// How long a service counts as used after a request of a caller.
 const USED_SERVICE_TTL: Duration = Duration::from_secs(10);
-/// The largest number of recently unused groups that are queried, so that a primary lease exists when a caller needs one.
-/// In a large fleet, queries of all groups by every daemon would overload the servers.
+/// The largest number of recently unused groups that are queried, so that a primary lease exists when a caller needs
+/// one. In a large fleet, queries of all groups by every daemon would overload the servers.
 const MAX_UNUSED_SERVICES_QUERIED: usize = 32;
-/// How long to wait for answers that may contradict a majority: a round trip between availability zones and the server's
-/// processing time.
+/// How long to wait for answers that may contradict a majority: a round trip between availability zones and the
+/// server's processing time.
 const DISSENT_TIMEOUT: Duration = Duration::from_millis(40);
 /// The part of the evidence duration after which a query times out.
 const QUERY_TIMEOUT_PART: f64 = 0.75;
 
 impl<P: Adapter> Control<P> {
-    /// Queries the servers for their primary while the store does not answer. Each group is queried independently, so that
-    /// a group without answers does not delay the evidence of the others.
+    /// Queries the servers for their primary while the store does not answer. Each group is queried independently, so
+    /// that a group without answers does not delay the evidence of the others.
     pub(crate) async fn evidence_loop(self: Rc<Self>) {
         let interval = self.evidence_duration() / QUERIES_PER_EVIDENCE_DURATION;
         let mut running = FuturesUnordered::new();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether the store can't show the primaries, because it does not answer or its restored records are not confirmed.
+    /// Whether the store can't show the primaries, since it does not answer or its restored records are unconfirmed.
     fn needs_evidence(&self) -> bool {
         let state = self.state.borrow();
         // Records of services that are no longer configured are never confirmed.
@@ -99,12 +99,12 @@
         self.publish();
     }
 
-    /// Returns the services whose servers this daemon queries itself. A daemon with an upstream relies on its evidence as
-    /// long as its own primary leases last, to limit the load on the servers. Only a few unused services are included.
+    /// Returns the services whose servers this daemon queries itself. A daemon with an upstream relies on its evidence
+    /// as long as its own primary leases last, to limit the load on the servers. Few unused ones are included.
     fn services_to_query(&self, now: Instant) -> Vec<Name> {
         let follows = self.upstream().is_some();
-        // In a large fleet the upstream queries the unused ones; queries by every daemon would saturate the links between
-        // regions.
+        // In a large fleet the upstream queries the unused ones; queries by every daemon would saturate the links
+        // between regions.
         let max_unused = match follows && self.is_fleet_large() {
             true => 0,
             false => MAX_UNUSED_SERVICES_QUERIED,
@@ -143,7 +143,8 @@
         let Some(found) = judge(&statuses) else {
             log::debug!(
                 event = "no_evidence", service = &*service, known_term = held.known_term.0,
-                in_force = held.usable_leader.is_some(), servers = servers.len(), statuses = format!("{statuses:?}").as_str();
+                in_force = held.usable_leader.is_some(), servers = servers.len(),
+                statuses = format!("{statuses:?}").as_str();
                 "the servers' answers do not show who leads"
             );
             return None;
@@ -151,7 +152,6 @@
         Some(Evidence { service, server: found.server, term: found.term, asked_at })
     }
 
-    /// Returns this daemon's primary lease of a service at `now`.
     pub(crate) fn held_primary_lease(&self, service: &Name, now: Instant) -> HeldPrimaryLease {
         let state = self.state.borrow();
         let leader = state.leaders.get(service);
@@ -212,8 +212,8 @@
         Arc::make_mut(&mut state.leaders).insert(service.clone(), leader);
     }
 
-    /// Queries servers over shared session connections; returns the statuses that arrive in time. Once these suffice, the
-    /// remaining servers get only [`DISSENT_TIMEOUT`], so that a failed server does not use up the evidence's validity.
+    /// Queries servers over shared session connections; returns the statuses that arrive in time. Once these suffice,
+    /// the remaining servers get only [`DISSENT_TIMEOUT`], so that a failed server does not delay the result.
     async fn query_statuses(
         &self,
         service: &Name,
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -112,8 +112,8 @@
         StoppedGroup { servers, fenced_count }
     }
 
-    /// Waits briefly for the daemons to acknowledge the stop, so that a replica can receive the last writes before it is
-    /// paused.
+    /// Waits briefly for the daemons to acknowledge the stop, so that a replica can receive the last writes before it
+    /// is paused.
     async fn await_acknowledgements(&self, service: &Name, run: &ChangeRun) {
         let until = run.recorded_at + ACKNOWLEDGEMENT_TIMEOUT;
         while !self.all_acknowledged(service, run) && Instant::now() < until {
@@ -126,9 +126,9 @@
 
     /// Waits until every daemon that may hold a primary lease has acknowledged the stop, or these leases have expired.
     ///
-    /// Gives up shortly before an unrenewed promoter lease expires: until then no other daemon can have started a change,
-    /// so the servers can be resumed and used on evidence. Otherwise the group would have no primary until the store is
-    /// back.
+    /// Gives up shortly before an unrenewed promoter lease expires: until then no other daemon can have started a
+    /// change, so the servers can be resumed and used on evidence. Otherwise the group would have no primary until the
+    /// store is back.
     pub(crate) async fn await_daemon_stops(
         &self,
         service: &Name,
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -102,9 +102,9 @@
 
     /// Reads the store to extend the primary leases, counted from when the read was sent.
     ///
-    /// A read of this daemon's own key suffices if every change up to its revision is known, which is the normal case and
-    /// transfers little data. Otherwise the missing changes are fetched in a large fleet, and all keys of the daemons are
-    /// read only as the last resort, since full reads by many daemons would saturate a slow link.
+    /// A read of this daemon's own key suffices if every change up to its revision is known, which is the normal case
+    /// and transfers little data. Otherwise the missing changes are fetched in a large fleet, and all keys of the
+    /// daemons are read only as the last resort, since full reads by many daemons would saturate a slow link.
     pub(crate) async fn renew_primary_leases(
         &self,
         asked_at: Instant,
@@ -162,7 +162,6 @@
         Ok(())
     }
 
-    /// Reads all keys with this prefix, linearizably.
     async fn read_prefix(&self, prefix: &str) -> Result<Snapshot, MetadataError> {
         let timeout = self.read_timeout().min(self.primary_lease_duration());
         let read = self.store.range(prefix, Consistency::Linearizable, timeout.into()).await;
@@ -225,8 +224,8 @@
         self.finish_read(now);
     }
 
-    /// Drops a primary lease that a server's answer contradicts, with the samples of that primary, and refreshes from the
-    /// store.
+    /// Drops a primary lease that a server's answer contradicts, with the samples of that primary, and refreshes from
+    /// the store.
     pub(crate) fn drop_primary_lease(&self, service: &Name, term: Term) {
         {
             let mut state = self.state.borrow_mut();
@@ -241,8 +240,8 @@
         self.refresh_now.notify_one();
     }
 
-    /// Grants the primary leases that a store read allows. Requires that this daemon is a member, since a promoter waits
-    /// only for members. `services` are those that the read covers; `None` for all.
+    /// Grants the primary leases that a store read allows. Requires that this daemon is a member, since a promoter
+    /// waits only for members. `services` are those that the read covers; `None` for all.
     pub(crate) fn grant_primary_leases(&self, asked_at: Instant, services: Option<&[Name]>) {
         let valid_until = asked_at + self.primary_lease_duration();
         let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
@@ -254,8 +253,8 @@
             if shown.as_ref().is_some_and(|shown| !shown.contains(service)) {
                 continue;
             }
-            // The leader's own state may no longer show the change, since earlier evidence replaces it. A record from before
-            // a restore may be older than a later change.
+            // The leader's own state may no longer show the change, since earlier evidence replaces it. A record from
+            // before a restore may be older than a later change.
             if record.change.is_some()
                 || record.era != mirror.era().0
                 || servers.is_restarted(service, &record.primary, record.primary_incarnation)
--- a/crates/proxy/src/control/probe_schedule.rs
+++ b/crates/proxy/src/control/probe_schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules probes of servers that other daemons suspect: immediately, and then at a limited rate.
 //!
-//! Several daemons may report the same server within a short time. One probe for each report would open as many connections
-//! to a server that may only be slow.
+//! Several daemons may report the same server within a short time. One probe for each report would open as many
+//! connections to a server that may only be slow.
 
 use std::{
     collections::HashMap,
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -30,15 +30,15 @@
 
 /// How often the promoter checks the groups if nothing wakes it.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The largest number of groups whose servers are queried concurrently for an unrecorded or unconfirmed primary, so that
-/// a small host can read their answers within the command timeout.
+/// The largest number of groups whose servers are queried concurrently for an unrecorded or unconfirmed primary, so
+/// that a small host can read their answers within the command timeout.
 const MAX_CONCURRENT_DISCOVERIES: usize = 32;
 /// The shortest pause after a check of the groups.
 const MIN_PAUSE: Duration = Duration::from_millis(5);
 /// The pause after a check in multiples of its duration, so that checks take at most a fifth of the thread's time.
 const PAUSE_PER_CHECK: f64 = 4.0;
-/// The longest random delay before a daemon tries to become promoter, and the delay per member before it in the order of
-/// names. Without it all daemons of a fleet that starts would request a lease and collide.
+/// The longest random delay before a daemon tries to become promoter, and the delay per member before it in the order
+/// of names. Without it all daemons of a fleet that starts would request a lease and collide.
 const ACQUIRE_JITTER: Duration = Duration::from_millis(60);
 /// The largest number of preceding members that delay a daemon, since failed ones stay listed for some seconds.
 const MAX_MEMBERS_BEFORE: usize = 8;
@@ -51,12 +51,10 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Returns the key of the promoter role.
     pub(crate) fn promoter_key(&self) -> String {
         self.key("duty")
     }
 
-    /// Returns the key of a group's leadership record.
     pub(crate) fn record_key(&self, service: &Name) -> String {
         self.key(&format!("groups/{service}"))
     }
@@ -103,8 +101,8 @@
         lease.map_or(Duration::ZERO, |lease| lease.valid_until.saturating_duration_since(now))
     }
 
-    /// Returns the value of the promoter key. It contains the lease, so that a restarted daemon does not mistake the key of
-    /// its previous process for its own.
+    /// Returns the value of the promoter key. It contains the lease, so that a restarted daemon does not mistake the
+    /// key of its previous process for its own.
     pub(crate) fn promoter_value(&self, lease: LeaseId) -> Bytes {
         Bytes::from(format!("{} {lease}", self.settings.host))
     }
@@ -163,8 +161,8 @@
         state.members.keys().take_while(|host| **host < self.settings.host).count()
     }
 
-    /// Returns the lease for the promoter key. It is shorter than a member's lease, since no daemon can promote between a
-    /// promoter's failure and the end of its lease.
+    /// Returns the lease for the promoter key. It is shorter than a member's lease, since no daemon can promote between
+    /// a promoter's failure and the end of its lease.
     pub(crate) async fn obtain_promoter_lease(&self) -> Option<HeldLease> {
         let now = Instant::now();
         if let Some(lease) =
@@ -348,8 +346,8 @@
         self.state.borrow_mut().servers.incarnation_of(service, server)
     }
 
-    /// Whether the primary's entry has been missing for the grace time while the store answered, so that it did not merely
-    /// lapse during an outage of the store.
+    /// Whether the primary's entry has been missing for the grace time while the store answered, so that it did not
+    /// merely lapse during an outage of the store.
     pub(crate) fn is_missing_beyond_grace(&self, service: &Name) -> bool {
         let now = Instant::now();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -18,15 +18,15 @@
     pub term: u64,
     /// The server that leads in this term.
     pub primary: String,
-    /// The incarnation in which that server became primary, if servers report one. A later incarnation is not the primary.
+    /// The incarnation in which that server became primary, if servers report one; in a later one it is no primary.
     #[serde(rename = "primary_life", default, skip_serializing_if = "Option::is_none")]
     pub primary_incarnation: Option<ServerIncarnation>,
     /// The starts of the terms that promotions of this system began, oldest first.
     pub starts: Vec<TermStart>,
     /// The change of primary that is in progress.
     pub change: Option<PrimaryChange>,
-    /// The store's era in which the record was written; 0 if the store has no eras. A record of an earlier era grants no
-    /// primary lease, because the store may have lost later writes.
+    /// The store's era in which the record was written; 0 if the store has no eras. A record of an earlier era grants
+    /// no primary lease, because the store may have lost later writes.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub era: u64,
     /// Incremented with each write if the store has eras, to order two records of an earlier era.
@@ -59,8 +59,8 @@
 }
 
 impl EraView {
-    /// Whether the group with this record must not be changed yet, since a promotion that was ordered before the restore may
-    /// still take effect although the store has lost its record.
+    /// Whether the group with this record must not be changed yet, since a promotion that was ordered before the
+    /// restore may still take effect although the store has lost its record.
     pub fn must_wait_for_orders(
         &self,
         record: Option<&LeadershipRecord>,
@@ -121,8 +121,8 @@
 const MAX_TERM_STARTS: usize = 32;
 
 impl LeadershipRecord {
-    /// Whether this record was written after another one of the group. Records from before the first era have no edition;
-    /// among those the one with the more advanced change is later, since a promotion may have been ordered.
+    /// Whether this record was written after another one of the group. Records from before the first era have no
+    /// edition; among those the one with the more advanced change is later, since a promotion may have been ordered.
     pub fn is_later_than(&self, other: &LeadershipRecord) -> bool {
         let stage = |record: &LeadershipRecord| match &record.change {
             None => 0,
@@ -177,8 +177,9 @@
 impl StoppedServer {
     /// Whether its log is a prefix of the recorded history, so that it holds no discarded writes.
     ///
-    /// A former primary that was unreachable during a promotion still holds the writes that the promotion discarded, until it
-    /// reaches the new primary. Promoting it earlier would restore those writes and lose the acknowledged ones since.
+    /// A former primary that was unreachable during a promotion still holds the writes that the promotion discarded,
+    /// until it reaches the new primary. Promoting it earlier would restore those writes and lose later acknowledged
+    /// ones.
     fn is_prefix_of_history(&self, record: &LeadershipRecord) -> bool {
         if self.status.term.0 >= record.term {
             return true;
--- a/crates/proxy/src/control/record_confirmation.rs
+++ b/crates/proxy/src/control/record_confirmation.rs
@@ -1,7 +1,7 @@
-//! Confirms the primary of each group after the store was restored, before daemons use a primary on the basis of the store.
+//! Confirms each group's primary after the store was restored, before daemons use it on the basis of the store.
 //!
-//! The promoter waits until earlier promotion orders can't take effect any more and the daemons have republished what they
-//! know, then queries the servers. See `docs/design/store-restored.md`.
+//! The promoter waits until earlier promotion orders can't take effect any more and the daemons have republished what
+//! they know, then queries the servers. See `docs/design/store-restored.md`.
 
 use std::{
     sync::Arc,
@@ -25,8 +25,8 @@
     statement::EndpointText,
 };
 
-/// How long the servers are queried before a group without agreement gets a new primary, in multiples of the time that an
-/// order takes to settle. A promoter that failed may have left them paused.
+/// How long the servers are queried before a group without agreement gets a new primary, in multiples of the time that
+/// an order takes to settle. A promoter that failed may have left them paused.
 const QUERY_ORDER_PERIODS: u32 = 2;
 
 impl<P: Adapter> Control<P> {
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Queries the group's servers. A majority suffices for the primary that this daemon may use now; otherwise all of them
-    /// have to agree.
+    /// Queries the group's servers. A majority suffices for the primary that this daemon may use now; otherwise all of
+    /// them have to agree.
     async fn query_leader(
         &self,
         service: &Name,
@@ -146,8 +146,8 @@
     }
 }
 
-/// Returns the record with the primary that the servers reported. The term starts are unknown if the servers are in a term
-/// that the record does not contain.
+/// Returns the record with the primary that the servers reported. The term starts are unknown if the servers are in a
+/// term that the record does not contain.
 fn confirmed_record(
     record: &LeadershipRecord,
     found: &LeaderByEvidence,
--- a/crates/proxy/src/control/reported_suspicions.rs
+++ b/crates/proxy/src/control/reported_suspicions.rs
@@ -1,7 +1,7 @@
 //! The suspicions that this daemon has reported to the store, and those that are still to be written.
 //!
-//! Each suspicion is a key, and each write is sent to every daemon. So several are written in one transaction, and none is
-//! written again before the watch had time to return it.
+//! Each suspicion is a key, and each write is sent to every daemon. So several are written in one transaction, and none
+//! is written again before the watch had time to return it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -68,8 +68,8 @@
         self.written.clear();
     }
 
-    /// Returns the writes after which the store holds the `wanted` keys, up to the limit of one transaction. A missing key
-    /// is added only if `may_put` allows it.
+    /// Returns the writes after which the store holds the `wanted` keys, up to the limit of one transaction. A missing
+    /// key is added only if `may_put` allows it.
     pub fn pending_writes(
         &mut self,
         wanted: &BTreeSet<String>,
--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -1,5 +1,5 @@
-//! Republishes what the store lost in a restore: leadership records and the newest configuration, by any daemon that knows
-//! later ones than the store holds.
+//! Republishes what the store lost in a restore: leadership records and the newest configuration, by any daemon that
+//! knows later ones than the store holds.
 //!
 //! Each write is conditional on the revision that was read, so the latest known value remains, independent of the order
 //! of the writes. A daemon that was disconnected does the same when it is back. See `docs/design/store-restored.md`.
@@ -20,14 +20,12 @@
 
 /// The key of the newest configuration while the operators' own key, which daemons must not write, holds an older one.
 pub(crate) const RETAINED_CONFIGURATION_KEY: &str = "configuration";
-/// The largest number of records in one transaction. Each needs a condition and a value, and the store limits their sum
-/// to 32.
+/// The largest number of records in one transaction: each needs a condition and a value, of which the store takes 32.
 const MAX_RECORDS_PER_TRANSACTION: usize = 16;
 /// The offset between the write slots of two daemons: the time for a write to reach the whole fleet.
 const SLOT_DURATION: Duration = Duration::from_millis(100);
 /// The number of daemons with a slot of their own; all others share a last one of [`LAST_SLOT_DURATION`].
 const SLOTS: usize = 5;
-/// The duration of the last slot.
 const LAST_SLOT_DURATION: Duration = Duration::from_millis(500);
 
 /// The versions of the configurations that the store holds, and the newest known configuration.
--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -12,8 +12,8 @@
 
 struct KnownServer {
     entry: Arc<ServerEntry>,
-    /// When its entry disappeared. An entry can lapse while the servers can't reach the store, so the server stays listed
-    /// for a grace time.
+    /// When its entry disappeared. An entry can lapse while the servers can't reach the store, so the server stays
+    /// listed for a grace time.
     lapsed_at: Option<Instant>,
 }
 
@@ -48,8 +48,8 @@
         true
     }
 
-    /// Returns the incarnation of the server whose entry has this key, if it is known and reports one. Does not build the
-    /// list by service, which would be slow when many entries are read in sequence.
+    /// Returns the incarnation of the server whose entry has this key, if it is known and reports one. Does not build
+    /// the list by service, which would be slow when many entries are read in sequence.
     pub fn incarnation_at(&self, key: &str) -> Option<ServerIncarnation> {
         self.known.get(key)?.entry.incarnation
     }
@@ -90,8 +90,8 @@
         true
     }
 
-    /// Handles a removed entry. A leaving server is removed; the entry of any other one may have lapsed. Returns whether
-    /// the list changed.
+    /// Handles a removed entry. A leaving server is removed; the entry of any other one may have lapsed. Returns
+    /// whether the list changed.
     pub fn remove(&mut self, key: &str, now: Instant) -> bool {
         let Some(known) = self.known.get_mut(key) else { return false };
         if known.entry.leaving {
--- a/crates/proxy/src/control/shared_keys.rs
+++ b/crates/proxy/src/control/shared_keys.rs
@@ -58,8 +58,8 @@
         None
     }
 
-    /// Applies an added, changed or removed member key. A member whose value can't be read, such as one of a later version,
-    /// counts as a member without a zone or peer address.
+    /// Applies an added, changed or removed member key. A member whose value can't be read, such as one of a later
+    /// version, counts as a member without a zone or peer address.
     fn on_member(&self, key: &str, host: &str) {
         let mut state = self.state.borrow_mut();
         state.members_version += 1;
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Returns the authoritative leadership record of a service; `None` if there is none that can be read. If the store was
-    /// restored to an earlier record, the known one remains authoritative and is republished.
+    /// Returns the authoritative leadership record of a service; `None` if there is none that can be read. If the store
+    /// was restored to an earlier record, the known one remains authoritative and is republished.
     fn resolve_record(&self, service: &Name) -> Option<Arc<VersionedRecord>> {
         let stored = self.stored_record(service);
         let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -26,8 +26,8 @@
     metadata::{Era, Item, MetadataError, MetadataStore, Revision},
 };
 
-/// How long members that are missing in the backup remain members. Every daemon that reaches the store rejoins within this
-/// time, which is about the lease of a member.
+/// How long members that are missing in the backup remain members. Every daemon that reaches the store rejoins within
+/// this time, which is about the lease of a member.
 const MEMBER_REJOIN_TIMEOUT: Duration = Duration::from_secs(9);
 /// The average interval between two rejoining members, which limits the load on the store.
 const JOIN_INTERVAL: Duration = Duration::from_millis(10);
@@ -75,8 +75,8 @@
         LeadershipRecord { era: era.0, edition: *latest, ..record.clone() }
     }
 
-    /// Adds records that this daemon wrote, but that the watch did not return before the era ended, to the known ones, so
-    /// that they are republished. No other daemon may know them, and a promotion may have been ordered.
+    /// Adds records that this daemon wrote, but that the watch did not return before the era ended, to the known ones,
+    /// so that they are republished. No other daemon may know them, and a promotion may have been ordered.
     fn keep_unconfirmed_writes(&mut self, received_revision: Revision) {
         for (service, written) in std::mem::take(&mut self.written_records) {
             let known = self.records.get(&service);
@@ -191,8 +191,8 @@
         self.republish.notify_one();
     }
 
-    /// Handles an own store read of a later era. A daemon without an upstream loads the store; the others wait for their
-    /// upstream, and read the store themselves if that takes too long.
+    /// Handles an own store read of a later era. A daemon without an upstream loads the store; the others wait for
+    /// their upstream, and read the store themselves if that takes too long.
     pub(crate) async fn handle_newer_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
         if self.upstream().is_none() {
             return self.load_from_store().await;
@@ -206,8 +206,9 @@
         self.state.borrow_mut().written_records.insert(service.clone(), written);
     }
 
-    /// Notes a record whose write was in progress when the store was restored. A record without a change states what the
-    /// servers reported, so it is valid even if it was not stored. One with a change is ignored, since it was never acted on.
+    /// Notes a record whose write was in progress when the store was restored. A record without a change states what
+    /// the servers reported, so it is valid even if it was not stored. One with a change is ignored, as it had no
+    /// effect.
     pub(crate) fn note_unconfirmed_write(&self, service: &Name, record: LeadershipRecord) {
         if record.change.is_some() {
             return;
@@ -246,7 +247,6 @@
         seen.must_wait_for_orders(state.records.get(service).map(|known| &known.record), settles)
     }
 
-    /// Applies the removal of a server's entry.
     pub(crate) fn on_server_removed(&self, key: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -283,7 +283,6 @@
         Duration::from_millis(self.settings.leadership.lapse_grace_ms)
     }
 
-    /// Whether a key is the one of the operators' configuration.
     pub(crate) fn is_operators_configuration(&self, key: &str) -> bool {
         key == self.format.configuration_key()
     }
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -81,11 +81,11 @@
         has_changed
     }
 
-    /// Writes this daemon's suspicions that the store does not hold, whenever that may have changed, in batches with a delay
-    /// between them.
+    /// Writes this daemon's suspicions that the store does not hold, whenever that may have changed, in batches with a
+    /// delay between them.
     ///
-    /// Repeating failed writes ensures that a primary that fails during an outage of the store is replaced. Batching limits
-    /// the load on the store and the links when many daemons suspect many servers.
+    /// Repeating failed writes ensures that a primary that fails during an outage of the store is replaced. Batching
+    /// limits the load on the store and the links when many daemons suspect many servers.
     pub(crate) async fn suspicion_loop(self: Rc<Self>) {
         let mut backoff = Backoff::default();
         loop {
@@ -128,9 +128,9 @@
 
     /// Returns the suspicion writes that the store needs, with the lease to write them under.
     ///
-    /// A network partition often disconnects a daemon from a server and from the store at the same time. So after an outage
-    /// of the store a suspicion counts only once the server was probed again; otherwise a healthy primary would be
-    /// replaced after a partition.
+    /// A network partition often disconnects a daemon from a server and from the store at the same time. So after an
+    /// outage of the store a suspicion counts only once the server was probed again; otherwise a healthy primary would
+    /// be replaced after a partition.
     ///
     /// Only a few daemons that are not witnesses report a server, which is enough for the witnesses to probe it.
     fn pending_suspicion_writes(&self) -> Option<(PendingSuspicionWrites, LeaseId)> {
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Probes a server that another daemon suspects, if this daemon is a witness and does not suspect the server itself.
-    /// Suspected servers are probed repeatedly by the serving thread.
+    /// Probes a server that another daemon suspects, if this daemon is a witness and does not suspect the server
+    /// itself. Suspected servers are probed repeatedly by the serving thread.
     pub(crate) fn probe_suspected_server(&self, key: &str, suspicion: &str) {
         let mut parts = suspicion.split('/');
         let (Some(service), Some(server)) = (parts.next(), parts.next()) else { return };
@@ -209,7 +209,7 @@
 
     /// Asks the serving thread to probe a server.
     fn request_probe(&self, (service, server): (Name, Name)) {
-        // If the queue is full, the serving thread is overloaded; later probes or its own traffic show the server's state.
+        // If the queue is full, the serving thread is overloaded; later probes or its traffic show the state.
         let _ = self.serving_requests.try_send(ServingRequest::Probe { service, server });
     }
 
@@ -251,8 +251,8 @@
         tunnel_peers
     }
 
-    /// Returns the daemons that may provide a tunnel, those of this availability zone and the others. Each daemon starts
-    /// after its own place in the list, so that the requests are distributed.
+    /// Returns the daemons that may provide a tunnel, those of this availability zone and the others. Each daemon
+    /// starts after its own place in the list, so that the requests are distributed.
     fn tunnel_candidates<'a>(
         &self,
         state: &'a State,
--- a/crates/proxy/src/control/witnesses.rs
+++ b/crates/proxy/src/control/witnesses.rs
@@ -1,15 +1,15 @@
 //! The witnesses of a server: the daemons that probe it when another one can't reach it, and whose reports count.
 //!
-//! Their number is limited, which bounds the connections to a suspected server in a large fleet. See `docs/PLATFORM.md`,
-//! "Who leads".
+//! Their number is limited, which bounds the connections to a suspected server in a large fleet. See
+//! `docs/PLATFORM.md`, "Who leads".
 
 use std::collections::HashMap;
 
 use model::Name;
 use routing::{rank_hosts, rendezvous_score};
 
-/// The largest number of witnesses of one server. A third of them must agree to replace a primary, which is very unlikely
-/// when only a small part of the fleet is disconnected from it.
+/// The largest number of witnesses of one server. A third of them must agree to replace a primary, which is very
+/// unlikely when only a small part of the fleet is disconnected from it.
 pub const MAX_WITNESSES: usize = 45;
 
 /// Returns the witnesses of a server. Every daemon that knows the same members gets the same result.
@@ -39,7 +39,7 @@
 }
 
 impl WitnessCache {
-    /// Returns whether this daemon is a witness of a server; calls `compute` if that is unknown for the current members.
+    /// Returns whether this daemon is a witness of a server; calls `compute` if the cache does not contain it.
     pub(crate) fn is_witness(
         &mut self,
         server: &Name,
--- a/crates/proxy/tests/restore_model.rs
+++ b/crates/proxy/tests/restore_model.rs
@@ -2,9 +2,9 @@
 //!
 //! Runs the engine's decisions on authoritative records, waiting after a restore and fencing tokens over a model of the
 //! store, daemons and servers. Like the real store, the model compares revision numbers only and reuses them after a
-//! restore; orders and writes may take effect late. Invariants: fencing tokens never decrease, no other server is ordered
-//! while an order may still take effect, a record that grants leases names the actual primary, and the configuration
-//! version of a daemon never decreases. Injected defects show that the model detects violations.
+//! restore; orders and writes may take effect late. Invariants: fencing tokens never decrease, no other server is
+//! ordered while an order may still take effect, a record that grants leases names the actual primary, and the
+//! configuration version of a daemon never decreases. Injected defects show that the model detects violations.
 //!
 //! Not modelled: lease expiry (`leadership_model.rs`) and the servers' logs (`history_model.rs`).
 
@@ -438,7 +438,7 @@
             self.delayed_writes.push(write);
             return Ok(());
         };
-        // The call may reach a store of a later era, which compares only numbers and applies it; the response shows the era.
+        // The call may reach a store of a later era, which compares only numbers; the response shows the era.
         if daemon.is_disconnected || !self.apply_write(&write) {
             return Ok(());
         }
@@ -504,8 +504,8 @@
     }
 }
 
-/// Applies the events, then reconnects all daemons: the newest configuration that any daemon knew must reach a daemon that
-/// starts afterwards.
+/// Applies the events, then reconnects all daemons: the newest configuration that any daemon knew must reach a daemon
+/// that starts afterwards.
 fn check_run(events: &[Event], defect: Defect) -> Result<(), TestCaseError> {
     let mut model = Model::new(defect);
     for event in events {
