--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -67,7 +67,7 @@
 }
 
 /// What an adapter provides. The makers run on the thread that uses what they make.
-pub struct Adapter<C, E, F, M, O> {
+pub struct DaemonAdapter<C, E, F, M, O> {
     /// How callers speak.
     pub caller_dialect: C,
     /// How servers speak.
@@ -83,7 +83,7 @@
 /// Runs a daemon until `stop` says so, then stops it as planned.
 pub fn run_daemon<C, E, F, S, P>(
     settings: &ProxySettings,
-    adapter: Adapter<
+    adapter: DaemonAdapter<
         C,
         E,
         F,
