--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -59,7 +59,7 @@
 
 /// Where a daemon listens, once it does; ports that were left to the system are known from here.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the load balancer asks.
@@ -91,7 +91,7 @@
         impl FnOnce(SocketAddr) -> P + Send + 'static,
     >,
     stop: impl Future<Output = ()>,
-    on_bound: impl FnOnce(Bound),
+    on_bound: impl FnOnce(BoundAddresses),
 ) -> eyre::Result<()>
 where
     C: CallerDialect,
@@ -148,7 +148,10 @@
     let ready_listen = settings.daemon.ready_listen.ok_or_eyre("ready_listen is unset")?;
     let caller_listener = bind(listen)?;
     let ready_listener = bind(ready_listen)?;
-    on_bound(Bound { callers: caller_listener.local_addr()?, ready: ready_listener.local_addr()? });
+    on_bound(BoundAddresses {
+        callers: caller_listener.local_addr()?,
+        ready: ready_listener.local_addr()?,
+    });
     let http = {
         let part = HttpPart {
             ready_listener,
