--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -6,7 +6,7 @@
 //! | `control` | store, rights, membership, changes of primary | the store; observations 256 |
 //! | `http` | whether the daemon takes callers; metrics | sockets |
 //!
-//! The serving and the control thread share one value, the beliefs, which is replaced as a whole.
+//! The serving and the control thread share one value, the control view, which is replaced as a whole.
 
 use std::{
     net::SocketAddr,
@@ -31,7 +31,7 @@
     },
     dialect::{CallerDialect, EndpointDialect},
     events::ProxyMetrics,
-    http::{HttpPart, serve_http},
+    http::{HttpParts, serve_http},
     metadata::MetadataStore,
     order::PromotionOrders,
     serve::{
@@ -101,7 +101,7 @@
     P: PromotionOrders,
 {
     let metrics = ProxyMetrics::new();
-    let (beliefs_out, beliefs) = watch::channel(Arc::new(ControlView::default()));
+    let (control_view_out, control_view) = watch::channel(Arc::new(ControlView::default()));
     let (stopping_out, stopping) = watch::channel(None);
     let (ended_out, ended) = watch::channel(false);
     let (observations_out, observations) = flume::bounded(OBSERVATIONS);
@@ -133,7 +133,7 @@
                 orders: make_orders(order_address),
                 format,
                 dialect,
-                control_view: beliefs_out,
+                control_view: control_view_out,
                 observations,
                 serving_requests: asks_out,
                 stopping,
@@ -153,21 +153,21 @@
         ready: ready_listener.local_addr()?,
     });
     let http = {
-        let part = HttpPart {
+        let parts = HttpParts {
             ready_listener,
             metrics_listen: settings.daemon.metrics_listen,
-            beliefs: beliefs.clone(),
+            control_view: control_view.clone(),
             stopping: stopping.clone(),
             metrics: metrics.clone(),
         };
-        spawn_thread("http", move || serve_http(part))?
+        spawn_thread("http", move || serve_http(parts))?
     };
 
     let engine = Engine::new(EngineParts {
         caller_dialect: adapter.caller_dialect,
         endpoint_dialect: adapter.endpoint_dialect,
         settings: serve_settings(settings),
-        control_view: beliefs,
+        control_view,
         stopping,
         metrics,
         observations: observations_out,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -26,13 +26,13 @@
 const BIND_PAUSE: Duration = Duration::from_secs(1);
 
 /// What the HTTP thread needs.
-pub struct HttpPart {
+pub struct HttpParts {
     /// Where the load balancer asks.
     pub ready_listener: std::net::TcpListener,
     /// Where operators read metrics.
     pub metrics_listen: Option<SocketAddr>,
     /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<ControlView>>,
+    pub control_view: watch::Receiver<Arc<ControlView>>,
     /// When the stop began.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// What is counted.
@@ -41,20 +41,24 @@
 
 #[derive(Clone)]
 struct Shared {
-    beliefs: watch::Receiver<Arc<ControlView>>,
+    control_view: watch::Receiver<Arc<ControlView>>,
     stopping: watch::Receiver<Option<Instant>>,
     metrics: ProxyMetrics,
 }
 
 /// Serves until the daemon's process ends.
-pub async fn serve_http(part: HttpPart) {
-    let shared = Shared { beliefs: part.beliefs, stopping: part.stopping, metrics: part.metrics };
-    if let Some(address) = part.metrics_listen {
+pub async fn serve_http(parts: HttpParts) {
+    let shared = Shared {
+        control_view: parts.control_view,
+        stopping: parts.stopping,
+        metrics: parts.metrics,
+    };
+    if let Some(address) = parts.metrics_listen {
         tokio::task::spawn_local(listen_for_metrics(address, shared.clone()));
     }
-    let mut beliefs = shared.beliefs.clone();
+    let mut control_view = shared.control_view.clone();
     let serving = async {
-        match TcpListener::from_std(part.ready_listener) {
+        match TcpListener::from_std(parts.ready_listener) {
             Ok(listener) => accept(listener, shared, answer_ready).await,
             Err(error) => log::error!(
                 event = "listen_failed", why = error.to_string().as_str();
@@ -64,8 +68,8 @@
     };
     tokio::select! {
         () = serving => {}
-        // The control thread drops the beliefs when it has stopped, last of all.
-        () = async { while beliefs.changed().await.is_ok() {} } => {}
+        // The control thread drops the control view when it has stopped, last of all.
+        () = async { while control_view.changed().await.is_ok() {} } => {}
     }
 }
 
@@ -75,7 +79,7 @@
     if shared.stopping.borrow().is_some() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping".to_owned());
     }
-    if shared.beliefs.borrow().is_ready() {
+    if shared.control_view.borrow().is_ready() {
         (StatusCode::OK, "ready".to_owned())
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no configuration yet".to_owned())
