--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -38,7 +38,7 @@
         loop {
             // Updated here because this loop also runs while no update arrives.
             let age_ms = i64::try_from(self.store_data_age_ms()).unwrap_or(i64::MAX);
-            self.metrics.now.with_label_values(&["knowledge_age_ms"]).set(age_ms);
+            self.metrics.gauges.with_label_values(&["knowledge_age_ms"]).set(age_ms);
             if let Some(until) = self.next_read_at(interval) {
                 tokio::select! {
                     () = tokio::time::sleep_until(until.into()) => {}
--- a/crates/proxy/src/control/record_confirmation.rs
+++ b/crates/proxy/src/control/record_confirmation.rs
@@ -42,7 +42,7 @@
         let record =
             confirmed_record(&known.record, &found, self.incarnation_of(service, &found.server));
         self.write_record(service, &record, known.revision).await?;
-        self.metrics.restores.with_label_values(&["confirmed"]).inc();
+        self.metrics.store_restores.with_label_values(&["confirmed"]).inc();
         log::info!(
             event = "record_confirmed", service = &**service, primary = &*found.server,
             term = found.term.0, known_term = known.record.term;
--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -161,7 +161,7 @@
         match written {
             Ok(TransactionOutcome::Done(_)) => {
                 let count = due.count as u64;
-                self.metrics.restores.with_label_values(&[due.what]).inc_by(count);
+                self.metrics.store_restores.with_label_values(&[due.what]).inc_by(count);
                 log::info!(
                     event = "put_back", what = due.what, count = count;
                     "republished what the store lost in a restore"
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -25,8 +25,8 @@
         peer_link::{AcceptedLink, PeerRequester},
         state::State,
     },
-    events::ProxyMetrics,
     metadata::{MetadataError, Transaction},
+    metrics::ProxyMetrics,
     serve::share::DaemonCounts,
     statement::{EndpointStatus, EndpointText},
 };
@@ -279,9 +279,9 @@
             in_zone: state.members_seen.values().filter(|member| member.is_near).count().max(1)
                 as u32,
         };
-        self.metrics.now.with_label_values(&["members"]).set(i64::from(sharers.daemons));
+        self.metrics.gauges.with_label_values(&["members"]).set(i64::from(sharers.daemons));
         self.metrics
-            .now
+            .gauges
             .with_label_values(&["configuration_version"])
             .set(state.catalog.version as i64);
         let control_view = ControlView {
--- a/crates/proxy/src/control/shared_keys.rs
+++ b/crates/proxy/src/control/shared_keys.rs
@@ -142,7 +142,7 @@
         if known.era >= stored.era || known.term <= stored.term {
             return;
         }
-        self.metrics.restores.with_label_values(&["given_up"]).inc();
+        self.metrics.store_restores.with_label_values(&["given_up"]).inc();
         log::warn!(
             event = "record_given_up", service = &**service, known_term = known.term,
             term = stored.term, primary = stored.primary.as_str();
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -176,12 +176,12 @@
         state.latest_read = None;
         state.acknowledged.clear();
         drop(state);
-        self.metrics.now.with_label_values(&["store_era"]).set(era.0 as i64);
+        self.metrics.gauges.with_label_values(&["store_era"]).set(era.0 as i64);
         if !knew_earlier_era {
             log::info!(event = "store_era", era = era.0; "the store reports its era");
             return;
         }
-        self.metrics.restores.with_label_values(&["seen"]).inc();
+        self.metrics.store_restores.with_label_values(&["seen"]).inc();
         log::warn!(
             event = "store_restored", era = era.0, before = before.0,
             revision = revision.number(), known_to = last_known.number();
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -30,9 +30,9 @@
         runner::{ControlParts, ControlSettings, ServingRequest, run_control},
     },
     dialect::{CallerDialect, EndpointDialect},
-    events::ProxyMetrics,
     http::{HttpParts, serve_http},
     metadata::MetadataStore,
+    metrics::ProxyMetrics,
     order::PromotionOrders,
     serve::{
         control_requests::answer_control_requests,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -16,7 +16,7 @@
     sync::watch,
 };
 
-use crate::{control::control_view::ControlView, events::ProxyMetrics};
+use crate::{control::control_view::ControlView, metrics::ProxyMetrics};
 
 /// How long a peer may take to send a request's head.
 const HEADER_WITHIN: Duration = Duration::from_secs(5);
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/metrics.rs
@@ -13,11 +13,11 @@
     /// The time of a statement by kind of route, in seconds.
     pub statement_seconds: HistogramVec,
     /// Statements sent to servers by the server's role, and whether it stands in the same zone.
-    pub sent: IntCounterVec,
+    pub statements_sent: IntCounterVec,
     /// Connections opened to servers, by how that ended.
     pub connections_opened: IntCounterVec,
     /// Statements that went through an owner's queue, by rank and how that ended.
-    pub queued: IntCounterVec,
+    pub statements_queued: IntCounterVec,
     /// Calls to the metadata store by kind and how they ended.
     pub store_calls: IntCounterVec,
     /// Steps of changes of primary.
@@ -25,17 +25,17 @@
     /// Answers of primaries that contradict the right that they were used by; none may ever be seen.
     pub contradictions: IntCounterVec,
     /// Operations refused for their client account, by why: its limit, or a key that nobody holds.
-    pub refused: IntCounterVec,
+    pub refusals: IntCounterVec,
     /// Changes of circuits, by the hop that they watch and what they became.
-    pub circuits: IntCounterVec,
+    pub circuit_changes: IntCounterVec,
     /// Statements that found no primary to use, by why and by what became of them.
-    pub held: IntCounterVec,
+    pub statements_held: IntCounterVec,
     /// Attempts that were not made because they would have taken room from others, by why they were wanted.
-    pub tries_denied: IntCounterVec,
+    pub attempts_denied: IntCounterVec,
     /// What was done because the store was restored, by what it was.
-    pub restores: IntCounterVec,
+    pub store_restores: IntCounterVec,
     /// Numbers as they are now: callers, version of the configuration, members.
-    pub now: IntGaugeVec,
+    pub gauges: IntGaugeVec,
 }
 
 /// From a millisecond to five seconds, about three to a decade.
@@ -57,7 +57,7 @@
             "Statements of callers, by kind of route and outcome.",
             &["reads", "outcome"],
         );
-        let sent = counter(
+        let statements_sent = counter(
             "wardtiller_proxy_sent_total",
             "Statements sent to servers, by role and zone.",
             &["role", "zone"],
@@ -67,7 +67,7 @@
             "Connections opened to servers, by outcome.",
             &["outcome"],
         );
-        let queued = counter(
+        let statements_queued = counter(
             "wardtiller_proxy_queued_total",
             "Statements offered to the queue of a server, by rank and outcome.",
             &["rank", "outcome"],
@@ -87,27 +87,27 @@
             "Answers of primaries that contradict the right that they were used by.",
             &["how"],
         );
-        let refused = counter(
+        let refusals = counter(
             "wardtiller_proxy_refused_total",
             "Operations refused for their client account, by reason.",
             &["why"],
         );
-        let circuits = counter(
+        let circuit_changes = counter(
             "wardtiller_proxy_circuits_total",
             "Changes of the circuits of paths to servers, by hop and new state.",
             &["hop", "state"],
         );
-        let held = counter(
+        let statements_held = counter(
             "wardtiller_proxy_held_total",
             "Statements that found no primary to use, by reason and end.",
             &["outage", "end"],
         );
-        let tries_denied = counter(
+        let attempts_denied = counter(
             "wardtiller_proxy_tries_denied_total",
             "Attempts that were not made so that they take no room from others, by cause.",
             &["cause"],
         );
-        let restores = counter(
+        let store_restores = counter(
             "wardtiller_proxy_restores_total",
             "Restores of the metadata store that were seen, and what was put back, confirmed or given up after them.",
             &["what"],
@@ -124,28 +124,28 @@
         registry
             .register(Box::new(statement_seconds.clone()))
             .expect("each metric is registered once");
-        let now = IntGaugeVec::new(
+        let gauges = IntGaugeVec::new(
             Opts::new("wardtiller_proxy_now", "Numbers as they are now, by what is counted."),
             &["what"],
         )
         .expect("names of metrics are constants that a test checks");
-        registry.register(Box::new(now.clone())).expect("each metric is registered once");
+        registry.register(Box::new(gauges.clone())).expect("each metric is registered once");
         ProxyMetrics {
             registry,
             statements,
             statement_seconds,
-            sent,
+            statements_sent,
             connections_opened,
-            queued,
+            statements_queued,
             store_calls,
             promotion_steps,
             contradictions,
-            refused,
-            circuits,
-            held,
-            tries_denied,
-            restores,
-            now,
+            refusals,
+            circuit_changes,
+            statements_held,
+            attempts_denied,
+            store_restores,
+            gauges,
         }
     }
 
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -133,7 +133,7 @@
         id: &[u8],
     ) -> StatementError {
         let retry_delay_ms = self.with_jitter(wait.max(MIN_RETRY_DELAY)).as_millis() as u64 + 1;
-        self.metrics.refused.with_label_values(&["limit"]).inc();
+        self.metrics.refusals.with_label_values(&["limit"]).inc();
         log::debug!(
             event = "at_limit", id = id_text(id).as_str(), account = &*account.name,
             rate_per_s = limit.rate_per_s, retry_after_ms = retry_delay_ms;
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -22,7 +22,7 @@
     catalog::ServerEntry,
     control::control_view::{ControlView, Observation, Owners, TunnelPeers},
     dialect::{CallerDialect, EndpointDialect},
-    events::ProxyMetrics,
+    metrics::ProxyMetrics,
     relay::links::RelayLinks,
     serve::{
         connection::{ClientIdentity, ConnectionLost, EndpointConnection},
@@ -390,7 +390,7 @@
             Err(NoConnection::NoServer) => "nowhere",
         };
         let rank = request.rank().index().to_string();
-        self.metrics.queued.with_label_values(&[rank.as_str(), outcome]).inc();
+        self.metrics.statements_queued.with_label_values(&[rank.as_str(), outcome]).inc();
     }
 
     /// Returns the identity that a server is given when a connection is opened.
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -279,7 +279,7 @@
             .entry_of(connection.server())
             .is_some_and(|entry| entry.availability_zone == self.settings.availability_zone);
         let zone = if is_same_zone { "same" } else { "other" };
-        self.metrics.sent.with_label_values(&[role, zone]).inc();
+        self.metrics.statements_sent.with_label_values(&[role, zone]).inc();
     }
 
     pub(crate) async fn on_acquire_failed(
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -72,7 +72,7 @@
             CircuitChange::Opened => "open",
             CircuitChange::Closed => "closed",
         };
-        self.metrics.circuits.with_label_values(&["server", state]).inc();
+        self.metrics.circuit_changes.with_label_values(&["server", state]).inc();
         log::info!(
             event = "circuit", hop = "server", server = &**server, state = state;
             "the circuit breaker of a server changed state"
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -286,7 +286,7 @@
             CircuitChange::Opened => "open",
             CircuitChange::Closed => "closed",
         };
-        self.metrics.circuits.with_label_values(&["owner_to_server", state]).inc();
+        self.metrics.circuit_changes.with_label_values(&["owner_to_server", state]).inc();
         log::info!(
             event = "circuit", hop = "owner_to_server", server = &**server,
             owner = owner.to_string().as_str(), state = state;
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -200,7 +200,7 @@
         }
         let Some(queued) = queued else { return now };
         let outage = ongoing.map_or(Outage::Failover, |ongoing| ongoing.outage);
-        self.metrics.held.with_label_values(&[outage.as_str(), "released"]).inc();
+        self.metrics.statements_held.with_label_values(&[outage.as_str(), "released"]).inc();
         let interval = self.service_interval_at(group, server);
         queued.resume_at(interval, job.hold_limits().turn_until(outage, now), now)
     }
@@ -298,7 +298,7 @@
         let forecast = OutageForecast { outage: ongoing.outage, elapsed, remaining };
         let retry_delay =
             forecast.retry_delay(job.retry_delay(), &history, self.settings.primary_lease);
-        self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
+        self.metrics.statements_held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
         Refusal { retry_delay, outage: Some(ongoing.outage), remaining, ..refusal }
     }
 
@@ -365,7 +365,7 @@
         let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
         let may = retry_budget.may_send_again(&account, job.rank(), attempts.sent, cause);
         if !may {
-            self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
+            self.metrics.attempts_denied.with_label_values(&[cause.as_str()]).inc();
         }
         !may
     }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -455,7 +455,7 @@
     }
 
     fn note_unknown_key(&self, at: &'static str) {
-        self.engine.metrics.refused.with_label_values(&["key"]).inc();
+        self.engine.metrics.refusals.with_label_values(&["key"]).inc();
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
             configuration = self.engine.control_view().catalog.version;
