--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -26,7 +26,7 @@
         },
         tunnel::serve_tunnel,
     },
-    links::bound_silence,
+    tcp_options::detect_dead_peer,
 };
 
 /// Time for a peer to accept a connection, and to answer beyond the time for which it may hold the request: a round
@@ -50,7 +50,7 @@
 pub(crate) type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
 pub(crate) fn framed(stream: TcpStream) -> Frames {
-    bound_silence(&stream);
+    detect_dead_peer(&stream);
     // Without TCP_NODELAY messages are only sent a little later.
     let _ = stream.set_nodelay(true);
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
--- a/crates/proxy/src/control/tunnel.rs
+++ b/crates/proxy/src/control/tunnel.rs
@@ -16,7 +16,7 @@
         peer_link::{Frames, framed},
         peers::{PeerQuestion, PeerRequest, TunnelAnswer, TunnelRequest},
     },
-    links::bound_silence,
+    tcp_options::detect_dead_peer,
 };
 
 /// Time for a server to accept a connection for another daemon; the same as for a probe of this daemon's own.
@@ -80,7 +80,7 @@
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     // The peer is told that the server was not reached, and logs that.
     let stream = connected.ok()?.ok()?;
-    bound_silence(&stream);
+    detect_dead_peer(&stream);
     stream.set_nodelay(true).ok()?;
     Some(stream)
 }
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -18,10 +18,10 @@
     catalog::{ServerEntry, ServerIncarnation},
     control::{peers::TunnelRequest, tunnel::open_tunnel},
     dialect::{EndpointDialect, EndpointMessage, EndpointStartup},
-    links::{bound_silence, drop_unreceived_at_end, end_in_order},
     relay::messages::NotSent,
     serve::replay::Environment,
     statement::{Answer, EndpointCommand, ErrorCode, Outcome, StatementError, TransactionState},
+    tcp_options::{close_gracefully, detect_dead_peer, reset_on_close},
 };
 
 /// Size by which the read buffer grows; most answers are below 1 KiB.
@@ -163,8 +163,8 @@
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let broken = |error: std::io::Error| ConnectionLost::Broken(error.to_string());
         stream.set_nodelay(true).map_err(broken)?;
-        bound_silence(&stream);
-        drop_unreceived_at_end(&stream).map_err(broken)?;
+        detect_dead_peer(&stream);
+        reset_on_close(&stream).map_err(broken)?;
         let mut connection = EndpointConnection {
             dialect: dialect.clone(),
             stream,
@@ -287,7 +287,7 @@
 impl<E> Drop for EndpointConnection<E> {
     fn drop(&mut self) {
         if self.unanswered == 0 {
-            end_in_order(&self.stream);
+            close_gracefully(&self.stream);
         }
     }
 }
--- a/crates/proxy/src/links.rs
+++ b/crates/proxy/src/tcp_options.rs
@@ -18,7 +18,7 @@
 const RECEIPT_WITHIN: Duration = Duration::from_secs(4);
 
 /// Bounds how long a connection whose other end is gone or cut off may look alive.
-pub(crate) fn bound_silence(stream: &TcpStream) {
+pub(crate) fn detect_dead_peer(stream: &TcpStream) {
     let keepalive = TcpKeepalive::new()
         .with_time(PROBED_AFTER)
         .with_interval(PROBED_EVERY)
@@ -40,12 +40,12 @@
 ///
 /// A connection that is closed in order goes on sending it, also when a partition holds it up for seconds: a write would
 /// run after its caller was told that its outcome is in doubt and has written anew. See `docs/PLATFORM.md`, "Verdicts".
-pub(crate) fn drop_unreceived_at_end(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
 /// Has a connection on which nothing is under way end in order.
-pub(crate) fn end_in_order(stream: &TcpStream) {
+pub(crate) fn close_gracefully(stream: &TcpStream) {
     if let Err(error) = SockRef::from(stream).set_linger(None) {
         // The other end sees a reset in place of an end; nothing is lost by it.
         log::debug!(
