--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -405,7 +405,7 @@
         let order = PromotionOrder {
             service: service.clone(),
             server: Name::from(chosen.server.as_str()),
-            holder: self.settings.host.clone(),
+            promoter: self.settings.host.clone(),
             fencing_token: lease.fencing_token,
         };
         let timeout = Duration::from_millis(self.settings.leadership.order_timeout_ms);
--- a/crates/proxy/src/order.rs
+++ b/crates/proxy/src/order.rs
@@ -12,7 +12,7 @@
     /// The server that is to lead.
     pub server: Name,
     /// The daemon that gives the order.
-    pub holder: Name,
+    pub promoter: Name,
     /// Rises with every change of holder, so that a late order can be told from a newer one.
     pub fencing_token: u64,
 }
