--- a/crates/proxy/src/accounts.rs
+++ b/crates/proxy/src/accounts.rs
@@ -57,38 +57,38 @@
     accounts: Vec<Arc<Account>>,
     keys: Vec<(AccountKey, Arc<Account>)>,
     /// Places in `keys` by a keyed hash, so that a look tells nothing of other keys by the time that it takes.
-    places: HashMap<u64, Vec<usize>>,
+    key_indices: HashMap<u64, Vec<usize>>,
     hasher: RandomState,
 }
 
 /// Two accounts hold the same key, so that nobody knows whose work a caller does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyHeldTwice {
+pub struct DuplicateKey {
     /// The accounts.
     pub accounts: [Name; 2],
 }
 
-impl fmt::Display for KeyHeldTwice {
+impl fmt::Display for DuplicateKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [one, other] = &self.accounts;
-        write!(f, "the accounts {one} and {other} hold the same key")
+        let [first, second] = &self.accounts;
+        write!(f, "the accounts {first} and {second} hold the same key")
     }
 }
 
-impl std::error::Error for KeyHeldTwice {}
+impl std::error::Error for DuplicateKey {}
 
 impl Accounts {
     /// Makes the list of a configuration.
     pub fn new(
-        listed: impl IntoIterator<Item = (Account, Vec<AccountKey>)>,
-    ) -> Result<Accounts, KeyHeldTwice> {
+        entries: impl IntoIterator<Item = (Account, Vec<AccountKey>)>,
+    ) -> Result<Accounts, DuplicateKey> {
         let mut accounts = Accounts {
             accounts: Vec::new(),
             keys: Vec::new(),
-            places: HashMap::new(),
+            key_indices: HashMap::new(),
             hasher: RandomState::new(),
         };
-        for (account, keys) in listed {
+        for (account, keys) in entries {
             let account = Arc::new(account);
             accounts.accounts.push(account.clone());
             for key in keys {
@@ -98,27 +98,27 @@
         Ok(accounts)
     }
 
-    fn add(&mut self, key: AccountKey, account: &Arc<Account>) -> Result<(), KeyHeldTwice> {
-        if let Some(holder) = self.holder(&key) {
-            if holder.name == account.name {
+    fn add(&mut self, key: AccountKey, account: &Arc<Account>) -> Result<(), DuplicateKey> {
+        if let Some(owner) = self.find_by_key(&key) {
+            if owner.name == account.name {
                 return Ok(());
             }
-            return Err(KeyHeldTwice { accounts: [holder.name.clone(), account.name.clone()] });
+            return Err(DuplicateKey { accounts: [owner.name.clone(), account.name.clone()] });
         }
         let hash = self.hasher.hash_one(&*key.0);
-        self.places.entry(hash).or_default().push(self.keys.len());
+        self.key_indices.entry(hash).or_default().push(self.keys.len());
         self.keys.push((key, account.clone()));
         Ok(())
     }
 
     /// Returns the account that holds a key.
-    pub fn holder(&self, key: &AccountKey) -> Option<&Arc<Account>> {
+    pub fn find_by_key(&self, key: &AccountKey) -> Option<&Arc<Account>> {
         if key.is_empty() {
             return None;
         }
-        let places = self.places.get(&self.hasher.hash_one(&*key.0))?;
-        let held = places.iter().map(|place| &self.keys[*place]);
-        let mut found = held.filter(|(held, _)| bool::from(held.0.as_slice().ct_eq(&key.0)));
+        let key_indices = self.key_indices.get(&self.hasher.hash_one(&*key.0))?;
+        let candidates = key_indices.iter().map(|index| &self.keys[*index]);
+        let mut found = candidates.filter(|(held, _)| bool::from(held.0.as_slice().ct_eq(&key.0)));
         found.next().map(|(_, account)| account)
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Returns the account's name as it is told to an owner; empty for none.
-    pub fn told(&self) -> &str {
+    pub fn account_name(&self) -> &str {
         match self {
             Principal::Daemon => "",
             Principal::Account(name) => name,
@@ -176,7 +176,7 @@
     }
 
     /// Returns whom an owner was told.
-    pub fn from_told(name: &str) -> Principal {
+    pub fn from_account_name(name: &str) -> Principal {
         match name {
             "" => Principal::Daemon,
             name => Principal::Account(Name::from(name)),
@@ -189,7 +189,7 @@
 pub struct UnknownKey;
 
 /// Returns what a caller is told whose key nobody holds.
-pub fn unknown_key() -> StatementError {
+pub fn unknown_key_error() -> StatementError {
     StatementError::new(ErrorCode::Forbidden, "the key belongs to no client account")
 }
 
@@ -200,7 +200,7 @@
     route: &Route,
 ) -> Result<Option<Arc<Account>>, UnknownKey> {
     let Some(accounts) = &catalog.accounts else { return Ok(None) };
-    match accounts.holder(key) {
+    match accounts.find_by_key(key) {
         Some(account) => Ok(Some(account.clone())),
         None if route.is_public => Ok(None),
         None => Err(UnknownKey),
--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -141,7 +141,7 @@
             at_primary: self.options.at_primary,
             yields: self.options.yields,
             last_resort: self.options.last_resort,
-            account: self.options.principal.told().to_owned(),
+            account: self.options.principal.account_name().to_owned(),
             previous_attempts: self.options.previous_attempts,
             ..RelayRequest::default()
         }
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -389,7 +389,7 @@
         cancellation: Some(cancellation.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
-            _ => Some(Principal::from_told(&request.account)),
+            _ => Some(Principal::from_account_name(&request.account)),
         },
     };
     let wait_until = received_at + request.wait_limit();
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -187,7 +187,7 @@
         let Some(reuse) = &self.reuse else { return (of_first > 0).then_some(0) };
         let idle = self.idle.iter().take(of_first);
         let idle: Vec<Resting<'_>> = idle
-            .map(|(since, idle)| Resting { account: idle.principal.told(), since: *since })
+            .map(|(since, idle)| Resting { account: idle.principal.account_name(), since: *since })
             .collect();
         reuse.least_likely(&idle, now)
     }
@@ -195,7 +195,7 @@
     /// Records that a connection is used for a principal.
     pub(crate) fn note_use(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
-            reuse.on_used(principal.told(), Instant::now());
+            reuse.on_used(principal.account_name(), Instant::now());
         }
     }
 
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -207,7 +207,7 @@
 
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
-        let account = Name::from(job.principal.told());
+        let account = Name::from(job.principal.account_name());
         self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
             self.end_outage(group, &job.route.service, Instant::now());
@@ -361,7 +361,7 @@
             Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => Cause::NoRoom,
             Some(_) | None => Cause::Path,
         };
-        let account = Name::from(job.principal.told());
+        let account = Name::from(job.principal.account_name());
         let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
         let may = retry_budget.may_send_again(&account, job.rank(), attempts.sent, cause);
         if !may {
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 use crate::{
-    accounts::{Account, AccountKey, Principal, UnknownKey, account_of, unknown_key},
+    accounts::{Account, AccountKey, Principal, UnknownKey, account_of, unknown_key_error},
     catalog::Route,
     dialect::{CallerDialect, CallerMessage, EndpointDialect},
     serve::{
@@ -163,7 +163,7 @@
             && self.account(&route).is_err()
         {
             self.note_unknown_key("startup");
-            self.link.put_error(unknown_key());
+            self.link.put_error(unknown_key_error());
             let _ = self.link.flush().await;
             return false;
         }
@@ -451,7 +451,7 @@
         self.fail_if_open();
         self.transaction = None;
         self.is_ending = true;
-        refusal(unknown_key(), TransactionState::Idle)
+        refusal(unknown_key_error(), TransactionState::Idle)
     }
 
     fn note_unknown_key(&self, at: &'static str) {
