--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -22,7 +22,7 @@
     /// The most urgent is 0.
     pub priority: u8,
     /// How often a statement may be sent to a server in all.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether callers without an account are served.
     pub is_public: bool,
 }
@@ -82,7 +82,7 @@
     /// Services by name.
     pub services: HashMap<Name, ServiceRule>,
     /// How long a transaction may rest before it may be ended; `None` for as long as it likes.
-    pub idle_transaction: Option<Duration>,
+    pub idle_transaction_timeout: Option<Duration>,
     /// The client accounts; `None` where the configuration has none, so that whoever comes is served.
     pub accounts: Option<Arc<Accounts>>,
 }
@@ -103,7 +103,7 @@
     /// Whether it is leaving and gets no new work.
     pub leaving: bool,
     /// Whether it regards itself as the primary, which proves nothing.
-    pub claims_lead: bool,
+    pub claims_primary: bool,
     /// When it was started, by its own word; `None` where servers don't say. A server that starts again under its
     /// identity holds nothing of before, so it is another one to whoever knew it.
     pub incarnation: Option<ServerIncarnation>,
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -307,14 +307,14 @@
                 if state.contradicts_known_server(item, &entry, self.lapse_grace()) {
                     return;
                 }
-                let (server, leaving, claims_lead) =
-                    (entry.server.clone(), entry.leaving, entry.claims_lead);
+                let (server, leaving, claims_primary) =
+                    (entry.server.clone(), entry.leaving, entry.claims_primary);
                 let (service, incarnation) = (entry.service.clone(), entry.incarnation);
                 let before = state.servers.incarnation_at(&item.key);
                 if state.servers.put(&item.key, entry) {
                     log::info!(
                         event = "server", server = &*server, leaving = leaving,
-                        claims_lead = claims_lead, revision = item.revision.number();
+                        claims_lead = claims_primary, revision = item.revision.number();
                         "a server's entry changed"
                     );
                 }
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -266,7 +266,7 @@
 ) {
     let mut connection: Option<PooledConnection<E>> = None;
     loop {
-        let rest = engine.control_view().catalog.idle_transaction;
+        let rest = engine.control_view().catalog.idle_transaction_timeout;
         let request = match rest {
             Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
                 Ok(request) => request,
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -238,7 +238,7 @@
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.connection.as_ref()?;
-        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
+        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction_timeout?)
     }
 
     /// Answers a message; returns `false` if the connection is to be closed.
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -298,7 +298,7 @@
         availability_zone: Name::from("z"),
         slots: 3,
         leaving,
-        claims_lead: false,
+        claims_primary: false,
         incarnation: None,
     }
 }
