--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -85,7 +85,7 @@
     /// The service.
     pub service: Name,
     /// Who connects: a client account's name, or the host's for work of no account.
-    pub who: Name,
+    pub client: Name,
     /// The server that must answer; another at the same address refuses.
     pub server: Name,
 }
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -180,7 +180,7 @@
         };
         let startup = EndpointStartup {
             service: entry.service.clone(),
-            who: identity.name(is_direct),
+            client: identity.name(is_direct),
             server: entry.server.clone(),
         };
         connection.dialect.encode_startup(&startup, &mut connection.outgoing);
