--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -26,7 +26,7 @@
     },
     metadata::{Item, MetadataError, MetadataStore, Revision, Transaction, TransactionOutcome},
     order::{OrderError, PromotionOrder, PromotionOrders},
-    statement::{EndpointStatus, EndpointText},
+    statement::{EndpointOperation, EndpointStatus},
 };
 
 /// Timeout of a command in a planned change: an overloaded primary answers slowly, and its position is needed.
@@ -247,7 +247,9 @@
             // The change can't continue without the store. Until it is back, daemons use the old primary on evidence,
             // which requires servers that are not paused. The daemon that resumes the change stops them again.
             let entries = self.entries(service).into_iter();
-            commands.send_all(entries.map(|entry| (entry, EndpointText::Resume)).collect()).await;
+            commands
+                .send_all(entries.map(|entry| (entry, EndpointOperation::Resume)).collect())
+                .await;
         }
         ended
     }
@@ -306,7 +308,7 @@
         let entries = self.entries(service);
         let requests =
             entries.iter().filter(|entry| !entry.leaving || *entry.server == *record.primary);
-        let requests = requests.map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let requests = requests.map(|entry| (entry.clone(), EndpointOperation::Status)).collect();
         let mut commands = Commands::new(self);
         commands.timeout = PLANNED_COMMAND_TIMEOUT;
         let statuses = commands.send_all(requests).await;
@@ -454,8 +456,8 @@
         let others = others.filter(|entry| *entry.server != *chosen.server);
         let requests = others.map(|entry| match *entry.server == *old_primary {
             // It becomes a replica immediately instead of when it learns of the new primary.
-            true => (entry, EndpointText::StepDown { term }),
-            false => (entry, EndpointText::Resume),
+            true => (entry, EndpointOperation::StepDown { term }),
+            false => (entry, EndpointOperation::Resume),
         });
         commands.send_all(requests.collect()).await;
     }
@@ -464,7 +466,8 @@
     pub(crate) async fn record_first_primary(&self, service: &Name) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         let mut commands = Commands::new(self);
-        let requests = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let requests =
+            entries.iter().map(|entry| (entry.clone(), EndpointOperation::Status)).collect();
         let statuses = commands.send_all(requests).await;
         if statuses.len() < majority(entries.len()) {
             return Err(ChangeFailure::NoMajority);
--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -16,7 +16,7 @@
     control::runner::{CommandRequest, Control, ServingRequest, join_all},
     dialect::EndpointDialect,
     serve::connection::{ClientIdentity, ConnectionLost, EndpointConnection},
-    statement::{EndpointCommand, EndpointStatus, EndpointText, ErrorCode},
+    statement::{EndpointCommand, EndpointOperation, EndpointStatus, ErrorCode},
 };
 
 /// Timeout of a command when the change was caused by a failure.
@@ -43,11 +43,11 @@
     pub(crate) async fn send(
         &mut self,
         entry: &Arc<ServerEntry>,
-        text: EndpointText,
+        operation: EndpointOperation,
     ) -> Result<EndpointStatus, ConnectionLost> {
         let existing = self.connections.remove(&entry.server);
         let (connection, status) =
-            self.control.send_command(existing, entry.clone(), text, self.timeout).await?;
+            self.control.send_command(existing, entry.clone(), operation, self.timeout).await?;
         if let Some(connection) = connection {
             self.connections.insert(entry.server.clone(), connection);
         }
@@ -57,13 +57,14 @@
     /// Sends commands to several servers concurrently; returns the statuses of those that answered.
     pub(crate) async fn send_all(
         &mut self,
-        requests: Vec<(Arc<ServerEntry>, EndpointText)>,
+        requests: Vec<(Arc<ServerEntry>, EndpointOperation)>,
     ) -> Vec<(Arc<ServerEntry>, EndpointStatus)> {
         let (control, timeout) = (self.control, self.timeout);
-        let running = requests.into_iter().map(|(entry, text)| {
+        let running = requests.into_iter().map(|(entry, operation)| {
             let existing = self.connections.remove(&entry.server);
             async move {
-                let answered = control.send_command(existing, entry.clone(), text, timeout).await;
+                let answered =
+                    control.send_command(existing, entry.clone(), operation, timeout).await;
                 (entry, answered)
             }
         });
@@ -95,7 +96,7 @@
     ) {
         let give_up_at = Instant::now() + CATCH_UP_TIMEOUT;
         loop {
-            let requests = replicas.iter().map(|entry| (entry.clone(), EndpointText::Status));
+            let requests = replicas.iter().map(|entry| (entry.clone(), EndpointOperation::Status));
             let statuses = self.send_all(requests.collect()).await;
             if statuses.iter().any(|(_, status)| status.received >= old.received) {
                 return;
@@ -118,10 +119,10 @@
         &self,
         existing: Option<EndpointConnection<P::Dialect>>,
         entry: Arc<ServerEntry>,
-        text: EndpointText,
+        operation: EndpointOperation,
         timeout: Duration,
     ) -> Result<CommandResult<P::Dialect>, ConnectionLost> {
-        match self.send_over(existing, entry.clone(), text.clone(), timeout).await {
+        match self.send_over(existing, entry.clone(), operation.clone(), timeout).await {
             Ok((connection, status)) => Ok((Some(connection), status)),
             Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)) => {
                 let (answer, answered) = oneshot::channel();
@@ -129,7 +130,7 @@
                 let request = CommandRequest {
                     service: entry.service.clone(),
                     server: entry.server.clone(),
-                    text,
+                    operation,
                     deadline,
                     answer,
                 };
@@ -151,7 +152,7 @@
         &self,
         existing: Option<EndpointConnection<P::Dialect>>,
         entry: Arc<ServerEntry>,
-        mut text: EndpointText,
+        mut operation: EndpointOperation,
         timeout: Duration,
     ) -> Result<(EndpointConnection<P::Dialect>, EndpointStatus), ConnectionLost> {
         let deadline = Instant::now() + timeout;
@@ -164,7 +165,8 @@
             }
         };
         loop {
-            let answer = connection.call(&EndpointCommand::own(text.clone()), deadline).await?;
+            let answer =
+                connection.call(&EndpointCommand::internal(operation.clone()), deadline).await?;
             if let Some(code) = answer.error_code() {
                 if code.was_not_run() && Instant::now() + POLL_INTERVAL < deadline {
                     tokio::time::sleep(POLL_INTERVAL).await;
@@ -172,9 +174,9 @@
                 }
                 return Err(ConnectionLost::Refused(code));
             }
-            if text == EndpointText::Resume {
+            if operation == EndpointOperation::Resume {
                 // The answer to a resume contains no status.
-                text = EndpointText::Status;
+                operation = EndpointOperation::Status;
                 continue;
             }
             let row = answer.rows.first().map_or(&[][..], |row| row);
--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -23,7 +23,7 @@
         runner::{CommandRequest, Control, ServingRequest},
     },
     metadata::MetadataStore,
-    statement::{EndpointStatus, EndpointText},
+    statement::{EndpointOperation, EndpointStatus},
 };
 
 /// Queries of a group within the time that evidence remains valid.
@@ -227,7 +227,7 @@
             let request = CommandRequest {
                 service: service.clone(),
                 server: server.clone(),
-                text: EndpointText::Status,
+                operation: EndpointOperation::Status,
                 deadline,
                 answer,
             };
--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -18,7 +18,7 @@
         state::SeenMember,
     },
     metadata::MetadataError,
-    statement::{EndpointStatus, EndpointText},
+    statement::{EndpointOperation, EndpointStatus},
 };
 
 /// How long a planned change waits for the daemons' acknowledgements before it pauses the replicas.
@@ -76,12 +76,12 @@
         let term = Term(run.record.term + 1);
         let (old, replicas): (Vec<_>, Vec<_>) =
             entries.iter().cloned().partition(|entry| *entry.server == *run.record.primary);
-        let step_down = |entry| (entry, EndpointText::StepDown { term });
+        let step_down = |entry| (entry, EndpointOperation::StepDown { term });
         let is_planned = run.is_planned();
         let mut primary = if is_planned {
             // It remains primary until the order, so that nothing is lost if the change can't continue.
             self.await_acknowledgements(service, run).await;
-            let status = |entry| (entry, EndpointText::Status);
+            let status = |entry| (entry, EndpointOperation::Status);
             commands.send_all(old.iter().cloned().map(status).collect()).await
         } else {
             commands.send_all(old.iter().cloned().map(step_down).collect()).await
@@ -90,7 +90,7 @@
             // Its last entries may be acknowledged to callers, so a replica gets time to receive them.
             commands.await_catch_up(&replicas, status).await;
         }
-        let pause = |entry| (entry, EndpointText::Pause { term });
+        let pause = |entry| (entry, EndpointOperation::Pause { term });
         let paused = commands.send_all(replicas.into_iter().map(pause).collect()).await;
         let needs_primary = paused.len() < majority(entries.len());
         if is_planned && needs_primary {
@@ -189,7 +189,7 @@
     ) -> Result<(), ChangeFailure> {
         let entries = self.entries(service);
         commands
-            .send_all(entries.into_iter().map(|entry| (entry, EndpointText::Resume)).collect())
+            .send_all(entries.into_iter().map(|entry| (entry, EndpointOperation::Resume)).collect())
             .await;
         let record = LeadershipRecord { change: None, ..run.record.clone() };
         self.write_record(service, &record, run.revision).await?;
--- a/crates/proxy/src/control/record_confirmation.rs
+++ b/crates/proxy/src/control/record_confirmation.rs
@@ -22,7 +22,7 @@
         state::State,
     },
     metadata::{MetadataStore, Revision, Transaction, TransactionOutcome},
-    statement::EndpointText,
+    statement::EndpointOperation,
 };
 
 /// How long the servers are queried before a group without agreement gets a new primary, in multiples of the time that
@@ -62,7 +62,8 @@
         let held = self.held_primary_lease(service, Instant::now());
         let held = HeldPrimaryLease { known_term: held.known_term.max(Term(record.term)), ..held };
         let mut commands = Commands::new(self);
-        let requests = entries.iter().map(|entry| (entry.clone(), EndpointText::Status)).collect();
+        let requests =
+            entries.iter().map(|entry| (entry.clone(), EndpointOperation::Status)).collect();
         let answered = commands.send_all(requests).await;
         let statuses: Vec<_> =
             answered.into_iter().map(|(entry, status)| (entry.server.clone(), status)).collect();
@@ -94,7 +95,7 @@
         chosen: &ChosenServer,
         commands: &mut Commands<'_, P>,
     ) -> Option<u64> {
-        let status = commands.send(entry, EndpointText::Status).await.ok()?;
+        let status = commands.send(entry, EndpointOperation::Status).await.ok()?;
         has_taken_over(&run.record, chosen, &status).then_some(status.term.0)
     }
 
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -28,7 +28,7 @@
     metadata::{MetadataError, Transaction},
     metrics::ProxyMetrics,
     serve::share::DaemonCounts,
-    statement::{EndpointStatus, EndpointText},
+    statement::{EndpointOperation, EndpointStatus},
 };
 
 /// Lease renewals per lease duration, so that one may fail.
@@ -58,7 +58,7 @@
     /// The server.
     pub server: Name,
     /// The command.
-    pub text: EndpointText,
+    pub operation: EndpointOperation,
     /// When the answer is no longer useful.
     pub deadline: Instant,
     /// Receives the answer; dropped if there is none.
--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -20,7 +20,8 @@
         replay::SessionValues,
     },
     statement::{
-        Answer, EndpointText, ErrorCode, Outcome, PreparedShape, StatementError, TransactionState,
+        Answer, EndpointOperation, ErrorCode, Outcome, PreparedShape, StatementError,
+        TransactionState,
     },
 };
 
@@ -315,7 +316,7 @@
                     arguments: arguments.clone(),
                 })
             }
-            TaskKind::Command(text) => RelayTask::Command(CommandMessage::of(text)?),
+            TaskKind::Command(operation) => RelayTask::Command(CommandMessage::of(operation)?),
         })
     }
 
@@ -336,7 +337,7 @@
                 },
                 arguments: execute.arguments.clone(),
             }),
-            RelayTask::Command(command) => TaskKind::Command(command.text()?),
+            RelayTask::Command(command) => TaskKind::Command(command.operation()?),
             RelayTask::Release(_)
             | RelayTask::Ping(_)
             | RelayTask::Sample(_)
@@ -347,24 +348,24 @@
 }
 
 impl CommandMessage {
-    fn of(text: &EndpointText) -> Option<CommandMessage> {
-        let (kind, term) = match text {
-            EndpointText::Status => (0, Term(0)),
-            EndpointText::Pause { term } => (1, *term),
-            EndpointText::Resume => (2, Term(0)),
-            EndpointText::StepDown { term } => (3, *term),
+    fn of(operation: &EndpointOperation) -> Option<CommandMessage> {
+        let (kind, term) = match operation {
+            EndpointOperation::Status => (0, Term(0)),
+            EndpointOperation::Pause { term } => (1, *term),
+            EndpointOperation::Resume => (2, Term(0)),
+            EndpointOperation::StepDown { term } => (3, *term),
             _ => return None,
         };
         Some(CommandMessage { kind, term: term.0 })
     }
 
-    fn text(self) -> Option<EndpointText> {
+    fn operation(self) -> Option<EndpointOperation> {
         let term = Term(self.term);
         Some(match self.kind {
-            0 => EndpointText::Status,
-            1 => EndpointText::Pause { term },
-            2 => EndpointText::Resume,
-            3 => EndpointText::StepDown { term },
+            0 => EndpointOperation::Status,
+            1 => EndpointOperation::Pause { term },
+            2 => EndpointOperation::Resume,
+            3 => EndpointOperation::StepDown { term },
             _ => return None,
         })
     }
@@ -460,7 +461,7 @@
         let outcome = match self.proof {
             Some(proof) => Outcome::Complete(proof),
             None => {
-                let code = ErrorCode::from_word(&self.code)?;
+                let code = ErrorCode::parse(&self.code)?;
                 Outcome::Error(StatementError { code, text: self.text })
             }
         };
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -149,7 +149,7 @@
             );
         }
         let why = "the client account is at its limit";
-        StatementError::come_back(ErrorCode::Overloaded, why, retry_delay_ms)
+        StatementError::with_retry_delay(ErrorCode::Overloaded, why, retry_delay_ms)
     }
 
     /// Requests quota in the background; one request at a time for each account.
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -69,7 +69,7 @@
     let connection = engine.acquire(&group, request, &SessionValues::new(), command.deadline).await;
     let mut connection = connection.ok()?;
     let server_route = connection.server_route();
-    let task = EndpointTask::internal(TaskKind::Command(command.text.clone()));
+    let task = EndpointTask::internal(TaskKind::Command(command.operation.clone()));
     match connection.run(&task, command.deadline).await {
         Ok(answer) => {
             connection.release();
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -13,7 +13,7 @@
         replay::SessionValues,
         verdict::Progress,
     },
-    statement::{Answer, EndpointCommand, EndpointText},
+    statement::{Answer, EndpointCommand, EndpointOperation},
 };
 
 /// The kind of a task.
@@ -29,7 +29,7 @@
     /// Run a caller's statement.
     Statement(EndpointStatement),
     /// Run a query or command of the daemon itself.
-    Command(EndpointText),
+    Command(EndpointOperation),
 }
 
 /// A task with the context that any connection needs to run it.
@@ -64,15 +64,19 @@
             }
             TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => Vec::new(),
         };
-        let Some(text) = self.text(connection) else {
+        let Some(operation) = self.operation(connection) else {
             let lost = ConnectionLost::Malformed("a shape that was not prepared".to_owned());
             return Err((Progress::NotSent, lost));
         };
         let setup_commands = before.len();
-        for text in before {
-            connection.queue(&EndpointCommand::own(text));
+        for operation in before {
+            connection.queue(&EndpointCommand::internal(operation));
         }
-        connection.queue(&EndpointCommand { id: self.id.clone(), min_point: self.min_point, text });
+        connection.queue(&EndpointCommand {
+            id: self.id.clone(),
+            min_point: self.min_point,
+            operation,
+        });
         let sent = |lost| (Progress::Sent, lost);
         connection.flush(deadline).await.map_err(sent)?;
         for _ in 0..setup_commands {
@@ -85,19 +89,21 @@
         connection.read_answer(deadline).await.map_err(sent)
     }
 
-    /// Returns the text of the command; `None` if it executes a shape that was not prepared on the connection.
-    fn text<E>(&self, connection: &EndpointConnection<E>) -> Option<EndpointText> {
+    /// Returns the operation of the command; `None` if it executes a shape that was not prepared on the connection.
+    fn operation<E>(&self, connection: &EndpointConnection<E>) -> Option<EndpointOperation> {
         Some(match &self.kind {
-            TaskKind::Begin { read_only } => EndpointText::Begin { read_only: *read_only },
-            TaskKind::Rollback => EndpointText::Rollback,
-            TaskKind::Command(text) => text.clone(),
-            TaskKind::Statement(EndpointStatement::Read(body)) => EndpointText::Read(body.clone()),
+            TaskKind::Begin { read_only } => EndpointOperation::Begin { read_only: *read_only },
+            TaskKind::Rollback => EndpointOperation::Rollback,
+            TaskKind::Command(operation) => operation.clone(),
+            TaskKind::Statement(EndpointStatement::Read(body)) => {
+                EndpointOperation::Read(body.clone())
+            }
             TaskKind::Statement(EndpointStatement::Write(body)) => {
-                EndpointText::Write(body.clone())
+                EndpointOperation::Write(body.clone())
             }
-            TaskKind::Statement(EndpointStatement::Commit) => EndpointText::Commit,
+            TaskKind::Statement(EndpointStatement::Commit) => EndpointOperation::Commit,
             TaskKind::Statement(EndpointStatement::Execute { shape, arguments }) => {
-                EndpointText::Execute {
+                EndpointOperation::Execute {
                     number: connection.environment.number_of(shape)?,
                     arguments: arguments.clone(),
                 }
--- a/crates/proxy/src/serve/error_reporting.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -93,7 +93,7 @@
             configuration = view.catalog.version;
             "a statement was refused"
         );
-        StatementError::come_back(refusal.code, refusal.why, retry_after_ms)
+        StatementError::with_retry_delay(refusal.code, refusal.why, retry_after_ms)
     }
 
     pub(crate) fn lost_connection_answer(
--- a/crates/proxy/src/serve/replay.rs
+++ b/crates/proxy/src/serve/replay.rs
@@ -8,7 +8,7 @@
 
 use model::Name;
 
-use crate::statement::{EndpointText, PreparedShape};
+use crate::statement::{EndpointOperation, PreparedShape};
 
 /// Maximum number of shapes prepared on one connection. It is reset beyond that, to bound the memory use of
 /// the server.
@@ -47,16 +47,16 @@
         &mut self,
         wanted: &SessionValues,
         shape: Option<&PreparedShape>,
-    ) -> Vec<EndpointText> {
+    ) -> Vec<EndpointOperation> {
         let mut commands = Vec::new();
         if !self.can_become(wanted) || self.is_full_for(shape) {
-            commands.push(EndpointText::Reset);
+            commands.push(EndpointOperation::Reset);
             self.values.clear();
             self.prepared.clear();
         }
         for (name, value) in wanted {
             if self.values.get(name) != Some(value) {
-                commands.push(EndpointText::Set { name: name.clone(), value: value.clone() });
+                commands.push(EndpointOperation::Set { name: name.clone(), value: value.clone() });
                 self.values.insert(name.clone(), value.clone());
             }
         }
@@ -65,7 +65,7 @@
         {
             let number = self.next_number;
             self.next_number += 1;
-            commands.push(EndpointText::Prepare { number, shape: shape.clone() });
+            commands.push(EndpointOperation::Prepare { number, shape: shape.clone() });
             self.prepared.insert(shape.clone(), number);
         }
         commands
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -179,7 +179,7 @@
             callers = self.engine.callers.get(), retry_after_ms = retry_after_ms;
             "a session was refused"
         );
-        let error = StatementError::come_back(ErrorCode::Overloaded, why, retry_after_ms);
+        let error = StatementError::with_retry_delay(ErrorCode::Overloaded, why, retry_after_ms);
         self.link.put_error(error);
         // A caller that has disconnected needs no answer.
         let _ = self.link.flush().await;
--- a/crates/proxy/src/statement.rs
+++ b/crates/proxy/src/statement.rs
@@ -147,7 +147,7 @@
     ];
 
     /// Returns the code that is written as this word, between daemons.
-    pub fn from_word(word: &str) -> Option<ErrorCode> {
+    pub fn parse(word: &str) -> Option<ErrorCode> {
         ErrorCode::ALL.into_iter().find(|code| code.as_str() == word)
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// An error of a request that was not run, with when to come back.
-    pub fn come_back(code: ErrorCode, why: &str, retry_after_ms: u64) -> StatementError {
+    pub fn with_retry_delay(code: ErrorCode, why: &str, retry_after_ms: u64) -> StatementError {
         let text = format!("{why}; retry after {retry_after_ms} ms");
         StatementError { code, text: Bytes::from(text) }
     }
@@ -228,7 +228,7 @@
 
 /// What the engine asks of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EndpointText {
+pub enum EndpointOperation {
     /// Opens a transaction.
     Begin {
         /// Whether it only reads.
@@ -289,13 +289,13 @@
     /// The point that the server's log must hold, else it answers [`ErrorCode::NotFresh`].
     pub min_point: Option<LogPoint>,
     /// What is asked.
-    pub text: EndpointText,
+    pub operation: EndpointOperation,
 }
 
 impl EndpointCommand {
     /// A command of the engine's own.
-    pub fn own(text: EndpointText) -> EndpointCommand {
-        EndpointCommand { id: None, min_point: None, text }
+    pub fn internal(operation: EndpointOperation) -> EndpointCommand {
+        EndpointCommand { id: None, min_point: None, operation }
     }
 }
 
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -15,7 +15,8 @@
         replay::SessionValues,
     },
     statement::{
-        Answer, EndpointText, ErrorCode, Outcome, PreparedShape, StatementError, TransactionState,
+        Answer, EndpointOperation, ErrorCode, Outcome, PreparedShape, StatementError,
+        TransactionState,
     },
 };
 
@@ -50,10 +51,10 @@
         TaskKind::Statement(EndpointStatement::Write(body)),
         execute(StatementClass::Read),
         execute(StatementClass::Write),
-        TaskKind::Command(EndpointText::Status),
-        TaskKind::Command(EndpointText::Pause { term }),
-        TaskKind::Command(EndpointText::Resume),
-        TaskKind::Command(EndpointText::StepDown { term }),
+        TaskKind::Command(EndpointOperation::Status),
+        TaskKind::Command(EndpointOperation::Pause { term }),
+        TaskKind::Command(EndpointOperation::Resume),
+        TaskKind::Command(EndpointOperation::StepDown { term }),
     ];
     let values: SessionValues = [("a", "1"), ("b", "")]
         .into_iter()
@@ -67,7 +68,10 @@
         }
     }
     // Commands that prepare a connection are sent by its owner alone.
-    assert_eq!(forwarded(&EndpointTask::internal(TaskKind::Command(EndpointText::Reset))), None);
+    assert_eq!(
+        forwarded(&EndpointTask::internal(TaskKind::Command(EndpointOperation::Reset))),
+        None
+    );
 }
 
 #[test]
--- a/crates/proxy/tests/replay.rs
+++ b/crates/proxy/tests/replay.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proxy::{
     serve::replay::{Environment, MAX_PREPARED, SessionValues},
-    statement::{EndpointText, PreparedShape},
+    statement::{EndpointOperation, PreparedShape},
 };
 
 fn values(pairs: &[(&str, &str)]) -> SessionValues {
@@ -17,8 +17,8 @@
     PreparedShape { class: StatementClass::Read, shape: Name::from(text) }
 }
 
-fn set(name: &str, value: &str) -> EndpointText {
-    EndpointText::Set { name: Name::from(name), value: Name::from(value) }
+fn set(name: &str, value: &str) -> EndpointOperation {
+    EndpointOperation::Set { name: Name::from(name), value: Name::from(value) }
 }
 
 #[test]
@@ -32,9 +32,9 @@
     assert_eq!(environment.prepare_for(&one, None), []);
     assert_eq!(environment.prepare_for(&two, None), [set("b", "2")]);
     // A single value can't be unset, so the connection is reset.
-    assert_eq!(environment.prepare_for(&one, None), [EndpointText::Reset, set("a", "1")]);
+    assert_eq!(environment.prepare_for(&one, None), [EndpointOperation::Reset, set("a", "1")]);
     assert_eq!(environment.prepare_for(&other, None), [set("a", "9")]);
-    assert_eq!(environment.prepare_for(&values(&[]), None), [EndpointText::Reset]);
+    assert_eq!(environment.prepare_for(&values(&[]), None), [EndpointOperation::Reset]);
 }
 
 #[test]
@@ -42,10 +42,10 @@
     let mut environment = Environment::default();
     for number in 0..MAX_PREPARED {
         let sent = environment.prepare_for(&values(&[]), Some(&shape(&format!("q{number}"))));
-        assert!(matches!(sent[..], [EndpointText::Prepare { .. }]));
+        assert!(matches!(sent[..], [EndpointOperation::Prepare { .. }]));
     }
     let sent = environment.prepare_for(&values(&[]), Some(&shape("one more")));
-    assert!(matches!(sent[..], [EndpointText::Reset, EndpointText::Prepare { .. }]));
+    assert!(matches!(sent[..], [EndpointOperation::Reset, EndpointOperation::Prepare { .. }]));
     assert_eq!(environment.number_of(&shape("q0")), None);
 }
 
@@ -57,16 +57,16 @@
 }
 
 impl ServerSide {
-    fn apply(&mut self, text: EndpointText) {
-        match text {
-            EndpointText::Reset => {
+    fn apply(&mut self, operation: EndpointOperation) {
+        match operation {
+            EndpointOperation::Reset => {
                 self.values.clear();
                 self.prepared.clear();
             }
-            EndpointText::Set { name, value } => {
+            EndpointOperation::Set { name, value } => {
                 self.values.insert(name, value);
             }
-            EndpointText::Prepare { number, shape } => {
+            EndpointOperation::Prepare { number, shape } => {
                 assert!(
                     self.prepared.insert(number, shape).is_none(),
                     "number {number} was reused"
@@ -93,8 +93,8 @@
                 .map(|(name, value)| (Name::from(name.to_string()), Name::from(value.to_string())))
                 .collect();
             let wanted_shape = wanted_shape.map(|number| shape(&number.to_string()));
-            for text in environment.prepare_for(&wanted, wanted_shape.as_ref()) {
-                server.apply(text);
+            for operation in environment.prepare_for(&wanted, wanted_shape.as_ref()) {
+                server.apply(operation);
             }
             prop_assert_eq!(&server.values, &wanted);
             if let Some(shape) = wanted_shape {
