--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -6,7 +6,6 @@
 //! `docs/design/hard-load.md` says who decides what and where the state lives.
 
 mod circuit;
-pub mod come_back;
 mod concurrency;
 mod demand;
 mod fading;
@@ -15,6 +14,7 @@
 mod layout;
 mod load_report;
 mod rank;
+pub mod retry_delay;
 mod reuse;
 pub mod try_budget;
 mod turns;
--- a/crates/overload/tests/hold.rs
+++ b/crates/overload/tests/hold.rs
@@ -4,8 +4,8 @@
 
 use overload::{
     Rank,
-    come_back::ComeBack,
     hold::{Hold, OngoingOutage, Outage, OutageHistory, Patience, Ticket, WaitingLine, decide},
+    retry_delay::RetryDelay,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -53,7 +53,7 @@
             Hold::Wait { .. } => Arrival { rank, patience, ticket: Some(ticket), returns_at: None },
             Hold::Refuse { remaining } => {
                 line.leave(ticket);
-                let told = ComeBack { target, timeout }.after(remaining, rng.random());
+                let told = RetryDelay { target, timeout }.for_wait(remaining, rng.random());
                 Arrival { rank, patience, ticket: None, returns_at: Some(now + told) }
             }
         }
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use model::{LogPoint, StatementClass};
-use overload::{Rank, come_back::ComeBack, hold::Patience};
+use overload::{Rank, hold::Patience, retry_delay::RetryDelay};
 
 use crate::{
     accounts::Principal,
@@ -131,8 +131,8 @@
     }
 
     /// Returns the time limits from which its retry delay is computed if it is refused.
-    pub(crate) fn retry_delay(&self) -> ComeBack {
-        ComeBack { target: self.route.target_latency, timeout: self.route.timeout }
+    pub(crate) fn retry_delay(&self) -> RetryDelay {
+        RetryDelay { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
     /// Returns until when the statement may wait for a usable server.
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -7,8 +7,8 @@
 
 use overload::{
     Rank,
-    come_back::ComeBack,
     hold::{OngoingOutage, Outage, OutageHistory, Ticket, WaitingLine},
+    retry_delay::RetryDelay,
 };
 
 use crate::control::control_view::ControlView;
@@ -98,20 +98,20 @@
     /// try another daemon.
     pub(crate) fn retry_delay(
         &self,
-        route: ComeBack,
+        route: RetryDelay,
         history: &OutageHistory,
         primary_lease: Duration,
     ) -> Duration {
         let draw = rand::random();
         if self.outage != Outage::LapsedRight {
-            return route.after(self.remaining, draw);
+            return route.for_wait(self.remaining, draw);
         }
         // The daemons that still reach the store and the servers replace the primary once every lease has expired.
         let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
-            expected if expected > route.target => route.after(expected, draw),
-            _ => route.elsewhere(draw),
+            expected if expected > route.target => route.for_wait(expected, draw),
+            _ => route.for_other_daemon(draw),
         }
     }
 }
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -11,8 +11,8 @@
 
 use model::{LogPoint, Name, StatementClass};
 use overload::{
-    come_back::spread,
     hold::{Hold, OngoingOutage, Outage, OutageHistory, decide},
+    retry_delay::add_jitter,
     try_budget::{Cause, TryBudget},
 };
 
@@ -68,7 +68,7 @@
     /// Adds jitter to a retry delay if statements are held.
     pub(crate) fn with_jitter(&self, retry_delay: Duration) -> Duration {
         match self.settings.overload.holding {
-            true => spread(retry_delay, rand::random()),
+            true => add_jitter(retry_delay, rand::random()),
             false => retry_delay,
         }
     }
@@ -377,7 +377,7 @@
         attempts: &Attempts,
     ) -> StatementError {
         let retry_delay = match self.holds_statements(group) {
-            true => job.retry_delay().elsewhere(rand::random()),
+            true => job.retry_delay().for_other_daemon(rand::random()),
             false => RETRY_DELAY,
         };
         let refusal = Refusal {
@@ -406,7 +406,7 @@
     ) -> StatementError {
         let expected = expected + Duration::from_millis(1);
         let retry_delay = match self.holds_statements(group) {
-            true => job.retry_delay().after(expected, rand::random()),
+            true => job.retry_delay().for_wait(expected, rand::random()),
             false => expected,
         };
         let code = ErrorCode::Overloaded;
