--- a/crates/overload/src/hold.rs
+++ b/crates/overload/src/hold.rs
@@ -12,22 +12,22 @@
 use crate::rank::Rank;
 
 /// Outages of a kind that are remembered: enough for a median, few enough to follow a change of conditions.
-const KEPT: usize = 16;
+const HISTORY_LENGTH: usize = 16;
 /// The part of a route's time that a statement may wait while something is under way that ends by itself. Under half, so that a
 /// caller whose own deadline is near can still be served after a refusal.
-const UNDER_WAY_SHARE: f64 = 0.45;
+const IN_PROGRESS_TIMEOUT_SHARE: f64 = 0.45;
 /// The part of its latency target that a statement waits for what may come or not: its caller can still be answered within the
 /// target elsewhere.
 const UNCERTAIN_TARGET_SHARE: f64 = 0.25;
 /// The same as a part of its route's time, for routes with a target that is no shorter than that.
-const UNCERTAIN_TIME_SHARE: f64 = 0.1;
+const UNCERTAIN_TIMEOUT_SHARE: f64 = 0.1;
 /// How long an outage may go unobserved before its end: one that ended later by that much tells nothing of its length.
-const UNOBSERVED_AT_MOST: Duration = Duration::from_millis(250);
+const MAX_UNOBSERVED: Duration = Duration::from_millis(250);
 /// How long an outage may go unobserved until the next one that is found counts as another one: callers of a daemon ask for most
 /// groups more often than that.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
+const SAME_OUTAGE_WITHIN: Duration = Duration::from_secs(2);
 /// The shortest time after which an estimate is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const MIN_WAIT: Duration = Duration::from_millis(20);
 /// Over how much of their latency target those are released that waited; the rest is for the servers to answer in.
 const RELEASE_TARGET_SHARE: f64 = 0.25;
 
@@ -39,7 +39,7 @@
     /// A primary that failed is being replaced.
     Failover,
     /// The right to use the primary ended here and could not be renewed.
-    LapsedRight,
+    LapsedLease,
     /// The primary does not answer here, and nobody has begun to replace it.
     Unreachable,
 }
@@ -52,24 +52,24 @@
         match self {
             Outage::PlannedChange => "planned_change",
             Outage::Failover => "failover",
-            Outage::LapsedRight => "lapsed_right",
+            Outage::LapsedLease => "lapsed_right",
             Outage::Unreachable => "unreachable",
         }
     }
 
     /// How long one takes, as far as can be said before any was seen: the steps of a change are some round trips to the store
     /// and to the servers, and a promotion; a lapsed right is mostly renewed with the next reading.
-    fn typical(self) -> Duration {
+    fn default_length(self) -> Duration {
         Duration::from_millis(match self {
             Outage::PlannedChange => 800,
             Outage::Failover => 2_000,
-            Outage::LapsedRight => 200,
+            Outage::LapsedLease => 200,
             Outage::Unreachable => 500,
         })
     }
 
     /// Whether somebody works on its end, so that waiting has a prospect at this daemon.
-    fn is_under_way(self) -> bool {
+    fn is_in_progress(self) -> bool {
         matches!(self, Outage::PlannedChange | Outage::Failover)
     }
 }
@@ -82,9 +82,9 @@
 
 impl OutageHistory {
     /// Counts an outage that has ended.
-    pub fn note(&mut self, outage: Outage, length: Duration) {
+    pub fn record(&mut self, outage: Outage, length: Duration) {
         let lengths = &mut self.lengths[outage as usize];
-        if lengths.len() == KEPT {
+        if lengths.len() == HISTORY_LENGTH {
             lengths.pop_front();
         }
         lengths.push_back(length);
@@ -95,7 +95,7 @@
     pub fn remaining(&self, outage: Outage, elapsed: Duration) -> Duration {
         let seen = self.lengths[outage as usize].iter().copied();
         let mut longer: Vec<Duration> =
-            seen.chain([outage.typical()]).filter(|length| *length > elapsed).collect();
+            seen.chain([outage.default_length()]).filter(|length| *length > elapsed).collect();
         longer.sort_unstable();
         match longer.get(longer.len() / 2) {
             Some(length) => *length - elapsed,
@@ -128,7 +128,7 @@
     /// Whether what is found now is still the same one.
     pub fn is_same(&self, outage: Outage, now: Instant) -> bool {
         let unobserved = now.saturating_duration_since(self.observed_at);
-        self.outage == outage && unobserved < FORGOTTEN_AFTER
+        self.outage == outage && unobserved < SAME_OUTAGE_WITHIN
     }
 
     /// Returns how long it has lasted.
@@ -139,13 +139,13 @@
     /// Returns how long it took if it ended at `now`; `None` if nobody looked for so long that it may have ended before.
     pub fn length(&self, now: Instant) -> Option<Duration> {
         let unobserved = now.saturating_duration_since(self.observed_at);
-        (unobserved <= UNOBSERVED_AT_MOST).then(|| self.elapsed(now))
+        (unobserved <= MAX_UNOBSERVED).then(|| self.elapsed(now))
     }
 }
 
 /// What a statement bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct HoldLimits {
     /// When it arrived.
     pub arrived: Instant,
     /// The latency that its route aims at.
@@ -154,33 +154,33 @@
     pub timeout: Duration,
 }
 
-impl Patience {
+impl HoldLimits {
     /// Returns until when the statement may be sent once more after a path failed: another one may be free at once.
-    pub fn tries_until(&self) -> Instant {
-        self.arrived + self.timeout.mul_f64(UNDER_WAY_SHARE)
+    pub fn retry_deadline(&self) -> Instant {
+        self.arrived + self.timeout.mul_f64(IN_PROGRESS_TIMEOUT_SHARE)
     }
 
     /// Returns until when the statement may wait for its turn, once the outage ended at `now`.
-    pub fn turn_until(&self, outage: Outage, now: Instant) -> Instant {
-        self.until(outage).min(now + self.target.mul_f64(RELEASE_TARGET_SHARE))
+    pub fn release_deadline(&self, outage: Outage, now: Instant) -> Instant {
+        self.hold_deadline(outage).min(now + self.target.mul_f64(RELEASE_TARGET_SHARE))
     }
 
     /// Returns until when the statement may wait for the end of an outage.
-    pub fn until(&self, outage: Outage) -> Instant {
-        let bears = match outage.is_under_way() {
-            true => self.timeout.mul_f64(UNDER_WAY_SHARE),
+    pub fn hold_deadline(&self, outage: Outage) -> Instant {
+        let max_wait = match outage.is_in_progress() {
+            true => self.timeout.mul_f64(IN_PROGRESS_TIMEOUT_SHARE),
             false => {
                 let of_target = self.target.mul_f64(UNCERTAIN_TARGET_SHARE);
-                of_target.min(self.timeout.mul_f64(UNCERTAIN_TIME_SHARE))
+                of_target.min(self.timeout.mul_f64(UNCERTAIN_TIMEOUT_SHARE))
             }
         };
-        self.arrived + bears
+        self.arrived + max_wait
     }
 }
 
 /// What to do with a statement that can't go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum HoldDecision {
     /// Wait, and ask again at this time if nothing has come.
     Wait {
         /// When the outage is expected to be over.
@@ -197,19 +197,19 @@
 pub fn decide(
     history: &OutageHistory,
     ongoing: &OngoingOutage,
-    patience: &Patience,
+    limits: &HoldLimits,
     backlog: Duration,
     now: Instant,
-) -> Hold {
+) -> HoldDecision {
     let remaining = history.remaining(ongoing.outage, ongoing.elapsed(now));
-    let bears_until = patience.until(ongoing.outage);
-    if now + remaining + backlog > bears_until {
-        return Hold::Refuse { remaining };
+    let deadline = limits.hold_deadline(ongoing.outage);
+    if now + remaining + backlog > deadline {
+        return HoldDecision::Refuse { remaining };
     }
-    Hold::Wait { until: (now + remaining.max(LOOK_AGAIN)).min(bears_until) }
+    HoldDecision::Wait { until: (now + remaining.max(MIN_WAIT)).min(deadline) }
 }
 
-/// A place in a [`WaitingLine`].
+/// A place in a [`HoldQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     rank: Rank,
@@ -219,15 +219,15 @@
 /// Statements of one group that wait for the same thing, the most urgent first. When it comes they go one after the other, as
 /// fast as the servers answer, so that the most urgent ones don't meet a queue of all others.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingLine {
+pub struct HoldQueue {
     next_number: u64,
     /// Who waits, and when those go that may go.
     waiting: BTreeMap<Ticket, Option<Instant>>,
 }
 
-impl WaitingLine {
+impl HoldQueue {
     /// Adds a statement.
-    pub fn join(&mut self, rank: Rank) -> Ticket {
+    pub fn enqueue(&mut self, rank: Rank) -> Ticket {
         let ticket = Ticket { rank, number: self.next_number };
         self.next_number += 1;
         self.waiting.insert(ticket, None);
@@ -235,7 +235,7 @@
     }
 
     /// Takes a statement out, whether it goes on or not.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn remove(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
@@ -256,7 +256,7 @@
 
     /// Returns when a statement goes, now that what all wait for has come. All that wait at this time get their turns with the
     /// first that asks, `pace` apart; none goes later than at `latest`.
-    pub fn turn(
+    pub fn release_time(
         &mut self,
         ticket: Ticket,
         pace: Duration,
@@ -272,7 +272,7 @@
     }
 
     /// What all wait for has gone again: who still waits has no turn any more.
-    pub fn close(&mut self) {
+    pub fn clear_release_times(&mut self) {
         self.waiting.values_mut().for_each(|at| *at = None);
     }
 }
--- a/crates/overload/tests/hold.rs
+++ b/crates/overload/tests/hold.rs
@@ -4,7 +4,9 @@
 
 use overload::{
     Rank,
-    hold::{Hold, OngoingOutage, Outage, OutageHistory, Patience, Ticket, WaitingLine, decide},
+    hold::{
+        HoldDecision, HoldLimits, HoldQueue, OngoingOutage, Outage, OutageHistory, Ticket, decide,
+    },
     retry_delay::RetryDelay,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -22,13 +24,13 @@
 
 fn history_of(outage: Outage, lengths: &[Duration]) -> OutageHistory {
     let mut history = OutageHistory::default();
-    lengths.iter().for_each(|length| history.note(outage, *length));
+    lengths.iter().for_each(|length| history.record(outage, *length));
     history
 }
 
 struct Arrival {
     rank: Rank,
-    patience: Patience,
+    limits: HoldLimits,
     ticket: Option<Ticket>,
     /// From which time on it comes back, if it was refused.
     returns_at: Option<Instant>,
@@ -37,7 +39,7 @@
 /// 600 statements of three kinds that arrive evenly while a change takes 0.6 s.
 fn arrive_during_change(
     history: &OutageHistory,
-    line: &mut WaitingLine,
+    queue: &mut HoldQueue,
     t0: Instant,
 ) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(7);
@@ -45,16 +47,18 @@
         let now = t0 + ms(number);
         let (rank, target, timeout) = KINDS[number as usize % KINDS.len()];
         let rank = Rank::ALL[rank];
-        let patience = Patience { arrived: now, target, timeout };
+        let limits = HoldLimits { arrived: now, target, timeout };
         let ongoing = OngoingOutage::new(Outage::PlannedChange, t0, now);
-        let ticket = line.join(rank);
-        let backlog = PACE * line.ahead_of(ticket) as u32;
-        match decide(history, &ongoing, &patience, backlog, now) {
-            Hold::Wait { .. } => Arrival { rank, patience, ticket: Some(ticket), returns_at: None },
-            Hold::Refuse { remaining } => {
-                line.leave(ticket);
+        let ticket = queue.enqueue(rank);
+        let backlog = PACE * queue.ahead_of(ticket) as u32;
+        match decide(history, &ongoing, &limits, backlog, now) {
+            HoldDecision::Wait { .. } => {
+                Arrival { rank, limits, ticket: Some(ticket), returns_at: None }
+            }
+            HoldDecision::Refuse { remaining } => {
+                queue.remove(ticket);
                 let told = RetryDelay { target, timeout }.for_wait(remaining, rng.random());
-                Arrival { rank, patience, ticket: None, returns_at: Some(now + told) }
+                Arrival { rank, limits, ticket: None, returns_at: Some(now + told) }
             }
         }
     };
@@ -66,8 +70,8 @@
 fn those_whose_time_bears_it_wait_and_go_by_rank() {
     let t0 = Instant::now();
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
-    let mut line = WaitingLine::default();
-    let arrivals = arrive_during_change(&history, &mut line, t0);
+    let mut queue = HoldQueue::default();
+    let arrivals = arrive_during_change(&history, &mut queue, t0);
     let over_at = t0 + ms(600);
 
     let held: Vec<&Arrival> = arrivals.iter().filter(|it| it.ticket.is_some()).collect();
@@ -75,9 +79,9 @@
     let mut turns: Vec<(Instant, Rank)> = Vec::new();
     for arrival in &held {
         let ticket = arrival.ticket.expect("it waits");
-        let latest = arrival.patience.turn_until(Outage::PlannedChange, over_at);
-        let turn = line.turn(ticket, PACE, latest, over_at);
-        assert!(turn <= arrival.patience.arrived + arrival.patience.timeout / 2);
+        let latest = arrival.limits.release_deadline(Outage::PlannedChange, over_at);
+        let turn = queue.release_time(ticket, PACE, latest, over_at);
+        assert!(turn <= arrival.limits.arrived + arrival.limits.timeout / 2);
         assert!(turn >= over_at);
         turns.push((turn, arrival.rank));
     }
@@ -93,7 +97,7 @@
 fn those_that_cannot_wait_are_told_the_end_and_do_not_return_together() {
     let t0 = Instant::now();
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
-    let arrivals = arrive_during_change(&history, &mut WaitingLine::default(), t0);
+    let arrivals = arrive_during_change(&history, &mut HoldQueue::default(), t0);
     let over_at = t0 + ms(600);
     let mut returns: Vec<Duration> = Vec::new();
     for arrival in &arrivals {
@@ -118,18 +122,18 @@
     for (_, target, timeout) in KINDS {
         for arrives_ms in (0..4_000).step_by(50) {
             let arrived = t0 + ms(arrives_ms);
-            let patience = Patience { arrived, target, timeout };
+            let limits = HoldLimits { arrived, target, timeout };
             let mut now = arrived;
-            while let Hold::Wait { until } = decide(
+            while let HoldDecision::Wait { until } = decide(
                 &history,
                 &OngoingOutage::new(Outage::Failover, t0, now),
-                &patience,
+                &limits,
                 Duration::ZERO,
                 now,
             ) {
                 assert!(until > now, "a wait that ends at once");
                 now = until;
-                if now >= patience.until(Outage::Failover) {
+                if now >= limits.hold_deadline(Outage::Failover) {
                     break;
                 }
             }
@@ -137,10 +141,10 @@
         }
         // Once it has lasted far longer than any before, nobody begins to wait.
         let late = t0 + ms(2_500);
-        let patience = Patience { arrived: late, target, timeout };
+        let limits = HoldLimits { arrived: late, target, timeout };
         let ongoing = OngoingOutage::new(Outage::Failover, t0, late);
-        let decided = decide(&history, &ongoing, &patience, Duration::ZERO, late);
-        assert!(matches!(decided, Hold::Refuse { .. }), "{decided:?}");
+        let decided = decide(&history, &ongoing, &limits, Duration::ZERO, late);
+        assert!(matches!(decided, HoldDecision::Refuse { .. }), "{decided:?}");
     }
 }
 
@@ -149,16 +153,16 @@
 #[test]
 fn a_right_that_stays_away_is_not_waited_for() {
     let t0 = Instant::now();
-    let history = history_of(Outage::LapsedRight, &[ms(40), ms(60), ms(80), ms(80), ms(90)]);
+    let history = history_of(Outage::LapsedLease, &[ms(40), ms(60), ms(80), ms(80), ms(90)]);
     let held_ms = |arrives_ms: u64| {
         let arrived = t0 + ms(arrives_ms);
-        let patience = Patience { arrived, target: ms(400), timeout: ms(1_000) };
+        let limits = HoldLimits { arrived, target: ms(400), timeout: ms(1_000) };
         let mut now = arrived;
         loop {
-            let ongoing = OngoingOutage::new(Outage::LapsedRight, t0, now);
-            match decide(&history, &ongoing, &patience, Duration::ZERO, now) {
-                Hold::Wait { until } if until > now => now = until,
-                Hold::Wait { .. } | Hold::Refuse { .. } => {
+            let ongoing = OngoingOutage::new(Outage::LapsedLease, t0, now);
+            match decide(&history, &ongoing, &limits, Duration::ZERO, now) {
+                HoldDecision::Wait { until } if until > now => now = until,
+                HoldDecision::Wait { .. } | HoldDecision::Refuse { .. } => {
                     return (now - arrived).as_millis() as u64;
                 }
             }
@@ -182,7 +186,7 @@
 #[test]
 fn an_end_that_nobody_saw_tells_no_length() {
     let t0 = Instant::now();
-    let mut ongoing = OngoingOutage::new(Outage::LapsedRight, t0, t0 + ms(10));
+    let mut ongoing = OngoingOutage::new(Outage::LapsedLease, t0, t0 + ms(10));
     ongoing.observe(t0 + ms(400));
     assert_eq!(ongoing.length(t0 + ms(500)), Some(ms(500)));
     assert_eq!(ongoing.length(t0 + ms(900)), None);
@@ -203,12 +207,12 @@
 #[test]
 fn turns_end_with_what_they_were_given_for() {
     let t0 = Instant::now();
-    let mut line = WaitingLine::default();
-    let (first, second) = (line.join(Rank::ALL[1]), line.join(Rank::ALL[1]));
-    assert_eq!(line.turn(second, ms(10), t0 + ms(100), t0), t0 + ms(10));
-    line.close();
-    line.leave(first);
-    assert_eq!(line.turn(second, ms(10), t0 + ms(400), t0 + ms(300)), t0 + ms(300));
-    line.leave(second);
-    assert!(line.is_empty());
+    let mut queue = HoldQueue::default();
+    let (first, second) = (queue.enqueue(Rank::ALL[1]), queue.enqueue(Rank::ALL[1]));
+    assert_eq!(queue.release_time(second, ms(10), t0 + ms(100), t0), t0 + ms(10));
+    queue.clear_release_times();
+    queue.remove(first);
+    assert_eq!(queue.release_time(second, ms(10), t0 + ms(400), t0 + ms(300)), t0 + ms(300));
+    queue.remove(second);
+    assert!(queue.is_empty());
 }
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use model::{LogPoint, StatementClass};
-use overload::{Rank, hold::Patience, retry_delay::RetryDelay};
+use overload::{Rank, hold::HoldLimits, retry_delay::RetryDelay};
 
 use crate::{
     accounts::Principal,
@@ -122,8 +122,8 @@
     }
 
     /// Returns the time limits within which it may be held.
-    pub(crate) fn hold_limits(&self) -> Patience {
-        Patience {
+    pub(crate) fn hold_limits(&self) -> HoldLimits {
+        HoldLimits {
             arrived: self.arrived,
             target: self.route.target_latency,
             timeout: self.route.timeout,
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -7,7 +7,7 @@
 
 use overload::{
     Rank,
-    hold::{OngoingOutage, Outage, OutageHistory, Ticket, WaitingLine},
+    hold::{HoldQueue, OngoingOutage, Outage, OutageHistory, Ticket},
     retry_delay::RetryDelay,
 };
 
@@ -19,7 +19,7 @@
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
     /// The expected total length of the outage, estimated when it was detected.
     pub(crate) expected: Cell<Duration>,
-    pub(crate) queue: RefCell<WaitingLine>,
+    pub(crate) queue: RefCell<HoldQueue>,
 }
 
 /// A held statement in the queue of a group; dropping it removes the statement from the queue.
@@ -31,7 +31,7 @@
 impl GroupOutage {
     /// Adds a statement to the queue.
     pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
-        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
+        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().enqueue(rank) }
     }
 
     /// Records that an outage of this kind is ongoing; a new one began at `began_at`.
@@ -51,7 +51,7 @@
         });
         ongoing.observe(now);
         self.ongoing.set(Some(ongoing));
-        self.queue.borrow_mut().close();
+        self.queue.borrow_mut().clear_release_times();
         ongoing
     }
 }
@@ -64,13 +64,13 @@
 
     /// Returns when the statement may continue after a primary has become usable.
     pub(crate) fn resume_at(&self, interval: Duration, latest: Instant, now: Instant) -> Instant {
-        self.outage.queue.borrow_mut().turn(self.ticket, interval, latest, now)
+        self.outage.queue.borrow_mut().release_time(self.ticket, interval, latest, now)
     }
 }
 
 impl Drop for QueuedStatement<'_> {
     fn drop(&mut self) {
-        self.outage.queue.borrow_mut().leave(self.ticket);
+        self.outage.queue.borrow_mut().remove(self.ticket);
     }
 }
 
@@ -80,8 +80,8 @@
         Some(leader) if leader.is_valid(now) => (Outage::Unreachable, now),
         Some(leader) if leader.planned => (Outage::PlannedChange, now),
         Some(leader) if leader.changing => (Outage::Failover, now),
-        Some(leader) => (Outage::LapsedRight, leader.valid_until),
-        None => (Outage::LapsedRight, now),
+        Some(leader) => (Outage::LapsedLease, leader.valid_until),
+        None => (Outage::LapsedLease, now),
     }
 }
 
@@ -103,7 +103,7 @@
         primary_lease: Duration,
     ) -> Duration {
         let draw = rand::random();
-        if self.outage != Outage::LapsedRight {
+        if self.outage != Outage::LapsedLease {
             return route.for_wait(self.remaining, draw);
         }
         // The daemons that still reach the store and the servers replace the primary once every lease has expired.
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -11,7 +11,7 @@
 
 use model::{LogPoint, Name, StatementClass};
 use overload::{
-    hold::{Hold, OngoingOutage, Outage, OutageHistory, decide},
+    hold::{HoldDecision, OngoingOutage, Outage, OutageHistory, decide},
     retry_delay::add_jitter,
     try_budget::{Cause, TryBudget},
 };
@@ -115,8 +115,8 @@
             let hold = self.decide_hold(&ongoing, job, backlog, now);
             let was_stopping = stopping.borrow_and_update().is_some();
             let until = match hold {
-                Hold::Wait { until } if !was_stopping && until > now => until,
-                Hold::Wait { .. } | Hold::Refuse { .. } => {
+                HoldDecision::Wait { until } if !was_stopping && until > now => until,
+                HoldDecision::Wait { .. } | HoldDecision::Refuse { .. } => {
                     return Err(AssignError::Refuse(self.no_primary_error(group, job, attempts)));
                 }
             };
@@ -202,7 +202,7 @@
         let outage = ongoing.map_or(Outage::Failover, |ongoing| ongoing.outage);
         self.metrics.held.with_label_values(&[outage.as_str(), "released"]).inc();
         let interval = self.service_interval_at(group, server);
-        queued.resume_at(interval, job.hold_limits().turn_until(outage, now), now)
+        queued.resume_at(interval, job.hold_limits().release_deadline(outage, now), now)
     }
 
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
@@ -218,7 +218,7 @@
         let Some(ongoing) = group.outage.ongoing.take() else { return };
         let length = ongoing.length(now);
         if let Some(length) = length {
-            self.hold_state.history.borrow_mut().note(ongoing.outage, length);
+            self.hold_state.history.borrow_mut().record(ongoing.outage, length);
         }
         log::info!(
             event = "outage_over", service = &**service, outage = ongoing.outage.as_str(),
@@ -245,7 +245,7 @@
         job: &Job<'_>,
         backlog: Duration,
         now: Instant,
-    ) -> Hold {
+    ) -> HoldDecision {
         decide(&self.hold_state.history.borrow(), ongoing, &job.hold_limits(), backlog, now)
     }
 
@@ -312,7 +312,7 @@
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.control_view());
         let until = match self.holds_statements(&group) && attempts.sent > 0 {
-            true => job.hold_limits().tries_until(),
+            true => job.hold_limits().retry_deadline(),
             false => self.hold_until(job),
         };
         if Instant::now() + RETRY_PAUSE >= until
@@ -353,7 +353,9 @@
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
             let ongoing = self.observe_outage(group, Outage::Unreachable, now, now);
-            if let Hold::Refuse { .. } = self.decide_hold(&ongoing, job, Duration::ZERO, now) {
+            if let HoldDecision::Refuse { .. } =
+                self.decide_hold(&ongoing, job, Duration::ZERO, now)
+            {
                 return true;
             }
         }
