--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -5,6 +5,7 @@
 //! much an account may ask keep their own proofs, and a wrong estimate here costs time, never a promise.
 //! `docs/design/hard-load.md` says who decides what and where the state lives.
 
+pub mod account_retry_budget;
 mod circuit;
 mod concurrency;
 mod demand;
@@ -16,7 +17,6 @@
 mod rank;
 pub mod retry_delay;
 mod reuse;
-pub mod try_budget;
 mod turns;
 mod work_queue;
 
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -11,9 +11,9 @@
 
 use model::{LogPoint, Name, StatementClass};
 use overload::{
+    account_retry_budget::{AccountRetryBudget, RetryCause},
     hold::{HoldDecision, OngoingOutage, Outage, OutageHistory, decide},
     retry_delay::add_jitter,
-    try_budget::{Cause, TryBudget},
 };
 
 use crate::{
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
-    tries: RefCell<TryBudget>,
+    tries: RefCell<AccountRetryBudget>,
 }
 
 /// The attempts made so far to run one statement.
@@ -360,12 +360,12 @@
             }
         }
         let cause = match attempts.last_error {
-            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => Cause::NoRoom,
-            Some(_) | None => Cause::Path,
+            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => RetryCause::NoRoom,
+            Some(_) | None => RetryCause::Path,
         };
         let account = Name::from(job.principal.told());
         let mut tries = self.hold_state.tries.borrow_mut();
-        let may = tries.may_send_again(&account, job.rank(), attempts.sent, cause);
+        let may = tries.may_retry(&account, job.rank(), attempts.sent, cause);
         if !may {
             self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
         }
