--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -8,8 +8,9 @@
 pub mod account_retry_budget;
 mod circuit;
 mod concurrency;
+mod decaying;
 mod demand;
-mod fading;
+mod fair_queue;
 mod granted;
 pub mod hold;
 mod layout;
@@ -17,7 +18,6 @@
 mod rank;
 pub mod retry_delay;
 mod reuse;
-mod turns;
 mod work_queue;
 
 pub use circuit::{Circuit, CircuitChange, PathOutcome};
@@ -26,4 +26,4 @@
 pub use load_report::{AgedReport, LoadReport};
 pub use rank::{RANKS, Rank};
 pub use reuse::{Resting, Reuse};
-pub use work_queue::{Next, Offered, Request, Room, Stage, Ticket, WorkQueue};
+pub use work_queue::{Capacity, Next, OfferResult, Request, Stage, Ticket, WorkQueue};
--- a/crates/overload/src/load_report.rs
+++ b/crates/overload/src/load_report.rs
@@ -5,7 +5,7 @@
 use crate::rank::{RANKS, Rank};
 
 /// After this long a report's waits count for half: queues drain and fill within a few service times.
-const HALVED_AFTER: Duration = Duration::from_millis(200);
+const HALF_LIFE: Duration = Duration::from_millis(200);
 
 /// The load of one server, as the owner of its connections sees it. It travels with the answers that the owner gives anyhow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,10 +30,10 @@
 }
 
 impl AgedReport {
-    /// Returns how long a statement is expected to wait: what was told, by half less for each [`HALVED_AFTER`] since.
+    /// Returns how long a statement is expected to wait: what was told, by half less for each [`HALF_LIFE`] since.
     pub fn expected_wait(&self, rank: Rank, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.heard_at);
-        let halvings = age.as_secs_f64() / HALVED_AFTER.as_secs_f64();
+        let halvings = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.report.waits[rank.index()].mul_f64(0.5_f64.powf(halvings))
     }
 }
--- a/crates/overload/src/reuse.rs
+++ b/crates/overload/src/reuse.rs
@@ -8,11 +8,11 @@
     time::{Duration, Instant},
 };
 
-use crate::fading::FadingSums;
+use crate::decaying::DecayingSums;
 
 /// What an account asked counts for half after so long: some times longer than the rest between two statements of a small
 /// account, and short enough to follow a change of who is busy.
-const HALVED_AFTER: Duration = Duration::from_secs(20);
+const HALF_LIFE: Duration = Duration::from_secs(20);
 /// A connection at rest.
 #[derive(Clone, Copy, Debug)]
 pub struct Resting<'a> {
@@ -25,12 +25,12 @@
 /// How often each account has used connections to one server lately.
 #[derive(Debug)]
 pub struct Reuse {
-    uses: FadingSums,
+    uses: DecayingSums,
 }
 
 impl Default for Reuse {
     fn default() -> Reuse {
-        Reuse { uses: FadingSums::new(HALVED_AFTER) }
+        Reuse { uses: DecayingSums::new(HALF_LIFE) }
     }
 }
 
--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -13,25 +13,25 @@
 use crate::{
     concurrency::ConcurrencyLimit,
     demand::Demand,
+    fair_queue::FairQueue,
     load_report::LoadReport,
     rank::{RANKS, Rank},
-    turns::Turns,
 };
 
 /// Statements that may wait for one server; a bound on memory, since whatever can't begin in time is refused before.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 /// One begin in so many goes to whoever has waited longest, whatever its rank or account, so that everybody gets on.
-const LONGEST_WAITER_EVERY: u32 = 32;
+const OLDEST_FIRST_INTERVAL: u32 = 32;
 /// Open transactions leave one part in so many of the connections to statements that are over at once.
-const LEFT_BY_TRANSACTIONS: u32 = 4;
+const RESERVED_DIVISOR: u32 = 4;
 /// One account's open transactions have one part in so many of the connections at the most, since they hold them while their
 /// callers rest.
-const TRANSACTIONS_OF_ACCOUNT: u32 = 4;
+const ACCOUNT_TRANSACTIONS_DIVISOR: u32 = 4;
 
 /// Statements that tell how much of the server more urgent ones take.
-const BEGUN_REMEMBERED: f64 = 64.0;
+const STARTED_WINDOW: f64 = 64.0;
 /// Whoever waits gets on by at least a tenth of the server, by the estimate.
-const MOST_OVERTAKEN: f64 = 0.9;
+const MAX_OVERTAKEN_SHARE: f64 = 0.9;
 
 /// Names a statement that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -69,11 +69,11 @@
 
 /// What becomes of a statement that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferResult {
     /// It begins now.
     Begin,
     /// It waits.
-    Waits {
+    Queued {
         /// By which it is named.
         ticket: Ticket,
         /// A less urgent one that can't wait any more for its sake: to be refused, as not run.
@@ -82,7 +82,7 @@
     /// It is refused, as not run: it would not begin in time.
     Refused {
         /// After how long there would be a slot for it, if nothing else came; when a connection is given back is not known.
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -99,7 +99,7 @@
 
 /// What one daemon may use of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     /// Statements that the server runs at a time; 0 if that is not known.
     pub slots: u32,
     /// Connections that this daemon may have.
@@ -114,7 +114,7 @@
     step: usize,
     /// Whether it belongs to no open transaction: those go first.
     is_new: bool,
-    stamp: u64,
+    start_tag: u64,
     until: Instant,
     ticket: Ticket,
 }
@@ -132,76 +132,76 @@
     limit: ConcurrencyLimit,
     connections: u32,
     running: u32,
-    held: u32,
+    connections_in_use: u32,
     transactions: HashMap<Name, u32>,
     /// Whose turn it is, within each rank.
-    turns: [Turns; RANKS],
+    fair_queues: [FairQueue; RANKS],
     demand: Demand,
     waiters: Vec<Waiter>,
     next_ticket: u64,
-    begun: u32,
+    started: u32,
     /// The work that began lately, in microseconds, by the step of its [`Order`].
-    begun_us: [f64; RANKS],
+    started_us: [f64; RANKS],
     /// When a statement last began or ended.
-    moved_at: Option<Instant>,
+    last_progress_at: Option<Instant>,
 }
 
 impl WorkQueue {
     /// Makes an empty one.
-    pub fn new(room: Room) -> WorkQueue {
+    pub fn new(capacity: Capacity) -> WorkQueue {
         WorkQueue {
-            limit: ConcurrencyLimit::new(slots_of(room), room.owners),
-            connections: room.connections.max(1),
+            limit: ConcurrencyLimit::new(known_slots(capacity), capacity.owners),
+            connections: capacity.connections.max(1),
             running: 0,
-            held: 0,
+            connections_in_use: 0,
             transactions: HashMap::new(),
-            turns: Default::default(),
+            fair_queues: Default::default(),
             demand: Demand::default(),
             waiters: Vec::new(),
             next_ticket: 0,
-            begun: 0,
-            begun_us: [0.0; RANKS],
-            moved_at: None,
+            started: 0,
+            started_us: [0.0; RANKS],
+            last_progress_at: None,
         }
     }
 
     /// Takes over what may be used of the server. What has begun goes on.
-    pub fn set_room(&mut self, room: Room) {
-        self.limit.set(slots_of(room), room.owners);
-        self.connections = room.connections.max(1);
+    pub fn set_capacity(&mut self, capacity: Capacity) {
+        self.limit.set(known_slots(capacity), capacity.owners);
+        self.connections = capacity.connections.max(1);
     }
 
     /// Takes a statement that arrives. Nothing waits while what it needs is free.
-    pub fn offer(&mut self, request: Request, now: Instant) -> Offered {
+    pub fn offer(&mut self, request: Request, now: Instant) -> OfferResult {
         let cost_us = self.limit.expected_us(request.rank);
         let order = self.order_of(&request, cost_us, now);
         let waiter = Waiter { order, request, cost_us };
-        if self.may_begin(&waiter.request) && !self.is_anyone_able() {
+        if self.may_begin(&waiter.request) && !self.can_any_waiter_begin() {
             self.begin(&waiter, now);
-            return Offered::Begin;
+            return OfferResult::Begin;
         }
         let ahead = self.waiters.iter().filter(|other| other.order < waiter.order);
         let ahead_us: u64 = ahead.map(|other| other.cost_us).sum();
-        let part_left = 1.0 - self.begun_before(waiter.order.step);
-        let wait = self.drained_after((ahead_us as f64 / part_left) as u64, now);
+        let share_left = 1.0 - self.overtaken_share(waiter.order.step);
+        let wait = self.drain_time((ahead_us as f64 / share_left) as u64, now);
         if now + wait >= waiter.request.until {
             return self.refuse(&waiter, now);
         }
         let last = self.last_behind(&waiter);
-        if self.waiters.len() >= MOST_WAITING && last.is_none() {
+        if self.waiters.len() >= MAX_WAITING && last.is_none() {
             return self.refuse(&waiter, now);
         }
         let ticket = waiter.order.ticket;
         self.waiters.push(waiter);
-        let displaced = last.filter(|index| self.must_leave(*index, now));
-        let displaced = displaced.map(|index| self.take_out(index).order.ticket);
-        Offered::Waits { ticket, displaced }
+        let displaced = last.filter(|index| self.must_be_displaced(*index, now));
+        let displaced = displaced.map(|index| self.remove(index).order.ticket);
+        OfferResult::Queued { ticket, displaced }
     }
 
     /// Says who begins, or who has waited too long.
     pub fn next(&mut self, now: Instant) -> Next {
         if let Some(late) = self.waiters.iter().position(|waiter| waiter.request.until <= now) {
-            let waiter = self.take_out(late);
+            let waiter = self.remove(late);
             return Next::Expired(waiter.order.ticket);
         }
         let Some(index) = self.choose() else { return Next::Nothing };
@@ -213,16 +213,16 @@
     /// Takes out a statement that nobody waits for any more; `false` if it does not wait here.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         let place = self.waiters.iter().position(|waiter| waiter.order.ticket == ticket);
-        place.map(|index| self.take_out(index)).is_some()
+        place.map(|index| self.remove(index)).is_some()
     }
 
     /// Notes that a statement has left its slot, and how long it had it if it was answered.
     pub fn on_finished(&mut self, request: &Request, took: Option<Duration>, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        self.moved_at = Some(now);
+        self.last_progress_at = Some(now);
         let Some(took) = took else { return };
         let expected_us = self.limit.expected_us(request.rank);
-        self.turns[request.rank.index()].settle(
+        self.fair_queues[request.rank.index()].settle(
             &request.account,
             expected_us,
             took.as_micros() as u64,
@@ -235,7 +235,7 @@
         if request.stage == Stage::Continues {
             return;
         }
-        self.held = self.held.saturating_sub(1);
+        self.connections_in_use = self.connections_in_use.saturating_sub(1);
         if request.stage == Stage::Opens
             && let Some(count) = self.transactions.get_mut(&request.account)
         {
@@ -252,7 +252,7 @@
             return Duration::ZERO;
         }
         let ahead = self.waiters.iter().filter(|waiter| waiter.order.step <= rank.index());
-        self.drained_after(ahead.map(|waiter| waiter.cost_us).sum(), now)
+        self.drain_time(ahead.map(|waiter| waiter.cost_us).sum(), now)
     }
 
     /// Returns the load, for those that choose among servers.
@@ -298,7 +298,7 @@
         Order {
             step: step.saturating_sub(usize::from(continues)).min(RANKS - 1),
             is_new: !continues,
-            stamp: self.turns[request.rank.index()].stamp(&request.account, cost_us),
+            start_tag: self.fair_queues[request.rank.index()].start_tag(&request.account, cost_us),
             until: request.until,
             ticket,
         }
@@ -310,28 +310,30 @@
         }
         match request.stage {
             Stage::Continues => true,
-            Stage::Alone => self.held < self.connections,
-            Stage::Opens => self.held < self.connections && self.may_open(request),
+            Stage::Alone => self.connections_in_use < self.connections,
+            Stage::Opens => {
+                self.connections_in_use < self.connections && self.may_open_transaction(request)
+            }
         }
     }
 
     /// Whether one more transaction leaves enough connections to others.
-    fn may_open(&self, request: &Request) -> bool {
+    fn may_open_transaction(&self, request: &Request) -> bool {
         let open: u32 = self.transactions.values().sum();
         let own = self.transactions.get(&request.account).copied().unwrap_or(0);
-        let left = self.connections / LEFT_BY_TRANSACTIONS;
-        let most_of_one = self.connections.div_ceil(TRANSACTIONS_OF_ACCOUNT);
+        let left = self.connections / RESERVED_DIVISOR;
+        let most_of_one = self.connections.div_ceil(ACCOUNT_TRANSACTIONS_DIVISOR);
         open < self.connections - left && (!request.has_account() || own < most_of_one)
     }
 
-    fn is_anyone_able(&self) -> bool {
+    fn can_any_waiter_begin(&self) -> bool {
         self.waiters.iter().any(|waiter| self.may_begin(&waiter.request))
     }
 
     fn choose(&self) -> Option<usize> {
         let able = self.waiters.iter().enumerate();
         let able = able.filter(|(_, waiter)| self.may_begin(&waiter.request));
-        if self.begun % LONGEST_WAITER_EVERY == LONGEST_WAITER_EVERY - 1 {
+        if self.started % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1 {
             return able.min_by_key(|(_, waiter)| waiter.order.ticket).map(|(index, _)| index);
         }
         let (_, first) = able.clone().min_by_key(|(_, waiter)| waiter.order)?;
@@ -345,28 +347,28 @@
     }
 
     fn begin(&mut self, waiter: &Waiter, now: Instant) {
-        self.moved_at = Some(now);
+        self.last_progress_at = Some(now);
         self.running += 1;
-        self.begun = self.begun.wrapping_add(1);
-        for begun_us in &mut self.begun_us {
-            *begun_us *= 1.0 - 1.0 / BEGUN_REMEMBERED;
+        self.started = self.started.wrapping_add(1);
+        for started_us in &mut self.started_us {
+            *started_us *= 1.0 - 1.0 / STARTED_WINDOW;
         }
-        self.begun_us[waiter.order.step] += waiter.cost_us as f64;
-        self.turns[waiter.request.rank.index()].on_begin(waiter.order.stamp);
+        self.started_us[waiter.order.step] += waiter.cost_us as f64;
+        self.fair_queues[waiter.request.rank.index()].on_begin(waiter.order.start_tag);
         match waiter.request.stage {
             Stage::Continues => {}
-            Stage::Alone => self.held += 1,
+            Stage::Alone => self.connections_in_use += 1,
             Stage::Opens => {
-                self.held += 1;
+                self.connections_in_use += 1;
                 *self.transactions.entry(waiter.request.account.clone()).or_default() += 1;
             }
         }
     }
 
-    fn refuse(&mut self, waiter: &Waiter, now: Instant) -> Offered {
-        self.give_back_turn(waiter);
+    fn refuse(&mut self, waiter: &Waiter, now: Instant) -> OfferResult {
+        self.refund(waiter);
         let wait = self.expected_wait(waiter.request.rank, now);
-        Offered::Refused { come_back: wait.max(Duration::from_millis(1)) }
+        OfferResult::Refused { retry_after: wait.max(Duration::from_millis(1)) }
     }
 
     /// Returns the last in order, if it goes behind the newcomer and belongs to no open transaction.
@@ -377,38 +379,39 @@
     }
 
     /// Whether the last in order has to make room: there are too many, or it would not begin in time any more.
-    fn must_leave(&self, last: usize, now: Instant) -> bool {
+    fn must_be_displaced(&self, last: usize, now: Instant) -> bool {
         let all_us: u64 = self.waiters.iter().map(|waiter| waiter.cost_us).sum();
         let last = &self.waiters[last];
-        let wait = self.drained_after(all_us - last.cost_us, now);
-        self.waiters.len() > MOST_WAITING || now + wait >= last.request.until
+        let wait = self.drain_time(all_us - last.cost_us, now);
+        self.waiters.len() > MAX_WAITING || now + wait >= last.request.until
     }
 
-    fn take_out(&mut self, index: usize) -> Waiter {
+    fn remove(&mut self, index: usize) -> Waiter {
         let waiter = self.waiters.swap_remove(index);
-        self.give_back_turn(&waiter);
+        self.refund(&waiter);
         waiter
     }
 
     /// Returns which part of what began lately went before a step: who waits in that is overtaken by as much.
-    fn begun_before(&self, step: usize) -> f64 {
-        let all: f64 = self.begun_us.iter().sum();
-        let before: f64 = self.begun_us[..step].iter().sum();
-        if all > 0.0 { (before / all).min(MOST_OVERTAKEN) } else { 0.0 }
+    fn overtaken_share(&self, step: usize) -> f64 {
+        let all: f64 = self.started_us.iter().sum();
+        let before: f64 = self.started_us[..step].iter().sum();
+        if all > 0.0 { (before / all).min(MAX_OVERTAKEN_SHARE) } else { 0.0 }
     }
 
-    fn give_back_turn(&mut self, waiter: &Waiter) {
-        let turns = &mut self.turns[waiter.request.rank.index()];
-        turns.settle(&waiter.request.account, waiter.cost_us, 0);
+    fn refund(&mut self, waiter: &Waiter) {
+        let fair_queue = &mut self.fair_queues[waiter.request.rank.index()];
+        fair_queue.settle(&waiter.request.account, waiter.cost_us, 0);
     }
 
     /// Returns after how long so much work is done and one more slot is free. A server in which nothing has moved for some
     /// time is taken to need as long again: it may hang.
-    fn drained_after(&self, work_us: u64, now: Instant) -> Duration {
-        let at_a_time = self.limit.slots().min(self.limit.get()).min(self.connections);
-        let slots = u64::from(at_a_time.max(1));
+    fn drain_time(&self, work_us: u64, now: Instant) -> Duration {
+        let concurrency = self.limit.slots().min(self.limit.get()).min(self.connections);
+        let slots = u64::from(concurrency.max(1));
         let mean = Duration::from_micros(self.mean_us());
-        let still = self.moved_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let still =
+            self.last_progress_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let stalled = still.saturating_sub(mean);
         Duration::from_micros(work_us / slots) + mean / slots as u32 + stalled
     }
@@ -420,6 +423,6 @@
 }
 
 /// A server that doesn't say how much it runs at a time may run what there are connections for.
-fn slots_of(room: Room) -> u32 {
-    if room.slots == 0 { room.connections } else { room.slots }
+fn known_slots(capacity: Capacity) -> u32 {
+    if capacity.slots == 0 { capacity.connections } else { capacity.slots }
 }
--- a/crates/overload/tests/work_queue.rs
+++ b/crates/overload/tests/work_queue.rs
@@ -9,12 +9,12 @@
 };
 
 use model::Name;
-use overload::{Next, Offered, Rank, Request, Room, Stage, Ticket, WorkQueue};
+use overload::{Capacity, Next, OfferResult, Rank, Request, Stage, Ticket, WorkQueue};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 const SLOTS: u32 = 6;
-const ROOM: Room = Room { slots: SLOTS, connections: 50, owners: 1 };
+const CAPACITY: Capacity = Capacity { slots: SLOTS, connections: 50, owners: 1 };
 /// How much of what was asked for in time must be answered for callers not to notice.
 const UNNOTICED: f64 = 0.97;
 
@@ -28,22 +28,22 @@
 
 /// A queue whose every slot is taken, by statements that take 20 ms.
 fn busy_queue(now: Instant) -> WorkQueue {
-    let mut queue = WorkQueue::new(ROOM);
+    let mut queue = WorkQueue::new(CAPACITY);
     let first = alone(1, "first", now + Duration::from_secs(9));
     for _ in 0..100 {
-        assert_eq!(queue.offer(first.clone(), now), Offered::Begin);
+        assert_eq!(queue.offer(first.clone(), now), OfferResult::Begin);
         queue.on_finished(&first, Some(Duration::from_millis(20)), now);
         queue.on_released(&first);
     }
     for _ in 0..queue.limit() {
-        assert_eq!(queue.offer(first.clone(), now), Offered::Begin);
+        assert_eq!(queue.offer(first.clone(), now), OfferResult::Begin);
     }
     queue
 }
 
 fn wait(queue: &mut WorkQueue, request: Request, now: Instant) -> Ticket {
     match queue.offer(request, now) {
-        Offered::Waits { ticket, .. } => ticket,
+        OfferResult::Queued { ticket, .. } => ticket,
         other => panic!("it waits: {other:?}"),
     }
 }
@@ -89,10 +89,10 @@
     }
     // Sixty statements of 20 ms in six slots go before the second one of any of their accounts.
     let soon = now + Duration::from_millis(100);
-    let Offered::Refused { come_back } = queue.offer(alone(1, "0", soon), now) else {
+    let OfferResult::Refused { retry_after } = queue.offer(alone(1, "0", soon), now) else {
         panic!("it can't begin in time");
     };
-    assert!((180..=230).contains(&come_back.as_millis()), "{come_back:?}");
+    assert!((180..=230).contains(&retry_after.as_millis()), "{retry_after:?}");
     wait(&mut queue, alone(0, "urgent", soon), now);
 }
 
@@ -105,14 +105,14 @@
     let mut refused = 0;
     for account in 0..300 {
         match queue.offer(alone(2, &account.to_string(), until), now) {
-            Offered::Waits { ticket, .. } => last = Some(ticket),
-            Offered::Refused { .. } => refused += 1,
-            Offered::Begin => panic!("no slot is free"),
+            OfferResult::Queued { ticket, .. } => last = Some(ticket),
+            OfferResult::Refused { .. } => refused += 1,
+            OfferResult::Begin => panic!("no slot is free"),
         }
     }
     assert!(refused > 0, "the queue has a bound");
-    let Offered::Waits { displaced, .. } = queue.offer(alone(0, "urgent", until), now) else {
-        panic!("the more urgent one has room");
+    let OfferResult::Queued { displaced, .. } = queue.offer(alone(0, "urgent", until), now) else {
+        panic!("the more urgent one has capacity");
     };
     assert_eq!(displaced, last);
     assert!(!queue.withdraw(last.expect("some wait")), "it does not wait any more");
@@ -137,21 +137,21 @@
 fn resting_transactions_leave_connections_to_others() {
     let now = Instant::now();
     let until = now + Duration::from_secs(5);
-    let mut queue = WorkQueue::new(ROOM);
+    let mut queue = WorkQueue::new(CAPACITY);
     let mut opened: HashMap<&str, u32> = HashMap::new();
     for _ in 0..40 {
         for account in ["a", "b", "c"] {
             let opening = request(1, account, Stage::Opens, until);
-            if queue.offer(opening.clone(), now) == Offered::Begin {
+            if queue.offer(opening.clone(), now) == OfferResult::Begin {
                 queue.on_finished(&opening, None, now);
                 *opened.entry(account).or_default() += 1;
             }
         }
     }
-    assert!(opened.values().all(|count| *count <= ROOM.connections.div_ceil(4)), "{opened:?}");
-    assert!(opened.values().sum::<u32>() >= ROOM.connections / 2, "{opened:?}");
+    assert!(opened.values().all(|count| *count <= CAPACITY.connections.div_ceil(4)), "{opened:?}");
+    assert!(opened.values().sum::<u32>() >= CAPACITY.connections / 2, "{opened:?}");
     for _ in 0..SLOTS {
-        assert_eq!(queue.offer(alone(2, "d", until), now), Offered::Begin);
+        assert_eq!(queue.offer(alone(2, "d", until), now), OfferResult::Begin);
     }
 }
 
@@ -163,7 +163,7 @@
     wait(&mut queue, alone(1, "a", now + Duration::from_millis(140)), now);
     let then = now + Duration::from_millis(170);
     let offered = queue.offer(alone(1, "b", then + Duration::from_millis(140)), then);
-    assert!(matches!(offered, Offered::Refused { .. }), "{offered:?}");
+    assert!(matches!(offered, OfferResult::Refused { .. }), "{offered:?}");
 }
 
 /// A kind of statement, as one server of a group meets it.
@@ -264,7 +264,7 @@
 impl Server {
     fn new(start: Instant) -> Server {
         Server {
-            queue: WorkQueue::new(ROOM),
+            queue: WorkQueue::new(CAPACITY),
             waiting: HashMap::new(),
             slots: vec![start; SLOTS as usize],
             ends: BinaryHeap::new(),
@@ -276,12 +276,12 @@
     fn arrive(&mut self, request: Request, work: Duration, now: Instant) {
         self.outcome.note(&request, |served| served.asked += 1);
         match self.queue.offer(request.clone(), now) {
-            Offered::Begin => self.begin(request, work, now, now),
-            Offered::Waits { ticket, displaced } => {
+            OfferResult::Begin => self.begin(request, work, now, now),
+            OfferResult::Queued { ticket, displaced } => {
                 self.waiting.insert(ticket, (request, work, now));
                 displaced.map(|ticket| self.waiting.remove(&ticket));
             }
-            Offered::Refused { .. } => {}
+            OfferResult::Refused { .. } => {}
         }
     }
 
@@ -424,8 +424,8 @@
     #[test]
     fn the_queue_keeps_the_server_busy(steps in steps()) {
         // As many connections as statements inside, so that either may be what is short.
-        let room = Room { slots: 4, connections: 4, owners: 1 };
-        let mut queue = WorkQueue::new(room);
+        let capacity = Capacity { slots: 4, connections: 4, owners: 1 };
+        let mut queue = WorkQueue::new(capacity);
         let mut now = Instant::now();
         let mut inside: Vec<Request> = Vec::new();
         let mut waiting: HashMap<Ticket, Stage> = HashMap::new();
@@ -437,17 +437,17 @@
                     let request = request(rank, &account.to_string(), stage, until);
                     let held = inside.iter().filter(|it| holds(it.stage)).count() as u32;
                     let has_slot = (inside.len() as u32) < queue.limit();
-                    let has_connection = !holds(stage) || held < room.connections;
+                    let has_connection = !holds(stage) || held < capacity.connections;
                     match queue.offer(request.clone(), now) {
-                        Offered::Begin => inside.push(request),
-                        Offered::Waits { ticket, displaced } => {
+                        OfferResult::Begin => inside.push(request),
+                        OfferResult::Queued { ticket, displaced } => {
                             prop_assert!(!(stage == Stage::Alone && has_slot && has_connection));
                             waiting.insert(ticket, stage);
                             displaced.map(|ticket| waiting.remove(&ticket));
                         }
-                        Offered::Refused { come_back } => {
+                        OfferResult::Refused { retry_after } => {
                             prop_assert!(!(stage == Stage::Alone && has_slot && has_connection));
-                            prop_assert!(come_back > Duration::ZERO);
+                            prop_assert!(retry_after > Duration::ZERO);
                         }
                     }
                 }
@@ -478,13 +478,13 @@
             }
             let held = inside.iter().filter(|it| holds(it.stage)).count() as u32;
             prop_assert!(inside.len() as u32 <= queue.limit());
-            prop_assert!(held <= room.connections);
+            prop_assert!(held <= capacity.connections);
             prop_assert_eq!(queue.running() as usize, inside.len());
             prop_assert_eq!(queue.waiting(), waiting.len());
             let has_slot = (inside.len() as u32) < queue.limit();
             let able = |stage: &Stage| match stage {
                 Stage::Continues => true,
-                Stage::Alone => held < room.connections,
+                Stage::Alone => held < capacity.connections,
                 Stage::Opens => false,
             };
             prop_assert!(!has_slot || !waiting.values().any(able));
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use overload::{LoadReport, Request, Room, Stage};
+use overload::{Capacity, LoadReport, Request, Stage};
 use tokio_util::sync::CancellationToken;
 
 use crate::{
@@ -28,7 +28,7 @@
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns the capacity for the queue of a server, if its statements are to be queued.
-    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Room> {
+    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Capacity> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = slot.entry.slots;
         let connections = slot.limit + share.overflow;
@@ -37,7 +37,7 @@
             // The owners of all zones share the slots in the same way as the connections.
             OwnerQuota::PerZone(count) => slots.div_ceil(count.max(1)),
         };
-        Some(Room { slots, connections, owners })
+        Some(Capacity { slots, connections, owners })
     }
 
     /// Whether statements are queued per server.
--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -8,7 +8,9 @@
 };
 
 use model::Name;
-use overload::{LoadReport, Next, Offered, RANKS, Rank, Request, Room, Stage, Ticket, WorkQueue};
+use overload::{
+    Capacity, LoadReport, Next, OfferResult, RANKS, Rank, Request, Stage, Ticket, WorkQueue,
+};
 use tokio::sync::oneshot;
 
 /// Why a statement was refused. Nothing of it was run.
@@ -40,9 +42,9 @@
 
 impl ServerQueue {
     /// Creates an empty queue.
-    pub fn new(server: Name, room: Room) -> Rc<ServerQueue> {
+    pub fn new(server: Name, capacity: Capacity) -> Rc<ServerQueue> {
         Rc::new(ServerQueue {
-            work: RefCell::new(WorkQueue::new(room)),
+            work: RefCell::new(WorkQueue::new(capacity)),
             waiting: RefCell::default(),
             server,
             logged_at: Cell::default(),
@@ -51,8 +53,8 @@
     }
 
     /// Sets how much of the server may be used.
-    pub fn set_room(self: &Rc<Self>, room: Room) {
-        self.work.borrow_mut().set_room(room);
+    pub fn set_capacity(self: &Rc<Self>, capacity: Capacity) {
+        self.work.borrow_mut().set_capacity(capacity);
         self.start_waiting();
     }
 
@@ -68,11 +70,11 @@
     async fn enqueue(self: &Rc<Self>, request: &Request) -> PermitResult {
         let offered = self.work.borrow_mut().offer(request.clone(), Instant::now());
         match offered {
-            Offered::Begin => Ok(QueuePermit::new(self, request.clone())),
-            Offered::Refused { come_back: retry_delay } => {
+            OfferResult::Begin => Ok(QueuePermit::new(self, request.clone())),
+            OfferResult::Refused { retry_after: retry_delay } => {
                 Err(QueueRefusal::Overloaded { retry_delay })
             }
-            Offered::Waits { ticket, displaced } => {
+            OfferResult::Queued { ticket, displaced } => {
                 let (answer, answered) = oneshot::channel();
                 self.waiting.borrow_mut().insert(ticket, answer);
                 if let Some(displaced) = displaced {
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -8,7 +8,7 @@
 };
 
 use model::LogPoint;
-use overload::{AfterRefusal, Circuit, Granted, Resting, Reuse, Room};
+use overload::{AfterRefusal, Capacity, Circuit, Granted, Resting, Reuse};
 use routing::LatencyAverage;
 
 use crate::{
@@ -367,9 +367,9 @@
     }
 
     /// Creates, updates or removes the server's own queue.
-    pub(crate) fn set_queue(&mut self, room: Option<Room>) {
+    pub(crate) fn set_queue(&mut self, room: Option<Capacity>) {
         match (&self.queue, room) {
-            (Some(queue), Some(room)) => queue.set_room(room),
+            (Some(queue), Some(room)) => queue.set_capacity(room),
             (None, Some(room)) => {
                 self.queue = Some(ServerQueue::new(self.entry.server.clone(), room))
             }
--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -6,7 +6,7 @@
 };
 
 use model::Name;
-use overload::{Rank, Request, Room, Stage};
+use overload::{Capacity, Rank, Request, Stage};
 use proxy::serve::server_queue::{QueuePermit, QueueRefusal, ServerQueue};
 use tokio::task::{JoinHandle, LocalSet, spawn_local, yield_now};
 
@@ -19,7 +19,7 @@
 }
 
 fn queue() -> Rc<ServerQueue> {
-    ServerQueue::new(Name::from("s1"), Room { slots: 1, connections: 1, owners: 1 })
+    ServerQueue::new(Name::from("s1"), Capacity { slots: 1, connections: 1, owners: 1 })
 }
 
 fn request(account: &str, stage: Stage) -> Request {
@@ -101,7 +101,7 @@
 fn an_idle_transaction_releases_its_slot_and_keeps_its_connection() {
     run(async {
         let queue =
-            ServerQueue::new(Name::from("s1"), Room { slots: 1, connections: 4, owners: 1 });
+            ServerQueue::new(Name::from("s1"), Capacity { slots: 1, connections: 4, owners: 1 });
         let mut opened = queue.await_permit(request("a", Stage::Opens)).await.expect("it is free");
         opened.release_slot(true);
         let other = begin(&queue).await;
