--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -20,7 +20,7 @@
 mod reuse;
 mod work_queue;
 
-pub use circuit::{Circuit, CircuitChange, PathOutcome};
+pub use circuit::{CircuitBreaker, CircuitChange, PathOutcome};
 pub use granted::{AfterRefusal, Granted};
 pub use layout::{Layout, Reach};
 pub use load_report::{AgedReport, LoadReport};
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -438,7 +438,7 @@
         Err((progress, lost)) => {
             engine.note_loss(group, &service, &route, &lost);
             if progress == Progress::Sent {
-                engine.note_health(group, &route.server, PathOutcome::Missed);
+                engine.note_health(group, &route.server, PathOutcome::Failed);
             }
             let outcome = match progress {
                 Progress::NotSent => not_sent(NotSent::Unreachable),
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -23,7 +23,7 @@
 /// by a busy server, don't count as failures.
 pub(crate) fn outcome_of(code: Option<ErrorCode>) -> PathOutcome {
     match code {
-        Some(ErrorCode::Failed | ErrorCode::TimedOut) => PathOutcome::Missed,
+        Some(ErrorCode::Failed | ErrorCode::TimedOut) => PathOutcome::Failed,
         _ => PathOutcome::Answered,
     }
 }
@@ -34,9 +34,9 @@
     pub(crate) fn pass_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
         let may_pass = group.pool.with_slot(server, |slot| {
-            let may_pass = slot.health.may_pass(now);
+            let may_pass = slot.health.allows_request(now);
             if may_pass {
-                slot.health.on_pass(now);
+                slot.health.on_request(now);
             }
             may_pass
         });
@@ -53,7 +53,7 @@
         let outcome = match sent {
             _ if !route.is_own => return,
             Ok(answer) => outcome_of(answer.error_code()),
-            Err((Progress::Sent, _)) => PathOutcome::Missed,
+            Err((Progress::Sent, _)) => PathOutcome::Failed,
             Err((Progress::NotSent, _)) => return,
         };
         self.note_health(group, &route.server, outcome);
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -13,7 +13,7 @@
 };
 
 use model::Name;
-use overload::{Circuit, CircuitChange, PathOutcome};
+use overload::{CircuitBreaker, CircuitChange, PathOutcome};
 
 use crate::{
     dialect::{CallerDialect, EndpointDialect},
@@ -38,7 +38,7 @@
 /// The paths to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
-    through_owners: HashMap<SocketAddr, Circuit>,
+    through_owners: HashMap<SocketAddr, CircuitBreaker>,
     /// Whether connects of this daemon to the server time out.
     is_unreachable: bool,
     /// Whether a tunneled connection was opened since then.
@@ -52,13 +52,13 @@
 impl ServerPaths {
     /// Whether a statement may be sent through an owner now.
     pub(crate) fn may_pass(&self, owner: &SocketAddr, now: Instant) -> bool {
-        self.through_owners.get(owner).is_none_or(|circuit| circuit.may_pass(now))
+        self.through_owners.get(owner).is_none_or(|circuit| circuit.allows_request(now))
     }
 
     /// Records that a statement is sent through an owner.
     pub(crate) fn on_pass(&mut self, owner: &SocketAddr, now: Instant) {
         if let Some(circuit) = self.through_owners.get_mut(owner) {
-            circuit.on_pass(now);
+            circuit.on_request(now);
         }
     }
 
@@ -152,7 +152,7 @@
     /// not closed.
     pub(super) fn note_attempt(&self, index: usize, request: &ConnectionRequest) {
         if !request.is_forwarded {
-            self.state.borrow_mut().servers[index].health.on_pass(Instant::now());
+            self.state.borrow_mut().servers[index].health.on_request(Instant::now());
         }
     }
 
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -8,7 +8,7 @@
 };
 
 use model::LogPoint;
-use overload::{AfterRefusal, Capacity, Circuit, Granted, Resting, Reuse};
+use overload::{AfterRefusal, Capacity, CircuitBreaker, Granted, Resting, Reuse};
 use routing::LatencyAverage;
 
 use crate::{
@@ -84,7 +84,7 @@
     pub(crate) next_tunnel: usize,
     pub(crate) no_tunnel_until: Option<Instant>,
     /// Circuit breaker on the server's results, as seen on the connections of this daemon.
-    pub(crate) health: Circuit,
+    pub(crate) health: CircuitBreaker,
     /// Which paths to the server work.
     pub(crate) paths: ServerPaths,
     /// The queue of statements for this server, if this daemon has one.
@@ -120,7 +120,7 @@
             tunnels: Arc::default(),
             next_tunnel: 0,
             no_tunnel_until: None,
-            health: Circuit::default(),
+            health: CircuitBreaker::default(),
             paths: ServerPaths::default(),
             queue: None,
             granted: Granted::default(),
@@ -158,7 +158,7 @@
             self.failures = 0;
             self.no_opening_until = None;
             self.avoid_until = None;
-            self.health = Circuit::default();
+            self.health = CircuitBreaker::default();
             self.paths = ServerPaths::default();
             self.granted = Granted::default();
         }
@@ -313,7 +313,7 @@
     /// Whether the circuit breaker lets a request of this daemon's own callers pass. Forwarded requests were
     /// checked on arrival ([`super::health`]).
     pub(crate) fn is_healthy_for(&self, request: &ConnectionRequest, now: Instant) -> bool {
-        request.only.is_some() || request.is_forwarded || self.health.may_pass(now)
+        request.only.is_some() || request.is_forwarded || self.health.allows_request(now)
     }
 
     /// Whether the last probe failed and no tunnel works.
