--- a/crates/overload/src/concurrency.rs
+++ b/crates/overload/src/concurrency.rs
@@ -6,22 +6,22 @@
 
 /// One more statement is kept inside for so many slots: an answer and the next statement need a round trip, in which a slot
 /// would stand empty.
-const SLOTS_EACH_SPARE: u32 = 4;
+const SLOTS_PER_SPARE: u32 = 4;
 /// Each finished statement moves an average by one part in so many.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
 /// The least average is forgotten by this part with each finished statement, so that it follows a server whose work has
 /// become heavier for good.
-const LEAST_FORGOTTEN: f64 = 0.001;
+const MINIMUM_DRIFT: f64 = 0.001;
 /// Statements take so many times their least average once they queue inside the server.
-const QUEUES_ABOVE: f64 = 2.0;
+const QUEUEING_RATIO: f64 = 2.0;
 /// Below so many times there is room inside for one more.
-const ROOM_BELOW: f64 = 1.5;
+const HEADROOM_RATIO: f64 = 1.5;
 
 /// The times of one rank's statements, which differ in work from those of others.
 #[derive(Clone, Copy, Debug, Default)]
-struct Times {
+struct ServiceTimes {
     average_us: f64,
-    least_us: f64,
+    min_us: f64,
 }
 
 /// A limit that follows the answering time, as gradient limits do: what queues inside a server waits where no order counts.
@@ -31,9 +31,9 @@
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     slots: u32,
-    least: u32,
+    min_limit: u32,
     limit: u32,
-    times: [Times; RANKS],
+    times: [ServiceTimes; RANKS],
     finished: u32,
 }
 
@@ -42,9 +42,9 @@
     pub(crate) fn new(slots: u32, owners: u32) -> ConcurrencyLimit {
         let mut limit = ConcurrencyLimit {
             slots: 0,
-            least: 1,
+            min_limit: 1,
             limit: 1,
-            times: [Times::default(); RANKS],
+            times: [ServiceTimes::default(); RANKS],
             finished: 0,
         };
         limit.set(slots, owners);
@@ -56,14 +56,14 @@
         let slots = slots.max(1);
         if self.slots != slots {
             self.slots = slots;
-            self.limit = self.most();
+            self.limit = self.max_limit();
         }
-        self.least = slots.div_ceil(owners.max(1));
+        self.min_limit = slots.div_ceil(owners.max(1));
     }
 
     /// Returns the limit.
     pub(crate) fn get(&self) -> u32 {
-        self.limit.max(self.least)
+        self.limit.max(self.min_limit)
     }
 
     /// Returns the server's slots.
@@ -90,24 +90,24 @@
             0.0 => took_us,
             average => average + (took_us - average) * AVERAGE_WEIGHT,
         };
-        times.least_us = match times.least_us {
+        times.min_us = match times.min_us {
             0.0 => times.average_us,
-            least => times.average_us.min(least * (1.0 + LEAST_FORGOTTEN)),
+            min => times.average_us.min(min * (1.0 + MINIMUM_DRIFT)),
         };
-        let ratio = times.average_us / times.least_us.max(1.0);
+        let ratio = times.average_us / times.min_us.max(1.0);
         self.finished += 1;
         if self.finished < self.limit {
             return;
         }
         self.finished = 0;
-        if ratio > QUEUES_ABOVE {
-            self.limit = (self.limit - 1).max(self.least);
-        } else if ratio < ROOM_BELOW {
-            self.limit = (self.limit + 1).min(self.most());
+        if ratio > QUEUEING_RATIO {
+            self.limit = (self.limit - 1).max(self.min_limit);
+        } else if ratio < HEADROOM_RATIO {
+            self.limit = (self.limit + 1).min(self.max_limit());
         }
     }
 
-    fn most(&self) -> u32 {
-        self.slots + self.slots.div_ceil(SLOTS_EACH_SPARE)
+    fn max_limit(&self) -> u32 {
+        self.slots + self.slots.div_ceil(SLOTS_PER_SPARE)
     }
 }
--- a/crates/overload/src/decaying.rs
+++ b/crates/overload/src/decaying.rs
@@ -37,8 +37,8 @@
         self.sums.insert(Name::from(account), Sum { amount, at: now });
         if self.sums.len() > MAX_ACCOUNTS {
             let half_life = self.half_life;
-            let least = added * NEGLIGIBLE_SHARE;
-            self.sums.retain(|_, sum| sum.left(half_life, now) > least);
+            let minimum = added * NEGLIGIBLE_SHARE;
+            self.sums.retain(|_, sum| sum.left(half_life, now) > minimum);
         }
         amount
     }
@@ -49,9 +49,9 @@
     }
 
     /// Returns the mean of the accounts that have at least `least`.
-    pub(crate) fn mean_above(&self, least: f64, now: Instant) -> f64 {
+    pub(crate) fn mean_above(&self, minimum: f64, now: Instant) -> f64 {
         let left = self.sums.values().map(|sum| sum.left(self.half_life, now));
-        let counted = left.filter(|amount| *amount > least);
+        let counted = left.filter(|amount| *amount > minimum);
         let (sum, count) = counted.fold((0.0, 0), |(sum, count), left| (sum + left, count + 1));
         sum / f64::from(count.max(1))
     }
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod account_retry_budget;
 mod circuit;
 mod concurrency;
+mod connection_grant;
 mod decaying;
 mod demand;
 mod fair_queue;
-mod granted;
 pub mod hold;
 mod layout;
 mod load_report;
@@ -21,9 +21,9 @@
 mod work_queue;
 
 pub use circuit::{CircuitBreaker, CircuitChange, PathOutcome};
-pub use granted::{AfterRefusal, Granted};
+pub use connection_grant::{AfterRefusal, ConnectionGrant};
 pub use layout::{Layout, Reach};
 pub use load_report::{AgedReport, LoadReport};
 pub use rank::{RANKS, Rank};
-pub use reuse::{Resting, Reuse};
+pub use reuse::{IdleConnection, ReuseHistory};
 pub use work_queue::{Capacity, Next, OfferResult, Request, Stage, Ticket, WorkQueue};
--- a/crates/overload/src/load_report.rs
+++ b/crates/overload/src/load_report.rs
@@ -26,13 +26,13 @@
     /// What was told.
     pub report: LoadReport,
     /// When it was heard.
-    pub heard_at: Instant,
+    pub received_at: Instant,
 }
 
 impl AgedReport {
     /// Returns how long a statement is expected to wait: what was told, by half less for each [`HALF_LIFE`] since.
     pub fn expected_wait(&self, rank: Rank, now: Instant) -> Duration {
-        let age = now.saturating_duration_since(self.heard_at);
+        let age = now.saturating_duration_since(self.received_at);
         let halvings = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.report.waits[rank.index()].mul_f64(0.5_f64.powf(halvings))
     }
--- a/crates/overload/tests/load_report.rs
+++ b/crates/overload/tests/load_report.rs
@@ -6,15 +6,15 @@
 
 #[test]
 fn a_report_counts_for_half_after_200_ms() {
-    let heard_at = Instant::now();
+    let received_at = Instant::now();
     let report = LoadReport {
         waits: [Duration::from_millis(80); RANKS],
         running: 6,
         slots: 6,
         service: Duration::from_millis(20),
     };
-    let aged = AgedReport { report, heard_at };
-    let wait_after = |ms| aged.expected_wait(Rank::ALL[0], heard_at + Duration::from_millis(ms));
+    let aged = AgedReport { report, received_at };
+    let wait_after = |ms| aged.expected_wait(Rank::ALL[0], received_at + Duration::from_millis(ms));
     assert_eq!(wait_after(0), Duration::from_millis(80));
     assert_eq!(wait_after(200), Duration::from_millis(40));
     assert_eq!(wait_after(400), Duration::from_millis(20));
--- a/crates/proxy/src/relay/load_messages.rs
+++ b/crates/proxy/src/relay/load_messages.rs
@@ -43,7 +43,7 @@
         }
         let service = Duration::from_micros(u64::from(self.service_us));
         let report = LoadReport { waits, running: self.running, slots: self.slots, service };
-        AgedReport { report, heard_at: now }
+        AgedReport { report, received_at: now }
     }
 }
 
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/slot.rs
@@ -8,7 +8,9 @@
 };
 
 use model::LogPoint;
-use overload::{AfterRefusal, Capacity, CircuitBreaker, Granted, Resting, Reuse};
+use overload::{
+    AfterRefusal, Capacity, CircuitBreaker, ConnectionGrant, IdleConnection, ReuseHistory,
+};
 use routing::LatencyAverage;
 
 use crate::{
@@ -90,9 +92,9 @@
     /// The queue of statements for this server, if this daemon has one.
     pub(crate) queue: Option<Rc<ServerQueue>>,
     /// Estimate of how many connections the server grants at present.
-    pub(crate) granted: Granted,
+    pub(crate) granted: ConnectionGrant,
     /// How often each account uses connections to the server; `None` if accounts don't compete for them.
-    pub(crate) reuse: Option<Reuse>,
+    pub(crate) reuse: Option<ReuseHistory>,
     /// Whether the server is still listed; otherwise it gets no new work.
     pub(crate) listed: bool,
 }
@@ -123,7 +125,7 @@
             health: CircuitBreaker::default(),
             paths: ServerPaths::default(),
             queue: None,
-            granted: Granted::default(),
+            granted: ConnectionGrant::default(),
             reuse: None,
             listed: true,
         }
@@ -160,7 +162,7 @@
             self.avoid_until = None;
             self.health = CircuitBreaker::default();
             self.paths = ServerPaths::default();
-            self.granted = Granted::default();
+            self.granted = ConnectionGrant::default();
         }
         self.entry = entry;
     }
@@ -186,10 +188,13 @@
     fn least_likely(&self, of_first: usize, now: Instant) -> Option<usize> {
         let Some(reuse) = &self.reuse else { return (of_first > 0).then_some(0) };
         let idle = self.idle.iter().take(of_first);
-        let idle: Vec<Resting<'_>> = idle
-            .map(|(since, idle)| Resting { account: idle.principal.told(), since: *since })
+        let idle: Vec<IdleConnection<'_>> = idle
+            .map(|(since, idle)| IdleConnection {
+                account: idle.principal.told(),
+                idle_since: *since,
+            })
             .collect();
-        reuse.least_likely(&idle, now)
+        reuse.least_likely_reused(&idle, now)
     }
 
     /// Records that a connection is used for a principal.
@@ -262,14 +267,14 @@
         }
         let held = self.idle.len() as u32 + self.in_use;
         match self.granted.on_refused(held, Instant::now()) {
-            AfterRefusal::Exchange => self.no_opening_until = None,
+            AfterRefusal::Replace => self.no_opening_until = None,
             AfterRefusal::Pause => {}
         }
     }
 
     /// Returns how many connections there may be now.
     fn max_connections_at(&self, now: Instant) -> u32 {
-        self.granted.most(self.limit + self.overflow, now)
+        self.granted.max_connections(self.limit + self.overflow, now)
     }
 
     /// Records that the owner's circuit breaker for this server is open.
