--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -14,24 +14,24 @@
 /// Votes that a keeper needs, as a part of the members: above a half, since two daemons may know of somewhat different
 /// members while some come and go. Any two such sets that differ by less than two fifths of the members have a voter in
 /// common.
-const QUORUM_PART: f64 = 0.55;
+const QUORUM_SHARE: f64 = 0.55;
 /// The part of the members' votes from which a keeper lends the whole rate; with fewer it lends their part of it, and the others
 /// may lend theirs. Whoever has no more votes than are left beside it lends none of the rate, so that nothing is lent twice.
-const WHOLE_PART: f64 = 0.75;
+const FULL_RATE_SHARE: f64 = 0.75;
 /// A candidate to which more than one member in so many is bound does not leave the campaign to another one.
-const MANY_PART: usize = 3;
+const MANY_VOTES_DIVISOR: usize = 3;
 /// How often a daemon's part of what is lent without a keeper may be used in a window: by a candidate that it supported
 /// at the end of one window and still lends, by the next one, and once more where the daemon started anew and does not
 /// know. The part is divided by it.
-const USES_IN_WINDOW: f64 = 3.0;
+const MAX_USES_PER_WINDOW: f64 = 3.0;
 
 /// The times of an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ElectionTimes {
     /// How long a vote binds its voter.
-    pub binds: Duration,
+    pub vote_duration: Duration,
     /// How long it counts for the candidate; less, by what clocks may drift in that time.
-    pub counts: Duration,
+    pub counted_for: Duration,
     /// The window of the limits: in one of them a voter supports one candidate that is not proved.
     pub window: Duration,
 }
@@ -42,11 +42,11 @@
     /// The candidate's host.
     pub host: Name,
     /// A number of this life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it has a quorum.
-    pub is_keeper: bool,
+    pub is_coordinator: bool,
     /// Whether it has stopped lending and frees those that are bound to it.
-    pub ends: bool,
+    pub resigns: bool,
 }
 
 /// The answer.
@@ -65,11 +65,11 @@
 pub struct Voter {
     times: ElectionTimes,
     /// Until when a former life of this daemon may be bound.
-    fresh_until: Instant,
+    unknown_votes_until: Instant,
     bound: Option<Bound>,
     supported_at: Option<Instant>,
     /// Who last said to be the keeper, and when; whoever it is bound to.
-    heard: Option<(Name, Instant)>,
+    announced: Option<(Name, Instant)>,
 }
 
 #[derive(Clone, Debug)]
@@ -84,69 +84,76 @@
     pub fn new(times: ElectionTimes, now: Instant) -> Voter {
         Voter {
             times,
-            fresh_until: now + times.binds,
+            unknown_votes_until: now + times.vote_duration,
             bound: None,
             supported_at: None,
-            heard: None,
+            announced: None,
         }
     }
 
     /// Answers a candidate. Only a daemon whose lease stands by its own clock votes: others may count it no more.
     pub fn vote(&mut self, request: &VoteRequest, is_member: bool, now: Instant) -> Vote {
-        if request.ends {
+        if request.resigns {
             return self.release(request);
         }
-        if request.is_keeper {
-            self.heard = Some((request.host.clone(), now));
+        if request.is_coordinator {
+            self.announced = Some((request.host.clone(), now));
         }
         let is_other = |bound: &&Bound| {
             now < bound.until
-                && (bound.request.host != request.host || bound.request.life != request.life)
+                && (bound.request.host != request.host
+                    || bound.request.incarnation != request.incarnation)
         };
         if !is_member || self.bound.as_ref().is_some_and(|bound| is_other(&bound)) {
             return Vote::default();
         }
         let is_same = |bound: &Bound| {
-            bound.request.host == request.host && bound.request.life == request.life
+            bound.request.host == request.host && bound.request.incarnation == request.incarnation
         };
         let supported = self.bound.as_ref().is_some_and(|bound| is_same(bound) && bound.supports);
         let may_support =
             self.supported_at.is_none_or(|at| now.duration_since(at) >= self.times.window);
-        let supports = supported || (!request.is_keeper && may_support);
+        let supports = supported || (!request.is_coordinator && may_support);
         if supports && !supported {
             self.supported_at = Some(now);
         }
-        let until = now + self.times.binds;
+        let until = now + self.times.vote_duration;
         self.bound = Some(Bound { request: request.clone(), until, supports });
-        Vote { is_granted: now >= self.fresh_until, is_bound: true, is_provisional: supports }
+        Vote {
+            is_granted: now >= self.unknown_votes_until,
+            is_bound: true,
+            is_provisional: supports,
+        }
     }
 
     /// Frees this voter of a keeper that has stopped lending.
     fn release(&mut self, request: &VoteRequest) -> Vote {
-        let is_same = |it: &VoteRequest| it.host == request.host && it.life == request.life;
+        let is_same =
+            |it: &VoteRequest| it.host == request.host && it.incarnation == request.incarnation;
         self.bound.take_if(|bound| is_same(&bound.request));
-        self.heard.take_if(|(host, _)| *host == request.host);
+        self.announced.take_if(|(host, _)| *host == request.host);
         Vote::default()
     }
 
     /// Returns whom this daemon takes for the keeper: who last said so, else the one that it is bound to.
-    pub fn keeper(&self, now: Instant) -> Option<&Name> {
-        let heard = self.heard.as_ref().filter(|(_, at)| now < *at + self.times.binds);
+    pub fn coordinator(&self, now: Instant) -> Option<&Name> {
+        let announced =
+            self.announced.as_ref().filter(|(_, at)| now < *at + self.times.vote_duration);
         let bound = self.bound.as_ref().filter(|bound| now < bound.until);
-        heard.map(|(host, _)| host).or(bound.map(|bound| &bound.request.host))
+        announced.map(|(host, _)| host).or(bound.map(|bound| &bound.request.host))
     }
 
     /// Notes that a daemon is the keeper, as it or another one has told.
-    pub fn note_keeper(&mut self, host: Name, now: Instant) {
-        self.heard = Some((host, now));
+    pub fn note_coordinator(&mut self, host: Name, now: Instant) {
+        self.announced = Some((host, now));
     }
 }
 
 /// What a daemon is in an election.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum ElectionState {
     /// It keeps the limits.
-    Keeper {
+    Coordinator {
         /// Rises with each time that it came to keep them.
         term: u64,
         /// Since when.
@@ -200,7 +207,7 @@
     /// Since when it has a quorum.
     since: Option<Instant>,
     /// Since when it has so many votes that it lends the whole rate.
-    whole_since: Option<Instant>,
+    full_rate_since: Option<Instant>,
     valid_until: Option<Instant>,
 }
 
@@ -212,27 +219,27 @@
             ballots: HashMap::new(),
             term,
             since: None,
-            whole_since: None,
+            full_rate_since: None,
             valid_until: None,
         }
     }
 
     /// Takes over an answer.
     pub fn count(&mut self, ballot: Ballot) {
-        let counts = self.times.counts;
+        let counted_for = self.times.counted_for;
         let before = self.ballots.remove(&ballot.host).filter(|before| {
-            before.ballot.vote.is_granted && ballot.asked_at < before.ballot.asked_at + counts
+            before.ballot.vote.is_granted && ballot.asked_at < before.ballot.asked_at + counted_for
         });
         let since = before.and_then(|before| before.since);
         self.ballots.insert(ballot.host.clone(), Counted { ballot, since });
     }
 
     /// Works out until when the votes of these members hold.
-    pub fn settle(&mut self, members: &[Name], now: Instant) {
+    pub fn tally(&mut self, members: &[Name], now: Instant) {
         for counted in self.ballots.values_mut().filter(|it| it.ballot.vote.is_granted) {
             counted.since.get_or_insert(now);
         }
-        let counted = |ballot: &&Ballot| now < ballot.asked_at + self.times.counts;
+        let counted = |ballot: &&Ballot| now < ballot.asked_at + self.times.counted_for;
         let ballots = || {
             let answers = members.iter().filter_map(|host| self.ballots.get(host));
             answers.map(|it| &it.ballot).filter(counted)
@@ -241,15 +248,15 @@
             ballots().filter(|it| it.vote.is_granted).map(|it| it.asked_at).collect();
         let bound: Vec<Instant> =
             ballots().filter(|it| it.vote.is_bound).map(|it| it.asked_at).collect();
-        let quorum = (members.len() as f64 * QUORUM_PART) as usize + 1;
+        let quorum = (members.len() as f64 * QUORUM_SHARE) as usize + 1;
         granted.sort_unstable();
         let by_quorum = granted.len().checked_sub(quorum).map(|place| granted[place]);
         let is_unanimous = !members.is_empty() && bound.len() == members.len();
         let by_all = bound.iter().min().copied().filter(|_| is_unanimous);
-        let is_whole = by_all.is_some() || is_whole(granted.len(), members.len());
-        self.whole_since = is_whole.then(|| self.whole_since.unwrap_or(now));
+        let has_full_rate = by_all.is_some() || has_full_rate(granted.len(), members.len());
+        self.full_rate_since = has_full_rate.then(|| self.full_rate_since.unwrap_or(now));
         let asked_at = by_quorum.max(by_all);
-        self.valid_until = asked_at.map(|at| at + self.times.counts);
+        self.valid_until = asked_at.map(|at| at + self.times.counted_for);
         match (self.valid_until, self.since) {
             (Some(_), None) => {
                 self.since = Some(now);
@@ -262,35 +269,38 @@
     }
 
     /// Returns what this daemon is now.
-    pub fn standing(&self, members: usize, now: Instant) -> Standing {
-        let is_valid = |it: &&Counted| now < it.ballot.asked_at + self.times.counts;
+    pub fn state(&self, members: usize, now: Instant) -> ElectionState {
+        let is_valid = |it: &&Counted| now < it.ballot.asked_at + self.times.counted_for;
         let votes = || self.ballots.values().filter(is_valid);
         let is_granted = |it: &&Counted| it.ballot.vote.is_granted && it.since.is_some();
         let granted = votes().filter(is_granted).count();
         let bound = votes().filter(|it| it.ballot.vote.is_bound).count();
-        let is_whole = bound >= members || is_whole(granted, members);
-        if let Some(since) = self.whole_since.filter(|_| is_whole && self.is_keeper(now)) {
-            return Standing::Keeper { term: self.term, since };
+        let has_full_rate = bound >= members || has_full_rate(granted, members);
+        if let Some(since) =
+            self.full_rate_since.filter(|_| has_full_rate && self.is_coordinator(now))
+        {
+            return ElectionState::Coordinator { term: self.term, since };
         }
         let share = granted as f64 / members.max(1) as f64;
         let since = votes().filter(is_granted).filter_map(|it| it.since).max();
-        if let Some(since) = since.filter(|_| share > 1.0 - WHOLE_PART) {
-            return Standing::Partial { term: self.term, since, share: share.min(1.0) };
+        if let Some(since) = since.filter(|_| share > 1.0 - FULL_RATE_SHARE) {
+            return ElectionState::Partial { term: self.term, since, share: share.min(1.0) };
         }
         if self.since.is_some() {
-            return Standing::None;
+            return ElectionState::None;
         }
         let supports = votes().filter(|it| it.ballot.vote.is_provisional).count() as f64;
         let parts = supports / members.max(1) as f64;
-        Standing::Candidate { term: self.term, share: parts.min(1.0) / USES_IN_WINDOW }
+        ElectionState::Candidate { term: self.term, share: parts.min(1.0) / MAX_USES_PER_WINDOW }
     }
 
     /// Whether a good part of so many members has voted for it a moment ago: one round more may be enough, and votes that it
     /// gave up now would bind their voters to nobody.
     pub fn has_many_votes(&self, members: usize, now: Instant) -> bool {
-        let is_bound =
-            |it: &&Counted| it.ballot.vote.is_bound && now < it.ballot.asked_at + self.times.counts;
-        self.ballots.values().filter(is_bound).count() * MANY_PART > members
+        let is_bound = |it: &&Counted| {
+            it.ballot.vote.is_bound && now < it.ballot.asked_at + self.times.counted_for
+        };
+        self.ballots.values().filter(is_bound).count() * MANY_VOTES_DIVISOR > members
     }
 
     /// Returns the term that the next candidacy of this life begins with.
@@ -299,19 +309,19 @@
     }
 
     /// Whether it has a quorum.
-    pub fn is_keeper(&self, now: Instant) -> bool {
+    pub fn is_coordinator(&self, now: Instant) -> bool {
         self.since.is_some() && self.valid_until.is_some_and(|until| now < until)
     }
 }
 
 /// Whether so many votes leave none of the others enough to lend a part of the rate.
-fn is_whole(votes: usize, members: usize) -> bool {
-    members > 0 && votes as f64 >= members as f64 * WHOLE_PART
+fn has_full_rate(votes: usize, members: usize) -> bool {
+    members > 0 && votes as f64 >= members as f64 * FULL_RATE_SHARE
 }
 
 /// How long nothing may be heard of a keeper before a daemon asks for votes itself, by its place among the members: one
 /// after the other, so that they don't take each other's votes.
-pub fn campaign_after(silence: Duration, place: usize) -> Duration {
+pub fn campaign_delay(silence: Duration, place: usize) -> Duration {
     /// A round of votes and the scheduling of a busy host.
     const EACH: Duration = Duration::from_millis(60);
     silence + EACH * place as u32
@@ -319,7 +329,7 @@
 
 /// Whether a candidate without a quorum leaves the campaign to another one, by their places in the order of the voters: the
 /// first of those that hear each other stays.
-pub fn gives_way(own: Option<usize>, other: Option<usize>) -> bool {
+pub fn should_yield(own: Option<usize>, other: Option<usize>) -> bool {
     match (own, other) {
         (Some(own), Some(other)) => other < own,
         // A daemon that the voters do not know has no chance.
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use model::Name;
 
-use crate::{budget::Budget, election::Standing};
+use crate::{budget::Budget, election::ElectionState};
 
 /// How long a daemon is told to wait at the least when nothing is left: a flood is refused by the daemon that it
 /// reaches meanwhile, without a question.
@@ -61,16 +61,15 @@
         account: &Name,
         budget: &Budget,
         wanted: &Wanted,
-        standing: Standing,
+        state: ElectionState,
         lasts: Duration,
         now: Instant,
     ) -> Grant {
-        let (term, since) = match standing {
-            Standing::Keeper { term, since } | Standing::Partial { term, since, .. } => {
-                (term, since)
-            }
-            Standing::Candidate { term, .. } => (term, now),
-            Standing::None => return Grant::NotKeeper,
+        let (term, since) = match state {
+            ElectionState::Coordinator { term, since }
+            | ElectionState::Partial { term, since, .. } => (term, since),
+            ElectionState::Candidate { term, .. } => (term, now),
+            ElectionState::None => return Grant::NotKeeper,
         };
         if term != self.term {
             for ledger in self.accounts.values_mut() {
@@ -85,11 +84,11 @@
             provisional: 0.0,
             provisional_at: now,
         });
-        match standing {
-            Standing::Candidate { share, .. } => {
+        match state {
+            ElectionState::Candidate { share, .. } => {
                 ledger.lend_provisionally(budget, wanted, share, now)
             }
-            Standing::Partial { share, .. } => {
+            ElectionState::Partial { share, .. } => {
                 ledger.lend(&budget.part(share), wanted, since, lasts, now)
             }
             _ => ledger.lend(budget, wanted, since, lasts, now),
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -13,6 +13,7 @@
 pub use allotment::{Allotment, Lent, Taken};
 pub use budget::{Budget, RateLimit, WindowRule};
 pub use election::{
-    Ballot, Candidacy, ElectionTimes, Standing, Vote, VoteRequest, Voter, campaign_after, gives_way,
+    Ballot, Candidacy, ElectionState, ElectionTimes, Vote, VoteRequest, Voter, campaign_delay,
+    should_yield,
 };
 pub use ledger::{Grant, Ledger, Wanted};
--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use limits::{
-    Allotment, Ballot, Candidacy, ElectionTimes, Grant, Ledger, Lent, RateLimit, Standing, Taken,
-    Vote, VoteRequest, Voter, Wanted, WindowRule, campaign_after, gives_way,
+    Allotment, Ballot, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, Lent, RateLimit,
+    Taken, Vote, VoteRequest, Voter, Wanted, WindowRule, campaign_delay, should_yield,
 };
 use model::Name;
 
 const TIMES: ElectionTimes = ElectionTimes {
-    binds: Duration::from_millis(600),
-    counts: Duration::from_millis(570),
+    vote_duration: Duration::from_millis(600),
+    counted_for: Duration::from_millis(570),
     window: Duration::from_secs(5),
 };
 
@@ -18,8 +18,8 @@
     Duration::from_millis(ms)
 }
 
-fn request(host: &str, life: u64) -> VoteRequest {
-    VoteRequest { host: Name::from(host), life, is_keeper: false, ends: false }
+fn request(host: &str, incarnation: u64) -> VoteRequest {
+    VoteRequest { host: Name::from(host), incarnation, is_coordinator: false, resigns: false }
 }
 
 fn hosts(count: usize) -> Vec<Name> {
@@ -53,11 +53,11 @@
     let start = Instant::now();
     let mut voter = Voter::new(TIMES, start);
     voter.vote(&request("a", 1), true, start);
-    let ends = |host, life| VoteRequest { ends: true, ..request(host, life) };
-    voter.vote(&ends("b", 1), true, start + ms(10));
-    voter.vote(&ends("a", 2), true, start + ms(10));
+    let resigns = |host, incarnation| VoteRequest { resigns: true, ..request(host, incarnation) };
+    voter.vote(&resigns("b", 1), true, start + ms(10));
+    voter.vote(&resigns("a", 2), true, start + ms(10));
     assert!(!voter.vote(&request("b", 1), true, start + ms(20)).is_bound);
-    voter.vote(&ends("a", 1), true, start + ms(30));
+    voter.vote(&resigns("a", 1), true, start + ms(30));
     assert!(voter.vote(&request("b", 1), true, start + ms(40)).is_bound);
 }
 
@@ -97,17 +97,18 @@
         for host in &members[old..old + new] {
             candidacy.count(ballot(host, now, fresh.clone()));
         }
-        candidacy.settle(&members, now + ms(10));
-        assert_eq!(candidacy.is_keeper(now + ms(10)), keeps, "{old} {new}");
-        let lent = match candidacy.standing(9, now + ms(10)) {
-            Standing::Keeper { .. } => Lends::Whole,
-            Standing::Partial { share, .. } => Lends::Ninths((share * 9.0).round() as usize),
-            Standing::Candidate { .. } | Standing::None => Lends::Provisional,
+        candidacy.tally(&members, now + ms(10));
+        assert_eq!(candidacy.is_coordinator(now + ms(10)), keeps, "{old} {new}");
+        let lent = match candidacy.state(9, now + ms(10)) {
+            ElectionState::Coordinator { .. } => Lends::Whole,
+            ElectionState::Partial { share, .. } => Lends::Ninths((share * 9.0).round() as usize),
+            ElectionState::Candidate { .. } | ElectionState::None => Lends::Provisional,
         };
         assert_eq!(lent, lends, "{old} {new}");
-        assert!(!candidacy.is_keeper(now + ms(570)), "{old} {new}");
-        let late = candidacy.standing(9, now + ms(570));
-        let lends_late = matches!(late, Standing::Keeper { .. } | Standing::Partial { .. });
+        assert!(!candidacy.is_coordinator(now + ms(570)), "{old} {new}");
+        let late = candidacy.state(9, now + ms(570));
+        let lends_late =
+            matches!(late, ElectionState::Coordinator { .. } | ElectionState::Partial { .. });
         assert!(!lends_late, "{old} {new}: {late:?}");
     }
 }
@@ -131,10 +132,10 @@
             for host in voters {
                 candidacy.count(ballot(host, now, granted.clone()));
             }
-            candidacy.settle(&members, now);
+            candidacy.tally(&members, now);
             let wanted = Wanted { host: voters[0].clone(), unused: 0, wanted: 1_000 };
-            let standing = candidacy.standing(9, now);
-            let grant = ledger.lend(&Name::from("a"), &budget, &wanted, standing, ms(500), now);
+            let state = candidacy.state(9, now);
+            let grant = ledger.lend(&Name::from("a"), &budget, &wanted, state, ms(500), now);
             if let Grant::Lent(count) = grant {
                 lent[side] += count;
             }
@@ -158,19 +159,19 @@
         for host in &members[..votes] {
             candidacy.count(ballot(host, start + ms(at_ms), granted.clone()));
         }
-        candidacy.settle(&members, start + ms(at_ms));
+        candidacy.tally(&members, start + ms(at_ms));
     }
-    let standing = candidacy.standing(9, start + ms(1_200));
-    let Standing::Partial { since, .. } = standing else { panic!("{standing:?}") };
+    let state = candidacy.state(9, start + ms(1_200));
+    let ElectionState::Partial { since, .. } = state else { panic!("{state:?}") };
     assert_eq!(since, start + ms(1_200));
 }
 
 #[test]
 fn those_that_come_later_in_order_wait_longer() {
-    let waits: Vec<Duration> = (0..3).map(|place| campaign_after(ms(400), place)).collect();
+    let waits: Vec<Duration> = (0..3).map(|place| campaign_delay(ms(400), place)).collect();
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
     // No two begin together, however many are silent at the head of the order.
-    assert!(campaign_after(ms(400), 70) < campaign_after(ms(400), 71));
+    assert!(campaign_delay(ms(400), 70) < campaign_delay(ms(400), 71));
 }
 
 #[test]
@@ -220,8 +221,8 @@
                 questions += 1;
                 let (unused, wanted) = allotment.wanted(1, now);
                 let wanted = Wanted { host: Name::from("h"), unused, wanted };
-                let standing = Standing::Keeper { term: 1, since: start };
-                let lent = ledger.lend(&Name::from("a"), &budget, &wanted, standing, ms(500), now);
+                let state = ElectionState::Coordinator { term: 1, since: start };
+                let lent = ledger.lend(&Name::from("a"), &budget, &wanted, state, ms(500), now);
                 match lent {
                     Grant::Lent(count) => {
                         allotment.take_over(Lent { count, asked_at: now, lasts: ms(500) });
@@ -240,17 +241,17 @@
 /// The pattern: a partition ends, and a third of the daemons ask for votes at once, each with some of them.
 #[test]
 fn of_the_candidates_that_hear_each_other_the_first_in_order_stays() {
-    let stays = |own: usize| (0..25).all(|other| !gives_way(Some(own), Some(other)));
+    let stays = |own: usize| (0..25).all(|other| !should_yield(Some(own), Some(other)));
     assert_eq!((0..25).filter(|own| stays(*own)).collect::<Vec<_>>(), [0]);
-    assert!(gives_way(None, Some(70)));
-    assert!(!gives_way(Some(70), None));
+    assert!(should_yield(None, Some(70)));
+    assert!(!should_yield(Some(70), None));
 }
 
 /// The pattern: a candidate has nearly enough votes as one that comes before it in the order returns to the campaign.
 #[test]
 fn a_candidate_with_many_votes_is_known_until_they_end() {
     let now = Instant::now();
-    let times = ElectionTimes { binds: ms(600), counts: ms(570), window: ms(5_000) };
+    let times = ElectionTimes { vote_duration: ms(600), counted_for: ms(570), window: ms(5_000) };
     let mut candidacy = Candidacy::new(times, 1);
     let vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     for voter in 0..10 {
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -10,7 +10,7 @@
 };
 
 use limits::{
-    Ballot, Budget, Candidacy, ElectionTimes, Grant, Ledger, RateLimit, Standing, VoteRequest,
+    Ballot, Budget, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, RateLimit, VoteRequest,
     Voter, Wanted, WindowRule,
 };
 use model::Name;
@@ -18,7 +18,7 @@
 
 const STEP: Duration = Duration::from_millis(20);
 const STEPS: u64 = 360;
-const LENT_LASTS: Duration = Duration::from_millis(500);
+const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 const DAEMONS: usize = 5;
 /// Orders of events that are run.
 const ORDERS: u64 = 20_000;
@@ -27,8 +27,8 @@
 
 const RULE: WindowRule = WindowRule { window: Duration::from_secs(2), overage: 0.1, slack: 5.0 };
 const TIMES: ElectionTimes = ElectionTimes {
-    binds: Duration::from_millis(600),
-    counts: Duration::from_millis(570),
+    vote_duration: Duration::from_millis(600),
+    counted_for: Duration::from_millis(570),
     window: Duration::from_secs(2),
 };
 
@@ -37,24 +37,24 @@
 enum Broken {
     Nothing,
     /// A candidate lends as if it had a quorum.
-    LendsWithoutQuorum,
+    GrantsWithoutQuorum,
     /// A keeper of a part of the members lends the whole rate.
-    LendsTheWholeInPart,
+    GrantsFullRateInPart,
     /// What was lent counts as ended for the keeper at once, and its holder uses it for as long as it is there.
-    UsesWhatHasEnded,
+    UsesExpiredQuota,
     /// A keeper saves up a whole window's operations, and lends them however many are out.
-    SavesUpAWindow,
+    SavesFullWindow,
 }
 
 struct Daemon {
     host: Name,
-    life: u64,
+    incarnation: u64,
     voter: Voter,
     candidacy: Option<Candidacy>,
     ledger: Ledger,
     held: Vec<(u32, Instant)>,
-    heard_at: Instant,
-    campaigns_after: Duration,
+    coordinator_seen_at: Instant,
+    campaign_delay: Duration,
     /// On which side of a partition it stands.
     side: u8,
     frozen_until: Instant,
@@ -65,14 +65,14 @@
     now: Instant,
     daemons: Vec<Daemon>,
     used: VecDeque<Instant>,
-    lives: u64,
+    incarnations: u64,
     broken: Broken,
     limit: RateLimit,
     /// One in so many steps a daemon's callers use what is lent: rarely, so that it lies for a while, or so often that a keeper
     /// lends all that it may.
-    uses_in: u32,
+    use_interval: u32,
     /// The more, the longer what goes wrong lasts.
-    calm: u32,
+    fault_interval: u32,
 }
 
 impl World {
@@ -83,18 +83,18 @@
             rate_per_s: [2.0, 10.0, 50.0][random.random_range(0..3)],
             burst: [1.0, 10.0, 50.0][random.random_range(0..3)],
         };
-        let uses_in = [25, 3][random.random_range(0..2)];
-        let calm = [45, 300][random.random_range(0..2)];
+        let use_interval = [25, 3][random.random_range(0..2)];
+        let fault_interval = [45, 300][random.random_range(0..2)];
         let mut world = World {
             random,
             now,
             daemons: Vec::new(),
             used: VecDeque::new(),
-            lives: 0,
+            incarnations: 0,
             broken,
             limit,
-            uses_in,
-            calm,
+            use_interval,
+            fault_interval,
         };
         for number in 0..DAEMONS {
             let daemon = world.start(number);
@@ -104,16 +104,16 @@
     }
 
     fn start(&mut self, number: usize) -> Daemon {
-        self.lives += 1;
+        self.incarnations += 1;
         Daemon {
             host: Name::from(format!("host-{number}")),
-            life: self.lives,
+            incarnation: self.incarnations,
             voter: Voter::new(TIMES, self.now),
             candidacy: None,
             ledger: Ledger::default(),
             held: Vec::new(),
-            heard_at: self.now,
-            campaigns_after: Duration::from_millis(100 + 60 * number as u64),
+            coordinator_seen_at: self.now,
+            campaign_delay: Duration::from_millis(100 + 60 * number as u64),
             side: 0,
             frozen_until: self.now,
         }
@@ -124,9 +124,9 @@
     }
 
     /// Something goes wrong, or right again.
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let one = self.random.random_range(0..DAEMONS);
-        match self.random.random_range(0..self.calm) {
+        match self.random.random_range(0..self.fault_interval) {
             0 => {
                 let cut: u8 = self.random.random_range(1..1 << (DAEMONS - 1));
                 for (number, daemon) in self.daemons.iter_mut().enumerate() {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn reach(&self, one: usize, other: usize) -> bool {
+    fn can_reach(&self, one: usize, other: usize) -> bool {
         let (one, other) = (&self.daemons[one], &self.daemons[other]);
         one.side == other.side && self.now >= one.frozen_until && self.now >= other.frozen_until
     }
@@ -157,22 +157,23 @@
         let now = self.now;
         let members = self.members();
         let daemon = &mut self.daemons[number];
-        if daemon.candidacy.is_none() && now < daemon.heard_at + daemon.campaigns_after {
+        if daemon.candidacy.is_none() && now < daemon.coordinator_seen_at + daemon.campaign_delay {
             return;
         }
-        let life = daemon.life;
-        let candidacy = daemon.candidacy.get_or_insert_with(|| Candidacy::new(TIMES, life * 1_000));
-        let is_keeper = candidacy.is_keeper(now);
+        let incarnation = daemon.incarnation;
+        let candidacy =
+            daemon.candidacy.get_or_insert_with(|| Candidacy::new(TIMES, incarnation * 1_000));
+        let is_coordinator = candidacy.is_coordinator(now);
         let host = daemon.host.clone();
-        let request = VoteRequest { host, life, is_keeper, ends: false };
+        let request = VoteRequest { host, incarnation, is_coordinator, resigns: false };
         for other in 0..DAEMONS {
-            if other != number && !self.reach(number, other) {
+            if other != number && !self.can_reach(number, other) {
                 continue;
             }
             let voter = &mut self.daemons[other];
             let vote = voter.voter.vote(&request, true, now);
             if vote.is_bound && other != number {
-                voter.heard_at = now;
+                voter.coordinator_seen_at = now;
                 voter.candidacy = None;
             }
             let ballot = Ballot { host: voter.host.clone(), asked_at: now, vote };
@@ -183,58 +184,60 @@
             }
         }
         if let Some(candidacy) = &mut self.daemons[number].candidacy {
-            candidacy.settle(&members, now);
+            candidacy.tally(&members, now);
         }
     }
 
-    fn lend_to(&mut self, asker: usize) {
+    fn grant_to(&mut self, requester: usize) {
         let now = self.now;
-        let keeper = self.daemons[asker].voter.keeper(now).cloned();
-        let keeper = self.daemons.iter().position(|daemon| Some(&daemon.host) == keeper.as_ref());
-        let Some(keeper) = keeper.filter(|keeper| *keeper == asker || self.reach(asker, *keeper))
-        else {
+        let coordinator = self.daemons[requester].voter.coordinator(now).cloned();
+        let coordinator =
+            self.daemons.iter().position(|daemon| Some(&daemon.host) == coordinator.as_ref());
+        let Some(coordinator) = coordinator.filter(|coordinator| {
+            *coordinator == requester || self.can_reach(requester, *coordinator)
+        }) else {
             return;
         };
         let mut budget: Budget = RULE.budget(&self.limit);
-        if self.broken == Broken::SavesUpAWindow {
+        if self.broken == Broken::SavesFullWindow {
             budget.burst = self.limit.rate_per_s * RULE.window.as_secs_f64();
             budget.outstanding = budget.burst;
         }
-        let unused: u32 = self.daemons[asker]
+        let unused: u32 = self.daemons[requester]
             .held
             .iter()
             .filter(|(_, until)| now < *until)
             .map(|(count, _)| count)
             .sum();
-        let wanted = Wanted { host: self.daemons[asker].host.clone(), unused, wanted: 9 };
+        let wanted = Wanted { host: self.daemons[requester].host.clone(), unused, wanted: 9 };
         let broken = self.broken;
-        let daemon = &mut self.daemons[keeper];
-        let standing = daemon
+        let daemon = &mut self.daemons[coordinator];
+        let state = daemon
             .candidacy
             .as_ref()
-            .map_or(Standing::None, |candidacy| candidacy.standing(DAEMONS, now));
-        let standing = match (broken, standing) {
-            (Broken::LendsWithoutQuorum, Standing::Candidate { term, .. }) => {
-                Standing::Keeper { term, since: now - STEP }
+            .map_or(ElectionState::None, |candidacy| candidacy.state(DAEMONS, now));
+        let state = match (broken, state) {
+            (Broken::GrantsWithoutQuorum, ElectionState::Candidate { term, .. }) => {
+                ElectionState::Coordinator { term, since: now - STEP }
             }
-            (Broken::LendsTheWholeInPart, Standing::Partial { term, since, .. }) => {
-                Standing::Keeper { term, since }
+            (Broken::GrantsFullRateInPart, ElectionState::Partial { term, since, .. }) => {
+                ElectionState::Coordinator { term, since }
             }
-            (_, standing) => standing,
+            (_, state) => state,
         };
-        let lasts = if broken == Broken::UsesWhatHasEnded { STEP / 2 } else { LENT_LASTS };
+        let lasts = if broken == Broken::UsesExpiredQuota { STEP / 2 } else { GRANT_LIFETIME };
         let account = Name::from("account");
-        let grant = daemon.ledger.lend(&account, &budget, &wanted, standing, lasts, now);
+        let grant = daemon.ledger.lend(&account, &budget, &wanted, state, lasts, now);
         if let Grant::Lent(count) = grant {
-            let held = &mut self.daemons[asker].held;
-            held.push((count, now + LENT_LASTS));
+            let held = &mut self.daemons[requester].held;
+            held.push((count, now + GRANT_LIFETIME));
         }
     }
 
     fn use_held(&mut self, number: usize) {
         let now = self.now;
-        let is_bounded = self.broken != Broken::UsesWhatHasEnded;
-        if self.random.random_range(0..self.uses_in) != 0 {
+        let is_bounded = self.broken != Broken::UsesExpiredQuota;
+        if self.random.random_range(0..self.use_interval) != 0 {
             return;
         }
         let held = std::mem::take(&mut self.daemons[number].held);
@@ -257,7 +260,7 @@
     fn run(&mut self) -> bool {
         for step in 0..STEPS {
             self.now += STEP;
-            self.disturb();
+            self.inject_fault();
             for number in 0..DAEMONS {
                 if self.now < self.daemons[number].frozen_until {
                     continue;
@@ -265,7 +268,7 @@
                 if step % 9 == 0 {
                     self.campaign(number);
                 }
-                self.lend_to(number);
+                self.grant_to(number);
                 self.use_held(number);
             }
             if self.exceeds() {
@@ -286,10 +289,10 @@
 #[test]
 fn rules_that_are_broken_on_purpose_are_noticed() {
     let all = [
-        Broken::LendsWithoutQuorum,
-        Broken::LendsTheWholeInPart,
-        Broken::UsesWhatHasEnded,
-        Broken::SavesUpAWindow,
+        Broken::GrantsWithoutQuorum,
+        Broken::GrantsFullRateInPart,
+        Broken::UsesExpiredQuota,
+        Broken::SavesFullWindow,
     ];
     for broken in all {
         let noticed = (0..ORDERS_OF_BROKEN).any(|seed| World::new(seed, broken).run());
--- a/crates/proxy/src/relay/limit_messages.rs
+++ b/crates/proxy/src/relay/limit_messages.rs
@@ -67,12 +67,12 @@
 
 impl From<&VoteRequest> for VoteRequestMessage {
     fn from(request: &VoteRequest) -> VoteRequestMessage {
-        let VoteRequest { host, life, is_keeper, ends } = request;
+        let VoteRequest { host, incarnation, is_coordinator, resigns } = request;
         VoteRequestMessage {
             host: host.to_string(),
-            incarnation: *life,
-            is_coordinator: *is_keeper,
-            ends: *ends,
+            incarnation: *incarnation,
+            is_coordinator: *is_coordinator,
+            ends: *resigns,
         }
     }
 }
@@ -83,9 +83,9 @@
         let host = Name::from(self.host.as_str());
         VoteRequest {
             host,
-            life: self.incarnation,
-            is_keeper: self.is_coordinator,
-            ends: self.ends,
+            incarnation: self.incarnation,
+            is_coordinator: self.is_coordinator,
+            resigns: self.ends,
         }
     }
 }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -14,8 +14,8 @@
 };
 
 use limits::{
-    Ballot, Candidacy, ElectionTimes, Grant, Ledger, RateLimit, Standing, Vote, VoteRequest, Voter,
-    Wanted, WindowRule, campaign_after, gives_way,
+    Ballot, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, RateLimit, Vote, VoteRequest,
+    Voter, Wanted, WindowRule, campaign_delay, should_yield,
 };
 use model::Name;
 use rand::RngExt;
@@ -58,7 +58,7 @@
 const UNLIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 const fn times(window: Duration) -> ElectionTimes {
-    ElectionTimes { binds: VOTE_DURATION, counts: VOTE_COUNTED_FOR, window }
+    ElectionTimes { vote_duration: VOTE_DURATION, counted_for: VOTE_COUNTED_FOR, window }
 }
 
 /// The members that vote, and since when this set is unchanged.
@@ -78,7 +78,7 @@
 /// This daemon's state in the election, and the quota that it holds or grants.
 pub(crate) struct Limits {
     rule: WindowRule,
-    life: u64,
+    incarnation: u64,
     voter: RefCell<Voter>,
     candidacy: RefCell<Option<Candidacy>>,
     began_at: Cell<Instant>,
@@ -97,7 +97,7 @@
         let now = Instant::now();
         Limits {
             rule,
-            life: rand::rng().random(),
+            incarnation: rand::rng().random(),
             voter: RefCell::new(Voter::new(times(rule.window), now)),
             candidacy: RefCell::default(),
             began_at: Cell::new(now),
@@ -113,12 +113,12 @@
 
     /// Returns the current coordinator, if this daemon knows one.
     pub(super) fn coordinator(&self, now: Instant) -> Option<Name> {
-        self.voter.borrow().keeper(now).cloned()
+        self.voter.borrow().coordinator(now).cloned()
     }
 
     /// Records a daemon as the coordinator.
     pub(super) fn note_coordinator(&self, host: Name, now: Instant) {
-        self.voter.borrow_mut().note_keeper(host, now);
+        self.voter.borrow_mut().note_coordinator(host, now);
     }
 
     /// Whether a coordinator was heard of since this daemon started, or it is a candidate itself.
@@ -135,32 +135,32 @@
         now: Instant,
     ) -> Grant {
         let budget = self.rule.budget(limit);
-        let standing = self.standing(now);
-        self.ledger.borrow_mut().lend(account, &budget, wanted, standing, GRANT_LIFETIME, now)
+        let state = self.election_state(now);
+        self.ledger.borrow_mut().lend(account, &budget, wanted, state, GRANT_LIFETIME, now)
     }
 
-    fn standing(&self, now: Instant) -> Standing {
+    fn election_state(&self, now: Instant) -> ElectionState {
         let members = self.electorate.borrow().hosts.len();
         let candidacy = self.candidacy.borrow();
-        candidacy.as_ref().map_or(Standing::None, |it| it.standing(members, now))
+        candidacy.as_ref().map_or(ElectionState::None, |it| it.state(members, now))
     }
 
     fn is_coordinator(&self, now: Instant) -> bool {
-        self.candidacy.borrow().as_ref().is_some_and(|candidacy| candidacy.is_keeper(now))
+        self.candidacy.borrow().as_ref().is_some_and(|candidacy| candidacy.is_coordinator(now))
     }
 
     /// Votes on a candidate's request.
     fn vote(&self, request: &VoteRequest, view: &ControlView, now: Instant) -> Vote {
         let vote = self.voter.borrow_mut().vote(request, view.is_member(now), now);
-        if request.life == self.life {
+        if request.incarnation == self.incarnation {
             return vote;
         }
-        if request.ends {
+        if request.resigns {
             // Expires the timeout, so that the first voter in order campaigns at once.
             self.coordinator_seen_at.set(now.checked_sub(COORDINATOR_TIMEOUT));
         } else if vote.is_bound {
             self.coordinator_seen_at.set(Some(now));
-        } else if request.is_keeper && !self.is_coordinator(now) {
+        } else if request.is_coordinator && !self.is_coordinator(now) {
             // Another candidate has a quorum; campaigning on would only take votes from it.
             self.coordinator_seen_at.set(Some(now));
             self.resign();
@@ -172,10 +172,10 @@
     /// once, and none reaches a quorum while each has some votes.
     fn yield_to(&self, other: &Name, own: &Name, now: Instant) {
         let members = self.electorate.borrow().hosts.len();
-        let has_chance = |it: &Candidacy| it.is_keeper(now) || it.has_many_votes(members, now);
+        let has_chance = |it: &Candidacy| it.is_coordinator(now) || it.has_many_votes(members, now);
         let is_candidate = self.candidacy.borrow().as_ref().is_some_and(|it| !has_chance(it));
         let rank_of = |host: &Name| self.electorate.borrow().hosts.iter().position(|it| it == host);
-        if is_candidate && gives_way(rank_of(own), rank_of(other)) {
+        if is_candidate && should_yield(rank_of(own), rank_of(other)) {
             self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
@@ -187,12 +187,12 @@
             electorate.since.is_some_and(|at| now.duration_since(at) >= STABLE_MEMBERS_FOR);
         let mut candidacy = self.candidacy.borrow_mut();
         let Some(candidacy) = candidacy.as_mut() else { return };
-        let was_coordinator = candidacy.is_keeper(now);
+        let was_coordinator = candidacy.is_coordinator(now);
         candidacy.count(ballot);
         if was_coordinator || is_settled {
-            candidacy.settle(&electorate.hosts, now);
+            candidacy.tally(&electorate.hosts, now);
         }
-        if candidacy.is_keeper(now) != was_coordinator {
+        if candidacy.is_coordinator(now) != was_coordinator {
             log::info!(
                 event = "limits_keeper", keeps = !was_coordinator, members = electorate.hosts.len();
                 "this daemon became or ceased to be the limit coordinator"
@@ -296,8 +296,8 @@
         limits.member_since.set(Some(member_since));
         let is_candidate = limits.candidacy.borrow().is_some();
         if is_candidate {
-            let candidacy_limit = match limits.standing(now) {
-                Standing::Partial { .. } => PARTIAL_CANDIDACY_LIMIT,
+            let candidacy_limit = match limits.election_state(now) {
+                ElectionState::Partial { .. } => PARTIAL_CANDIDACY_LIMIT,
                 _ => CANDIDACY_LIMIT,
             };
             let is_expired = now.duration_since(limits.began_at.get()) > candidacy_limit;
@@ -320,7 +320,7 @@
             Some(at) => (at, COORDINATOR_TIMEOUT),
             None => (member_since, STARTUP_COORDINATOR_TIMEOUT),
         };
-        if now.duration_since(since) < campaign_after(silence, rank) {
+        if now.duration_since(since) < campaign_delay(silence, rank) {
             return false;
         }
         let term = limits.next_term.get();
@@ -334,7 +334,12 @@
     fn release_voters(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = &self.settings.host;
         let host = own.clone();
-        let request = VoteRequest { host, life: self.limits.life, is_keeper: false, ends: true };
+        let request = VoteRequest {
+            host,
+            incarnation: self.limits.incarnation,
+            is_coordinator: false,
+            resigns: true,
+        };
         self.limits.vote(&request, view, now);
         for (host, address) in self.limits.others(own) {
             self.ask_for_vote(host, address, &request, now);
@@ -344,9 +349,13 @@
     /// Asks every voter for its vote; the answers are counted as they arrive.
     fn ask_for_votes(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
         let own = self.settings.host.clone();
-        let is_keeper = self.limits.is_coordinator(now);
-        let request =
-            VoteRequest { host: own.clone(), life: self.limits.life, is_keeper, ends: false };
+        let is_coordinator = self.limits.is_coordinator(now);
+        let request = VoteRequest {
+            host: own.clone(),
+            incarnation: self.limits.incarnation,
+            is_coordinator,
+            resigns: false,
+        };
         let vote = self.limits.vote(&request, view, now);
         if !vote.is_bound {
             // This daemon has voted for another candidate.
