--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -42,7 +42,7 @@
 
 impl Budget {
     /// Returns the part of it that a daemon lends which has that share of the members' votes.
-    pub fn part(&self, share: f64) -> Budget {
+    pub fn scaled(&self, share: f64) -> Budget {
         Budget {
             rate_per_s: self.rate_per_s * share,
             burst: self.burst * share,
@@ -53,12 +53,12 @@
 }
 
 /// The part of a window's spare operations that the keeper may have saved up.
-const BURST_PART: f64 = 0.3;
+const BURST_SHARE: f64 = 0.3;
 /// The part that may be lent and unused: a quarter of a second of the rate where bursts are a second of it.
-const OUTSTANDING_PART: f64 = 0.25;
+const OUTSTANDING_SHARE: f64 = 0.25;
 /// The part that serves accounts while there is no keeper. The rest, a twentieth, is for operations that are late on
 /// their way to a server.
-const PROVISIONAL_PART: f64 = 0.4;
+const PROVISIONAL_SHARE: f64 = 0.4;
 
 impl WindowRule {
     /// Returns how many operations any window may hold.
@@ -72,9 +72,9 @@
         let spare = self.bound(limit) - limit.rate_per_s * self.window.as_secs_f64();
         Budget {
             rate_per_s: limit.rate_per_s,
-            burst: spare * BURST_PART,
-            outstanding: (spare * OUTSTANDING_PART).max(1.0),
-            provisional: spare * PROVISIONAL_PART,
+            burst: spare * BURST_SHARE,
+            outstanding: (spare * OUTSTANDING_SHARE).max(1.0),
+            provisional: spare * PROVISIONAL_SHARE,
             window: self.window,
         }
     }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -11,13 +11,13 @@
 
 /// How long a daemon is told to wait at the least when nothing is left: a flood is refused by the daemon that it
 /// reaches meanwhile, without a question.
-const LEAST_WAIT: Duration = Duration::from_millis(40);
+const MIN_WAIT: Duration = Duration::from_millis(40);
 /// The longest such wait, so that a limit that is raised is felt soon.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 
 /// What a daemon asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct QuotaRequest {
     /// The daemon's host.
     pub host: Name,
     /// Operations that it still holds.
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
     /// So many operations.
-    Lent(u32),
+    Granted(u32),
     /// Nothing is left; it may ask again after this time.
-    Empty(Duration),
+    Exhausted(Duration),
     /// This daemon is not the keeper.
-    NotKeeper,
+    NotCoordinator,
 }
 
 /// What is lent of all accounts' limits.
@@ -48,7 +48,7 @@
 struct AccountLedger {
     tokens: f64,
     refilled_at: Instant,
-    out: HashMap<Name, (u32, Instant)>,
+    outstanding: HashMap<Name, (u32, Instant)>,
     /// Operations that were lent without a proved keeper and still count, and when that was worked out.
     provisional: f64,
     provisional_at: Instant,
@@ -56,20 +56,20 @@
 
 impl Ledger {
     /// Lends what there is of an account's limit; what is lent ends `lasts` after now at the latest.
-    pub fn lend(
+    pub fn grant(
         &mut self,
         account: &Name,
         budget: &Budget,
-        wanted: &Wanted,
+        request: &QuotaRequest,
         state: ElectionState,
-        lasts: Duration,
+        lifetime: Duration,
         now: Instant,
     ) -> Grant {
         let (term, since) = match state {
             ElectionState::Coordinator { term, since }
             | ElectionState::Partial { term, since, .. } => (term, since),
             ElectionState::Candidate { term, .. } => (term, now),
-            ElectionState::None => return Grant::NotKeeper,
+            ElectionState::None => return Grant::NotCoordinator,
         };
         if term != self.term {
             for ledger in self.accounts.values_mut() {
@@ -80,18 +80,18 @@
         let ledger = self.accounts.entry(account.clone()).or_insert_with(|| AccountLedger {
             tokens: 0.0,
             refilled_at: since,
-            out: HashMap::new(),
+            outstanding: HashMap::new(),
             provisional: 0.0,
             provisional_at: now,
         });
         match state {
             ElectionState::Candidate { share, .. } => {
-                ledger.lend_provisionally(budget, wanted, share, now)
+                ledger.grant_provisionally(budget, request, share, now)
             }
             ElectionState::Partial { share, .. } => {
-                ledger.lend(&budget.part(share), wanted, since, lasts, now)
+                ledger.grant(&budget.scaled(share), request, since, lifetime, now)
             }
-            _ => ledger.lend(budget, wanted, since, lasts, now),
+            _ => ledger.grant(budget, request, since, lifetime, now),
         }
     }
 }
@@ -101,43 +101,43 @@
     /// lent without a keeper still counts.
     fn begin_term(&mut self) {
         self.tokens = 0.0;
-        self.out.clear();
+        self.outstanding.clear();
     }
 
-    fn lend(
+    fn grant(
         &mut self,
         budget: &Budget,
-        wanted: &Wanted,
+        request: &QuotaRequest,
         since: Instant,
-        lasts: Duration,
+        lifetime: Duration,
         now: Instant,
     ) -> Grant {
         let from = self.refilled_at.max(since);
         let saved = now.saturating_duration_since(from).as_secs_f64() * budget.rate_per_s;
         self.refilled_at = now.max(from);
-        self.out.retain(|_, (_, until)| *until > now);
+        self.outstanding.retain(|_, (_, until)| *until > now);
         // What is held was lent, so it can't be more than that.
-        let lent = self.out.remove(&wanted.host).map_or(0, |(count, _)| count);
-        let kept = wanted.unused.min(lent);
+        let granted = self.outstanding.remove(&request.host).map_or(0, |(count, _)| count);
+        let kept = request.unused.min(granted);
         self.tokens = (self.tokens + saved).min(budget.burst.max(1.0));
-        let out = kept + self.out.values().map(|(count, _)| *count).sum::<u32>();
-        let room = (budget.outstanding - f64::from(out)).max(0.0);
-        let count = self.tokens.min(room).min(f64::from(wanted.wanted)).floor();
+        let outstanding = kept + self.outstanding.values().map(|(count, _)| *count).sum::<u32>();
+        let room = (budget.outstanding - f64::from(outstanding)).max(0.0);
+        let count = self.tokens.min(room).min(f64::from(request.wanted)).floor();
         let count = if count < 1.0 { 0 } else { count as u32 };
         if kept + count > 0 {
-            self.out.insert(wanted.host.clone(), (kept + count, now + lasts));
+            self.outstanding.insert(request.host.clone(), (kept + count, now + lifetime));
         }
         if count == 0 {
-            return Grant::Empty(self.time_until_one(budget, out));
+            return Grant::Exhausted(self.time_until_one(budget, outstanding));
         }
         self.tokens -= f64::from(count);
-        Grant::Lent(count)
+        Grant::Granted(count)
     }
 
-    fn lend_provisionally(
+    fn grant_provisionally(
         &mut self,
         budget: &Budget,
-        wanted: &Wanted,
+        request: &QuotaRequest,
         share: f64,
         now: Instant,
     ) -> Grant {
@@ -147,21 +147,21 @@
         self.provisional = (self.provisional - forgotten).max(0.0);
         self.provisional_at = now;
         let left = most - self.provisional;
-        let count = left.min(f64::from(wanted.wanted)).floor();
+        let count = left.min(f64::from(request.wanted)).floor();
         if count < 1.0 {
-            return Grant::Empty(LEAST_WAIT * 4);
+            return Grant::Exhausted(MIN_WAIT * 4);
         }
         self.provisional += count;
-        Grant::Lent(count as u32)
+        Grant::Granted(count as u32)
     }
 
     /// Returns when there may be something for one more daemon, after those that wait already.
-    fn time_until_one(&self, budget: &Budget, out: u32) -> Duration {
+    fn time_until_one(&self, budget: &Budget, outstanding: u32) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         let seconds = missing / budget.rate_per_s.max(0.001);
         // Whoever holds something is about to ask again too.
-        let others = f64::from(out.min(8)) / budget.rate_per_s.max(0.001);
-        let seconds = (seconds + others).min(LONGEST_WAIT.as_secs_f64());
-        Duration::from_secs_f64(seconds).max(LEAST_WAIT)
+        let others = f64::from(outstanding.min(8)) / budget.rate_per_s.max(0.001);
+        let seconds = (seconds + others).min(MAX_WAIT.as_secs_f64());
+        Duration::from_secs_f64(seconds).max(MIN_WAIT)
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -5,15 +5,15 @@
 //! state machine without input, output or clock: the daemon feeds it and carries out what it returns. The guarantee
 //! and its proof stand in `docs/ACCOUNTS.md`.
 
-mod allotment;
 mod budget;
 mod election;
+mod held_quota;
 mod ledger;
 
-pub use allotment::{Allotment, Lent, Taken};
 pub use budget::{Budget, RateLimit, WindowRule};
 pub use election::{
     Ballot, Candidacy, ElectionState, ElectionTimes, Vote, VoteRequest, Voter, campaign_delay,
     should_yield,
 };
-pub use ledger::{Grant, Ledger, Wanted};
+pub use held_quota::{GrantedQuota, HeldQuota, TakeResult};
+pub use ledger::{Grant, Ledger, QuotaRequest};
--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -3,8 +3,9 @@
 use std::time::{Duration, Instant};
 
 use limits::{
-    Allotment, Ballot, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, Lent, RateLimit,
-    Taken, Vote, VoteRequest, Voter, Wanted, WindowRule, campaign_delay, should_yield,
+    Ballot, Candidacy, ElectionState, ElectionTimes, Grant, GrantedQuota, HeldQuota, Ledger,
+    QuotaRequest, RateLimit, TakeResult, Vote, VoteRequest, Voter, WindowRule, campaign_delay,
+    should_yield,
 };
 use model::Name;
 
@@ -63,7 +64,7 @@
 
 /// What a daemon lends of a limit.
 #[derive(Debug, PartialEq)]
-enum Lends {
+enum Share {
     Whole,
     /// So many ninths of the rate.
     Ninths(usize),
@@ -74,37 +75,37 @@
 fn a_quorum_of_votes_or_the_word_of_all_makes_a_keeper_for_as_long_as_they_count() {
     let now = Instant::now();
     let members = hosts(9);
-    let granted = Vote { is_granted: true, is_bound: true, is_provisional: false };
-    let fresh = Vote { is_granted: false, ..granted.clone() };
+    let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
+    let fresh = Vote { is_granted: false, ..granted_vote.clone() };
     // Votes granted, votes of daemons that have just started; whether it is the keeper, and what it lends.
     let cases = [
-        (2, 0, false, Lends::Provisional),
-        (3, 0, false, Lends::Ninths(3)),
-        (4, 0, false, Lends::Ninths(4)),
-        (5, 0, true, Lends::Ninths(5)),
-        (6, 0, true, Lends::Ninths(6)),
-        (7, 0, true, Lends::Whole),
-        (4, 4, false, Lends::Ninths(4)),
-        (4, 5, true, Lends::Whole),
-        (0, 9, true, Lends::Whole),
-        (0, 8, false, Lends::Provisional),
+        (2, 0, false, Share::Provisional),
+        (3, 0, false, Share::Ninths(3)),
+        (4, 0, false, Share::Ninths(4)),
+        (5, 0, true, Share::Ninths(5)),
+        (6, 0, true, Share::Ninths(6)),
+        (7, 0, true, Share::Whole),
+        (4, 4, false, Share::Ninths(4)),
+        (4, 5, true, Share::Whole),
+        (0, 9, true, Share::Whole),
+        (0, 8, false, Share::Provisional),
     ];
-    for (old, new, keeps, lends) in cases {
+    for (old, new, is_coordinator, share_of_rate) in cases {
         let mut candidacy = Candidacy::new(TIMES, 1);
         for host in &members[..old] {
-            candidacy.count(ballot(host, now, granted.clone()));
+            candidacy.count(ballot(host, now, granted_vote.clone()));
         }
         for host in &members[old..old + new] {
             candidacy.count(ballot(host, now, fresh.clone()));
         }
         candidacy.tally(&members, now + ms(10));
-        assert_eq!(candidacy.is_coordinator(now + ms(10)), keeps, "{old} {new}");
-        let lent = match candidacy.state(9, now + ms(10)) {
-            ElectionState::Coordinator { .. } => Lends::Whole,
-            ElectionState::Partial { share, .. } => Lends::Ninths((share * 9.0).round() as usize),
-            ElectionState::Candidate { .. } | ElectionState::None => Lends::Provisional,
+        assert_eq!(candidacy.is_coordinator(now + ms(10)), is_coordinator, "{old} {new}");
+        let granted = match candidacy.state(9, now + ms(10)) {
+            ElectionState::Coordinator { .. } => Share::Whole,
+            ElectionState::Partial { share, .. } => Share::Ninths((share * 9.0).round() as usize),
+            ElectionState::Candidate { .. } | ElectionState::None => Share::Provisional,
         };
-        assert_eq!(lent, lends, "{old} {new}");
+        assert_eq!(granted, share_of_rate, "{old} {new}");
         assert!(!candidacy.is_coordinator(now + ms(570)), "{old} {new}");
         let late = candidacy.state(9, now + ms(570));
         let lends_late =
@@ -119,32 +120,32 @@
 fn both_sides_of_a_split_lend_their_part_of_the_rate() {
     let start = Instant::now();
     let members = hosts(9);
-    let granted = Vote { is_granted: true, is_bound: true, is_provisional: false };
+    let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     let rule = WindowRule { window: Duration::from_secs(5), overage: 0.1, slack: 20.0 };
     let limit = RateLimit { rate_per_s: 90.0, burst: 0.0 };
     let budget = rule.budget(&limit);
-    let mut lent = [0_u32; 2];
+    let mut granted = [0_u32; 2];
     for (side, voters) in [&members[..5], &members[5..]].into_iter().enumerate() {
         let mut candidacy = Candidacy::new(TIMES, 1);
         let mut ledger = Ledger::default();
         for round in 0..50 {
             let now = start + ms(200 * round);
             for host in voters {
-                candidacy.count(ballot(host, now, granted.clone()));
+                candidacy.count(ballot(host, now, granted_vote.clone()));
             }
             candidacy.tally(&members, now);
-            let wanted = Wanted { host: voters[0].clone(), unused: 0, wanted: 1_000 };
+            let wanted = QuotaRequest { host: voters[0].clone(), unused: 0, wanted: 1_000 };
             let state = candidacy.state(9, now);
-            let grant = ledger.lend(&Name::from("a"), &budget, &wanted, state, ms(500), now);
-            if let Grant::Lent(count) = grant {
-                lent[side] += count;
+            let grant = ledger.grant(&Name::from("a"), &budget, &wanted, state, ms(500), now);
+            if let Grant::Granted(count) = grant {
+                granted[side] += count;
             }
         }
     }
     let rate_of_ten_s = 900;
-    assert!(lent[0] * 9 >= rate_of_ten_s * 4, "{lent:?}");
-    assert!(lent[1] * 9 >= rate_of_ten_s * 3, "{lent:?}");
-    assert!(lent[0] + lent[1] <= rate_of_ten_s + budget.burst as u32, "{lent:?}");
+    assert!(granted[0] * 9 >= rate_of_ten_s * 4, "{granted:?}");
+    assert!(granted[1] * 9 >= rate_of_ten_s * 3, "{granted:?}");
+    assert!(granted[0] + granted[1] <= rate_of_ten_s + budget.burst as u32, "{granted:?}");
 }
 
 /// A vote that was away for a moment counts anew: what was saved up in the time before is not lent for it.
@@ -152,12 +153,12 @@
 fn a_vote_that_comes_back_brings_nothing_from_the_time_without_it() {
     let start = Instant::now();
     let members = hosts(9);
-    let granted = Vote { is_granted: true, is_bound: true, is_provisional: false };
+    let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     let mut candidacy = Candidacy::new(TIMES, 1);
     let rounds = [(0, 4), (200, 4), (400, 4), (600, 3), (800, 3), (1_200, 4)];
     for (at_ms, votes) in rounds {
         for host in &members[..votes] {
-            candidacy.count(ballot(host, start + ms(at_ms), granted.clone()));
+            candidacy.count(ballot(host, start + ms(at_ms), granted_vote.clone()));
         }
         candidacy.tally(&members, start + ms(at_ms));
     }
@@ -191,15 +192,16 @@
 #[test]
 fn what_was_lent_ends_by_itself_whatever_is_lent_after_it() {
     let start = Instant::now();
-    let mut allotment = Allotment::default();
-    let lent = |count, at| Lent { count, asked_at: start + ms(at), lasts: ms(500) };
-    allotment.take_over(lent(3, 0));
-    allotment.take_over(lent(2, 400));
-    assert_eq!(allotment.wanted(0, start + ms(450)).0, 5);
-    assert_eq!(allotment.wanted(0, start + ms(500)).0, 2);
+    let mut held_quota = HeldQuota::default();
+    let granted =
+        |count, at| GrantedQuota { count, requested_at: start + ms(at), lifetime: ms(500) };
+    held_quota.add_grant(granted(3, 0));
+    held_quota.add_grant(granted(2, 400));
+    assert_eq!(held_quota.request_amounts(0, start + ms(450)).0, 5);
+    assert_eq!(held_quota.request_amounts(0, start + ms(500)).0, 2);
     let at = start + ms(600);
     let taken: Vec<bool> =
-        (0..3).map(|_| matches!(allotment.take(at), Taken::Yes { .. })).collect();
+        (0..3).map(|_| matches!(held_quota.take(at), TakeResult::Allowed { .. })).collect();
     assert_eq!(taken, [true, true, false]);
 }
 
@@ -209,26 +211,30 @@
     let start = Instant::now();
     let rule = WindowRule { window: Duration::from_secs(1), overage: 0.0, slack: 0.0 };
     let budget = rule.budget(&RateLimit { rate_per_s: 10.0, burst: 10.0 });
-    let (mut ledger, mut allotment) = (Ledger::default(), Allotment::default());
+    let (mut ledger, mut held_quota) = (Ledger::default(), HeldQuota::default());
     let (mut questions, mut ran, mut refused) = (0, 0, 0);
     for tick in 0..10_000 {
         let now = start + ms(tick);
-        allotment.note_demand(now);
-        match allotment.take(now) {
-            Taken::Yes { .. } => ran += 1,
-            Taken::Full { .. } => refused += 1,
-            Taken::Ask => {
+        held_quota.note_demand(now);
+        match held_quota.take(now) {
+            TakeResult::Allowed { .. } => ran += 1,
+            TakeResult::AtLimit { .. } => refused += 1,
+            TakeResult::RequestQuota => {
                 questions += 1;
-                let (unused, wanted) = allotment.wanted(1, now);
-                let wanted = Wanted { host: Name::from("h"), unused, wanted };
+                let (unused, wanted) = held_quota.request_amounts(1, now);
+                let wanted = QuotaRequest { host: Name::from("h"), unused, wanted };
                 let state = ElectionState::Coordinator { term: 1, since: start };
-                let lent = ledger.lend(&Name::from("a"), &budget, &wanted, state, ms(500), now);
-                match lent {
-                    Grant::Lent(count) => {
-                        allotment.take_over(Lent { count, asked_at: now, lasts: ms(500) });
+                let granted = ledger.grant(&Name::from("a"), &budget, &wanted, state, ms(500), now);
+                match granted {
+                    Grant::Granted(count) => {
+                        held_quota.add_grant(GrantedQuota {
+                            count,
+                            requested_at: now,
+                            lifetime: ms(500),
+                        });
                     }
-                    Grant::Empty(wait) => allotment.note_full(now, now + wait),
-                    Grant::NotKeeper => unreachable!(),
+                    Grant::Exhausted(wait) => held_quota.note_exhausted(now, now + wait),
+                    Grant::NotCoordinator => unreachable!(),
                 }
             }
         }
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -10,8 +10,8 @@
 };
 
 use limits::{
-    Ballot, Budget, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, RateLimit, VoteRequest,
-    Voter, Wanted, WindowRule,
+    Ballot, Budget, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, QuotaRequest,
+    RateLimit, VoteRequest, Voter, WindowRule,
 };
 use model::Name;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -209,7 +209,7 @@
             .filter(|(_, until)| now < *until)
             .map(|(count, _)| count)
             .sum();
-        let wanted = Wanted { host: self.daemons[requester].host.clone(), unused, wanted: 9 };
+        let wanted = QuotaRequest { host: self.daemons[requester].host.clone(), unused, wanted: 9 };
         let broken = self.broken;
         let daemon = &mut self.daemons[coordinator];
         let state = daemon
@@ -225,10 +225,10 @@
             }
             (_, state) => state,
         };
-        let lasts = if broken == Broken::UsesExpiredQuota { STEP / 2 } else { GRANT_LIFETIME };
+        let lifetime = if broken == Broken::UsesExpiredQuota { STEP / 2 } else { GRANT_LIFETIME };
         let account = Name::from("account");
-        let grant = daemon.ledger.lend(&account, &budget, &wanted, state, lasts, now);
-        if let Grant::Lent(count) = grant {
+        let grant = daemon.ledger.grant(&account, &budget, &wanted, state, lifetime, now);
+        if let Grant::Granted(count) = grant {
             let held = &mut self.daemons[requester].held;
             held.push((count, now + GRANT_LIFETIME));
         }
--- a/crates/proxy/src/relay/limit_messages.rs
+++ b/crates/proxy/src/relay/limit_messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use limits::{Grant, Vote, VoteRequest, Wanted};
+use limits::{Grant, QuotaRequest, Vote, VoteRequest};
 use model::Name;
 use prost::Message;
 
@@ -37,7 +37,7 @@
     pub is_provisional: bool,
 }
 
-/// A request for quota of an account's limit, see [`limits::Wanted`].
+/// A request for quota of an account's limit, see [`limits::QuotaRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QuotaRequestMessage {
     /// The requesting host.
@@ -107,15 +107,15 @@
 
 impl QuotaRequestMessage {
     /// Creates the message for a quota request.
-    pub fn of(wanted: &Wanted) -> QuotaRequestMessage {
-        let Wanted { host, unused, wanted } = wanted;
+    pub fn of(wanted: &QuotaRequest) -> QuotaRequestMessage {
+        let QuotaRequest { host, unused, wanted } = wanted;
         QuotaRequestMessage { host: host.to_string(), unused: *unused, wanted: *wanted }
     }
 
     /// Converts the message to a quota request.
-    pub fn wanted(&self) -> Wanted {
+    pub fn wanted(&self) -> QuotaRequest {
         let host = Name::from(self.host.as_str());
-        Wanted { host, unused: self.unused, wanted: self.wanted }
+        QuotaRequest { host, unused: self.unused, wanted: self.wanted }
     }
 }
 
@@ -123,9 +123,9 @@
     /// Converts the message to a grant.
     pub fn grant(&self) -> Grant {
         match (self.count, self.wait_ms) {
-            (0, 0) => Grant::NotKeeper,
-            (0, wait_ms) => Grant::Empty(Duration::from_millis(wait_ms)),
-            (count, _) => Grant::Lent(count),
+            (0, 0) => Grant::NotCoordinator,
+            (0, wait_ms) => Grant::Exhausted(Duration::from_millis(wait_ms)),
+            (count, _) => Grant::Granted(count),
         }
     }
 }
@@ -133,10 +133,10 @@
 impl From<Grant> for QuotaGrantMessage {
     fn from(grant: Grant) -> QuotaGrantMessage {
         let (count, wait_ms) = match grant {
-            Grant::Lent(count) => (count, 0),
+            Grant::Granted(count) => (count, 0),
             // Rounded up, since 0 means that the sender is not the coordinator.
-            Grant::Empty(wait) => (0, wait.as_millis() as u64 + 1),
-            Grant::NotKeeper => (0, 0),
+            Grant::Exhausted(wait) => (0, wait.as_millis() as u64 + 1),
+            Grant::NotCoordinator => (0, 0),
         };
         QuotaGrantMessage { count, wait_ms, coordinator: String::new() }
     }
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use limits::{Allotment, Grant, Lent, RateLimit, Taken, Wanted};
+use limits::{Grant, GrantedQuota, HeldQuota, QuotaRequest, RateLimit, TakeResult};
 use model::Name;
 use tokio::sync::Notify;
 
@@ -46,7 +46,7 @@
 /// What this daemon holds of one account's limit.
 #[derive(Default)]
 pub(super) struct AccountQuota {
-    allotment: RefCell<Allotment>,
+    held: RefCell<HeldQuota>,
     is_asking: Cell<bool>,
     waiting: Cell<u32>,
     answered: Notify,
@@ -88,7 +88,7 @@
         let Some(limit) = account.limit else { return Ok(()) };
         let quota = self.limits.quota_of(&account.name);
         let arrived = Instant::now();
-        quota.allotment.borrow_mut().note_demand(arrived);
+        quota.held.borrow_mut().note_demand(arrived);
         let until = arrived + self.limits.admission_timeout();
         loop {
             let answered = quota.answered.notified();
@@ -96,26 +96,26 @@
             // Registers for the notification before the check, so that none is missed.
             answered.as_mut().enable();
             let now = Instant::now();
-            let taken = quota.allotment.borrow_mut().take(now);
+            let taken = quota.held.borrow_mut().take(now);
             match taken {
-                Taken::Yes { ask_ahead } => {
-                    if ask_ahead {
+                TakeResult::Allowed { request_ahead } => {
+                    if request_ahead {
                         self.request_quota(account, &quota);
                     }
                     return Ok(());
                 }
-                Taken::Full { until: full_until, lasts } => {
-                    if lasts || full_until >= until {
+                TakeResult::AtLimit { until: full_until, is_sustained } => {
+                    if is_sustained || full_until >= until {
                         let wait = full_until.saturating_duration_since(now);
                         return Err(self.refuse_at_limit(account, limit, &quota, wait, id));
                     }
                     tokio::time::sleep_until(full_until.into()).await;
                     continue;
                 }
-                Taken::Ask if now >= until => {
+                TakeResult::RequestQuota if now >= until => {
                     return Err(self.refuse_at_limit(account, limit, &quota, Duration::ZERO, id));
                 }
-                Taken::Ask => self.request_quota(account, &quota),
+                TakeResult::RequestQuota => self.request_quota(account, &quota),
             }
             quota.waiting.set(quota.waiting.get() + 1);
             // After a timeout the next iteration refuses the operation.
@@ -163,24 +163,30 @@
             loop {
                 let asked_at = Instant::now();
                 let waiting = quota.waiting.get();
-                let (unused, wanted) = quota.allotment.borrow().wanted(waiting, asked_at);
+                let (unused, wanted) = quota.held.borrow().request_amounts(waiting, asked_at);
                 match engine.request_grant(&account.name, unused, wanted).await {
-                    Grant::Lent(count) => {
-                        let granted = Lent { count, asked_at, lasts: GRANT_LIFETIME };
-                        quota.allotment.borrow_mut().take_over(granted);
+                    Grant::Granted(count) => {
+                        let granted = GrantedQuota {
+                            count,
+                            requested_at: asked_at,
+                            lifetime: GRANT_LIFETIME,
+                        };
+                        quota.held.borrow_mut().add_grant(granted);
                         break;
                     }
-                    Grant::Empty(wait) => {
+                    Grant::Exhausted(wait) => {
                         let now = Instant::now();
-                        quota.allotment.borrow_mut().note_full(now, now + wait);
+                        quota.held.borrow_mut().note_exhausted(now, now + wait);
                         break;
                     }
-                    Grant::NotKeeper if begun.elapsed() < engine.limits.admission_timeout() => {
+                    Grant::NotCoordinator
+                        if begun.elapsed() < engine.limits.admission_timeout() =>
+                    {
                         tokio::time::sleep(COORDINATOR_RETRY_INTERVAL).await;
                     }
-                    Grant::NotKeeper => {
+                    Grant::NotCoordinator => {
                         let now = Instant::now();
-                        quota.allotment.borrow_mut().note_full(now, now + NO_COORDINATOR_PAUSE);
+                        quota.held.borrow_mut().note_exhausted(now, now + NO_COORDINATOR_PAUSE);
                         break;
                     }
                 }
@@ -196,17 +202,17 @@
     async fn request_grant(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
-        let wanted = Wanted { host: self.settings.host.clone(), unused, wanted };
+        let wanted = QuotaRequest { host: self.settings.host.clone(), unused, wanted };
         let coordinator = self.limits.coordinator(now);
         if coordinator.as_ref() == Some(&self.settings.host) {
             return self.grant_quota(account, &wanted);
         }
         let Some(asked) = coordinator.or_else(|| self.limits.random_voter(&self.settings.host))
         else {
-            return Grant::NotKeeper;
+            return Grant::NotCoordinator;
         };
         let address = view.members.get(&asked).copied();
-        let Some(address) = address else { return Grant::NotKeeper };
+        let Some(address) = address else { return Grant::NotCoordinator };
         let link = self.relays.member_link(address, now);
         let request = RelayRequest {
             account: account.to_string(),
@@ -215,12 +221,12 @@
         };
         let Ok(RelayOutcome::QuotaGranted(granted)) = link.call(request, now + GRANT_TIMEOUT).await
         else {
-            return Grant::NotKeeper;
+            return Grant::NotCoordinator;
         };
         let grant = granted.grant();
         let reported =
             (!granted.coordinator.is_empty()).then(|| Name::from(granted.coordinator.as_str()));
-        let coordinator = if grant == Grant::NotKeeper { reported } else { Some(asked) };
+        let coordinator = if grant == Grant::NotCoordinator { reported } else { Some(asked) };
         if let Some(coordinator) = coordinator {
             self.limits.note_coordinator(coordinator, Instant::now());
         }
@@ -231,12 +237,12 @@
     pub(crate) fn answer_quota_request(
         &self,
         account: &Name,
-        wanted: &Wanted,
+        wanted: &QuotaRequest,
     ) -> QuotaGrantMessage {
         let grant = self.grant_quota(account, wanted);
         let coordinator = match grant {
-            Grant::NotKeeper => self.limits.coordinator(Instant::now()),
-            Grant::Lent(_) | Grant::Empty(_) => None,
+            Grant::NotCoordinator => self.limits.coordinator(Instant::now()),
+            Grant::Granted(_) | Grant::Exhausted(_) => None,
         };
         let coordinator = coordinator.filter(|host| *host != self.settings.host);
         let coordinator = coordinator.map_or_else(String::new, |host| host.to_string());
@@ -244,15 +250,17 @@
     }
 
     /// Grants quota from an account's limit, as the coordinator or a candidate.
-    pub(crate) fn grant_quota(&self, account: &Name, wanted: &Wanted) -> Grant {
+    pub(crate) fn grant_quota(&self, account: &Name, wanted: &QuotaRequest) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
         if !view.is_member(now) {
-            return Grant::NotKeeper;
+            return Grant::NotCoordinator;
         }
         let known = view.catalog.accounts.as_ref().and_then(|it| it.get(account));
         // The requesting daemon may already have a newer configuration.
-        let Some(limit) = known.and_then(|account| account.limit) else { return Grant::NotKeeper };
+        let Some(limit) = known.and_then(|account| account.limit) else {
+            return Grant::NotCoordinator;
+        };
         self.limits.grant(account, &limit, wanted, now)
     }
 }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -14,8 +14,8 @@
 };
 
 use limits::{
-    Ballot, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, RateLimit, Vote, VoteRequest,
-    Voter, Wanted, WindowRule, campaign_delay, should_yield,
+    Ballot, Candidacy, ElectionState, ElectionTimes, Grant, Ledger, QuotaRequest, RateLimit, Vote,
+    VoteRequest, Voter, WindowRule, campaign_delay, should_yield,
 };
 use model::Name;
 use rand::RngExt;
@@ -131,12 +131,12 @@
         &self,
         account: &Name,
         limit: &RateLimit,
-        wanted: &Wanted,
+        wanted: &QuotaRequest,
         now: Instant,
     ) -> Grant {
         let budget = self.rule.budget(limit);
         let state = self.election_state(now);
-        self.ledger.borrow_mut().lend(account, &budget, wanted, state, GRANT_LIFETIME, now)
+        self.ledger.borrow_mut().grant(account, &budget, wanted, state, GRANT_LIFETIME, now)
     }
 
     fn election_state(&self, now: Instant) -> ElectionState {
