--- a/crates/proxy/src/serve/caller_link.rs
+++ b/crates/proxy/src/serve/caller_link.rs
@@ -14,7 +14,6 @@
     statement::{Answer, Outcome, StatementError, TransactionState},
 };
 
-/// Buffer space reserved for each read from a caller, in bytes.
 const READ_RESERVE_BYTES: usize = 2 * 1024;
 /// How long a caller may take to read an answer before its connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
