--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -42,17 +42,13 @@
 
 /// Samples of a primary's log position kept per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
-/// Percentage of reads that may be sent to a second server while the first may still answer. The limit
-/// keeps retries from amplifying an overload.
+/// Percentage of reads that may be hedged on a second server; limited so that retries don't amplify an overload.
 const RETRY_PERCENT: u32 = 10;
-/// How often idle connections are checked while connections are scarce.
+/// Interval between checks of idle connections while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the daemon checks whether connections have become scarce.
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the use of a service is reported to the control thread. Shorter than the time for which a
-/// report counts.
+/// Interval of usage reports to the control thread; shorter than the time for which a report counts.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Timeout for opening a connection to a server, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// State that this daemon keeps for one service.
@@ -71,7 +67,6 @@
     pub(crate) probe_now: Notify,
     /// Servers that are being probed or that did not answer their probe.
     pub(crate) probes: RefCell<HashMap<Name, ProbeState>>,
-    /// When a sample of the primary's log position was last shared with other daemons.
     pub(crate) sample_shared_at: Cell<Option<Instant>>,
     /// Wakes requests that wait for a sample.
     pub(crate) sample_added: Notify,
@@ -79,14 +74,12 @@
     pub(crate) sampling_until: Cell<Option<Instant>>,
     /// When a read last asked the control thread for a sample.
     pub(crate) sample_requested_at: Cell<Option<Instant>>,
-    /// When the use of this service was last reported to the control thread.
     usage_reported_at: Cell<Option<Instant>>,
     /// The ongoing outage of the primary, if any, and the statements that wait for its end.
     pub(crate) outage: GroupOutage,
     pool_inputs: RefCell<PoolInputs>,
 }
 
-/// The inputs with which a pool was last updated.
 #[derive(Default)]
 struct PoolInputs {
     servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
@@ -476,7 +469,6 @@
     }
 }
 
-/// What to do after a connection could not be opened for a request.
 enum OpenFailureAction {
     TryElsewhere,
     Wait,
