--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -37,7 +37,6 @@
 /// than the staleness bounds of routes and than the interval at which the zone polls its upstream.
 const SAMPLE_SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Refusal text for a statement that a server's queue has no room for in time.
 const OVERLOADED_REASON: &str = "more urgent statements and those of others go first";
 
 /// A connection on which a statement may run now, with the conditions that it runs under.
@@ -67,7 +66,6 @@
     pub(crate) may_run_again: bool,
 }
 
-/// Why no connection was assigned.
 pub(crate) enum AssignError {
     Refuse(StatementError),
     Retry,
@@ -241,7 +239,7 @@
     }
 
     /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
-    /// channel and displace messages that are sent only once, such as that a server is unreachable.
+    /// channel, which also carries messages that are sent only once.
     fn request_sample(&self, group: &Group<E>, now: Instant) {
         let requested_at = group.sample_requested_at.get();
         if requested_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
@@ -266,7 +264,6 @@
         })
     }
 
-    /// Counts a statement sent, by the role of its server and whether that is in the same zone.
     pub(crate) fn count_sent(
         &self,
         connection: &PooledConnection<E>,
@@ -517,9 +514,8 @@
     }
 }
 
-/// Whether an owner rejected the request at once because the server is unavailable. Such a rejection costs
-/// no server time, so it does not count as an attempt: otherwise an open circuit would use up the attempt
-/// that a working server could serve.
+/// Whether an owner rejected the request at once because the server is unavailable. This costs no server
+/// time and does not count as an attempt, so that one remains for a working server.
 fn is_free_attempt(lost: &ConnectionLost) -> bool {
     matches!(lost, ConnectionLost::NotGranted(NotSent::Unreachable | NotSent::SetAside))
 }
