--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -88,7 +88,6 @@
 }
 
 impl Job<'_> {
-    /// Returns the task that runs it on a connection.
     pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
@@ -116,7 +115,6 @@
         if now < self.arrived + max_wait { self.arrived + max_wait } else { now + max_wait }
     }
 
-    /// Returns the rank that its priority maps to.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.route.priority)
     }
@@ -135,7 +133,6 @@
         ComeBack { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
-    /// Returns until when the statement may wait for a usable server.
     pub(crate) fn hold_until(&self, is_planned_gap: bool) -> Instant {
         let share = if is_planned_gap { HOLD_SHARE_PLANNED } else { HOLD_SHARE };
         self.arrived + self.route.timeout.mul_f64(share)
