--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -13,7 +13,6 @@
 
 use crate::control::control_view::ControlView;
 
-/// The outage of one group, and the statements held until its end.
 #[derive(Default)]
 pub(crate) struct GroupOutage {
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
@@ -29,7 +28,6 @@
 }
 
 impl GroupOutage {
-    /// Adds a statement to the queue.
     pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
         QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
     }
@@ -57,7 +55,6 @@
 }
 
 impl QueuedStatement<'_> {
-    /// Returns the number of statements ahead in the queue.
     pub(crate) fn ahead(&self) -> u32 {
         self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
@@ -85,7 +82,6 @@
     }
 }
 
-/// The expected course of an ongoing outage.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutageForecast {
     pub(crate) outage: Outage,
