--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -32,7 +32,6 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// Default retry delay sent to a caller.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Retry delay sent to a caller while a primary is being replaced.
 const RETRY_DELAY_CHANGING: Duration = Duration::from_millis(400);
@@ -49,9 +48,7 @@
 pub(crate) struct Attempts {
     pub(crate) avoid: Vec<Name>,
     pub(crate) last_error: Option<ErrorCode>,
-    /// Whether only the primary can run it.
     pub(crate) needs_primary: bool,
-    /// Whether it opens a transaction.
     pub(crate) opens_transaction: bool,
     /// Whether an owner was asked for a sample of the primary's log position.
     pub(crate) requested_sample: bool,
@@ -161,7 +158,6 @@
         }
     }
 
-    /// Until when a statement may wait for a usable server.
     pub(crate) fn hold_until(&self, job: &Job<'_>) -> Instant {
         job.hold_until(self.control_view().is_planned_gap(&job.route.service, Instant::now()))
     }
@@ -264,7 +260,6 @@
         group.pool.latency_of(server) * daemons / slots
     }
 
-    /// Returns the error for a statement that found no usable primary.
     fn no_primary_error(
         &self,
         group: &Group<E>,
@@ -395,7 +390,6 @@
         self.refuse_statement(group, job, refusal)
     }
 
-    /// Returns the error for a statement that found no free connection.
     pub(crate) fn no_room_error(
         &self,
         group: &Group<E>,
