--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -40,7 +40,6 @@
         Some(Room { slots, connections, owners })
     }
 
-    /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().has_owners
     }
@@ -50,7 +49,6 @@
         self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
-    /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
         self.with_server(server, |pooled| pooled.queue.as_ref().map(|queue| queue.report()))?
     }
