--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -29,7 +29,6 @@
     },
 };
 
-/// How long a new connection may take to send its startup message.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a new session waits for the daemon's first configuration; callers give up after 2 s.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -39,9 +38,7 @@
 /// Maximum number of values, and of prepared statements, in one session; they are kept in memory and replayed.
 const MAX_SESSION_NAMES: usize = 1_024;
 
-/// Why a session ends.
 enum End {
-    /// The caller disconnected.
     Disconnected,
     /// The daemon stops and closes idle sessions.
     Stopping,
@@ -49,13 +46,11 @@
     Unreadable(StatementError),
 }
 
-/// The next event of a session.
 enum Event {
     Message(CallerMessage),
     End(End),
-    /// The open transaction was idle for too long.
     IdleTimeout,
-    /// The daemon stops and the time left for the open transaction is over.
+    /// The daemon stops and the open transaction has used up its remaining time.
     StopDeadline,
 }
 
