--- a/crates/proxy/src/serve/share.rs
+++ b/crates/proxy/src/serve/share.rs
@@ -5,6 +5,7 @@
 /// Connections of a server that are not divided. They cover those of dead daemons, which the server counts for some
 /// seconds, and those needed for changes of primary.
 const RESERVED_CONNECTIONS: u32 = 3;
+
 /// Numbers of daemons that share the connections, as one daemon sees them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DaemonCounts {
--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -62,7 +62,7 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let ask = (0..DAEMONS, 1..DAEMONS, 0_u64..400, 0_u64..900, 0_u64..2_000).prop_map(
+    let request = (0..DAEMONS, 1..DAEMONS, 0_u64..400, 0_u64..900, 0_u64..2_000).prop_map(
         |(sender, distance, there_ms, held_ms, back_ms)| Event::Request {
             sender,
             receiver: (sender + distance) % DAEMONS,
@@ -73,7 +73,7 @@
     );
     prop_oneof![
         2 => (0..DAEMONS).prop_map(Event::Sample),
-        6 => ask,
+        6 => request,
         1 => (0..DAEMONS).prop_map(Event::Restart),
         1 => (0_u64..700).prop_map(Event::Wait),
     ]
--- a/crates/proxy/tests/sampling.rs
+++ b/crates/proxy/tests/sampling.rs
@@ -38,7 +38,7 @@
 }
 
 impl Owner {
-    fn ask(&mut self, now: Instant, answers: bool) {
+    fn request_sample(&mut self, now: Instant, answers: bool) {
         match next_sample_step(self.latest, MAX_AGE, self.sampling_until, now) {
             SampleStep::Return(..) => self.returned += 1,
             SampleStep::Wait => self.waiting += 1,
@@ -69,7 +69,7 @@
         owner.advance(now);
         let arrive = (0..DAEMONS).filter(|daemon| daemon * ARRIVE_WITHIN_MS / DAEMONS == at_ms);
         for _ in arrive {
-            owner.ask(now, primary_answers);
+            owner.request_sample(now, primary_answers);
         }
     }
     owner
--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -73,7 +73,7 @@
         let next = wait(&queue, "next").await;
         let last = wait(&queue, "last").await;
         drop(permit);
-        let permit = next.await.unwrap().expect("it has its permit");
+        let permit = next.await.unwrap().expect("the next waiter gets the permit");
         assert_eq!(queue.outstanding(), 2);
         drop(permit);
         assert!(last.await.unwrap().is_ok());
@@ -102,7 +102,8 @@
     run(async {
         let queue =
             ServerQueue::new(Name::from("s1"), Room { slots: 1, connections: 4, owners: 1 });
-        let mut opened = queue.await_permit(request("a", Stage::Opens)).await.expect("it is free");
+        let mut opened =
+            queue.await_permit(request("a", Stage::Opens)).await.expect("the server is free");
         opened.release_slot(true);
         let other = begin(&queue).await;
         let _second = begin(&queue).await;
