--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -42,17 +42,13 @@
 
 /// Samples of a primary's log position kept per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
-/// Percentage of reads that may be sent to a second server while the first may still answer. The limit
-/// keeps retries from amplifying an overload.
+/// Percentage of reads that may be hedged on a second server; limited so that retries don't amplify an overload.
 const RETRY_PERCENT: u32 = 10;
-/// How often idle connections are checked while connections are scarce.
+/// Interval between checks of idle connections while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the daemon checks whether connections have become scarce.
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the use of a service is reported to the control thread. Shorter than the time for which a
-/// report counts.
+/// Interval of usage reports to the control thread; shorter than the time for which a report counts.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Timeout for opening a connection to a server, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// State that this daemon keeps for one service.
@@ -71,7 +67,6 @@
     pub(crate) probe_now: Notify,
     /// Servers that are being probed or that did not answer their probe.
     pub(crate) probes: RefCell<HashMap<Name, ProbeState>>,
-    /// When a sample of the primary's log position was last shared with other daemons.
     pub(crate) sample_shared_at: Cell<Option<Instant>>,
     /// Wakes requests that wait for a sample.
     pub(crate) sample_added: Notify,
@@ -79,14 +74,12 @@
     pub(crate) sampling_until: Cell<Option<Instant>>,
     /// When a read last asked the control thread for a sample.
     pub(crate) sample_requested_at: Cell<Option<Instant>>,
-    /// When the use of this service was last reported to the control thread.
     usage_reported_at: Cell<Option<Instant>>,
     /// The ongoing outage of the primary, if any, and the statements that wait for its end.
     pub(crate) outage: GroupOutage,
     pool_inputs: RefCell<PoolInputs>,
 }
 
-/// The inputs with which a pool was last updated.
 #[derive(Default)]
 struct PoolInputs {
     servers: Arc<HashMap<Name, Vec<Arc<ServerEntry>>>>,
@@ -327,9 +320,9 @@
         deadline: Instant,
     ) -> Result<PooledConnection<E>, AcquireError> {
         loop {
-            let lent = group.pool.acquire(request.clone(), values, deadline).await;
-            self.count_forwarded(&request, &lent);
-            let offer = match lent {
+            let acquired = group.pool.acquire(request.clone(), values, deadline).await;
+            self.count_forwarded(&request, &acquired);
+            let offer = match acquired {
                 Ok(offer) => offer,
                 Err(NoConnection::NoServer) => return Err(AcquireError::NoServer),
                 Err(NoConnection::QueueFull) => return Err(AcquireError::QueueFull),
@@ -338,24 +331,24 @@
                     return Err(AcquireError::Overloaded { retry_delay });
                 }
             };
-            let place = match offer {
-                Offer::Ready(lent) => return Ok(lent),
-                Offer::Open(place) => place,
+            let permit = match offer {
+                Offer::Ready(connection) => return Ok(connection),
+                Offer::Open(permit) => permit,
             };
-            let server = place.entry.server.clone();
+            let server = permit.entry.server.clone();
             let tunnel_peer = group.pool.tunnel_to(&server);
-            match self.open(&place, tunnel_peer).await {
+            match self.open(&permit, tunnel_peer).await {
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
-                        true => self.note_reachable(group, &place.entry.service, &server),
+                        true => self.note_reachable(group, &permit.entry.service, &server),
                         false => group.pool.on_tunnel(&server, true),
                     }
-                    return Ok(place.opened(connection));
+                    return Ok(permit.opened(connection));
                 }
                 Err(lost) => {
-                    let service = place.entry.service.clone();
-                    drop(place);
+                    let service = permit.entry.service.clone();
+                    drop(permit);
                     match tunnel_peer {
                         None => self.on_open_failed(group, &service, &server, &lost),
                         Some(peer) => self.on_tunnel_failed(group, &server, peer, &lost),
@@ -375,11 +368,15 @@
     }
 
     /// Counts the outcome for a statement that another daemon forwarded to the connections of this one.
-    fn count_forwarded(&self, request: &ConnectionRequest, lent: &Result<Offer<E>, NoConnection>) {
+    fn count_forwarded(
+        &self,
+        request: &ConnectionRequest,
+        acquired: &Result<Offer<E>, NoConnection>,
+    ) {
         if !request.is_forwarded || request.principal.is_none() {
             return;
         }
-        let outcome = match lent {
+        let outcome = match acquired {
             Ok(_) => "begun",
             Err(NoConnection::Overloaded { .. } | NoConnection::QueueFull) => "refused",
             Err(NoConnection::TooLate) => "too_late",
@@ -397,11 +394,11 @@
     /// Opens a connection, through a tunnel of another daemon if one is in use.
     async fn open(
         &self,
-        place: &OpeningPermit<E>,
+        permit: &OpeningPermit<E>,
         tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
-        let (dialect, entry) = (&self.endpoint_dialect, &*place.entry);
-        let introduction = self.introduce(&place.principal);
+        let (dialect, entry) = (&self.endpoint_dialect, &*permit.entry);
+        let introduction = self.introduce(&permit.principal);
         let Some(peer) = tunnel_peer else {
             return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
         };
@@ -472,7 +469,6 @@
     }
 }
 
-/// What to do after a connection could not be opened for a request.
 enum OpenFailureAction {
     TryElsewhere,
     Wait,
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -34,7 +34,7 @@
 
 /// A statement that has to run on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum EndpointStatement {
     /// A read.
     Read(Bytes),
     /// A write.
@@ -50,20 +50,20 @@
     Commit,
 }
 
-impl Work {
+impl EndpointStatement {
     /// Returns whether it is a read or a write.
     pub fn class(&self) -> StatementClass {
         match self {
-            Work::Read(_) => StatementClass::Read,
-            Work::Write(_) => StatementClass::Write,
-            Work::Execute { shape, .. } => shape.class,
-            Work::Commit => StatementClass::Write,
+            EndpointStatement::Read(_) => StatementClass::Read,
+            EndpointStatement::Write(_) => StatementClass::Write,
+            EndpointStatement::Execute { shape, .. } => shape.class,
+            EndpointStatement::Commit => StatementClass::Write,
         }
     }
 
     pub(crate) fn shape(&self) -> Option<&PreparedShape> {
         match self {
-            Work::Execute { shape, .. } => Some(shape),
+            EndpointStatement::Execute { shape, .. } => Some(shape),
             _ => None,
         }
     }
@@ -74,7 +74,7 @@
     /// The caller's identifier for the request.
     pub id: Bytes,
     /// The statement.
-    pub work: Work,
+    pub statement: EndpointStatement,
     /// The route that applies to it.
     pub route: &'a Arc<Route>,
     /// The values of its session.
@@ -88,11 +88,10 @@
 }
 
 impl Job<'_> {
-    /// Returns the task that runs it on a connection.
     pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
-            kind: TaskKind::Work(self.work.clone()),
+            kind: TaskKind::Statement(self.statement.clone()),
             values: self.values.clone(),
             min_point,
         }
@@ -102,8 +101,8 @@
         self.arrived + self.route.timeout
     }
 
-    /// Returns how long the statement may wait for a connection; `has_queues` tells whether owners queue
-    /// statements per server.
+    /// Returns how long the statement may wait for a connection; `has_queues` is set if owners queue statements
+    /// per server.
     pub(crate) fn max_wait(&self, has_queues: bool) -> Duration {
         let share = if has_queues { QUEUED_WAIT_SHARE } else { WAIT_SHARE };
         self.route.target_latency.mul_f64(share)
@@ -116,7 +115,6 @@
         if now < self.arrived + max_wait { self.arrived + max_wait } else { now + max_wait }
     }
 
-    /// Returns the rank that its priority maps to.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.route.priority)
     }
@@ -135,7 +133,6 @@
         RetryDelay { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
-    /// Returns until when the statement may wait for a usable server.
     pub(crate) fn hold_until(&self, is_planned_gap: bool) -> Instant {
         let share = if is_planned_gap { HOLD_SHARE_PLANNED } else { HOLD_SHARE };
         self.arrived + self.route.timeout.mul_f64(share)
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -39,18 +39,17 @@
 const VOTE_ROUND_INTERVAL: Duration = Duration::from_millis(190);
 /// Timeout of a vote request: a round trip between zones, on busy hosts.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(180);
-/// How long no coordinator may be heard of before the first voter in order campaigns: a little more than two
-/// rounds.
+/// How long the coordinator may be silent before the first voter in order campaigns: a little more than two rounds.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(420);
-/// The same for a daemon that has heard of no coordinator since it started, so that accounts are served soon after
-/// all daemons restart together.
+/// The same for a daemon that knew no coordinator since it started, so that accounts are served soon after all
+/// daemons restart together.
 const STARTUP_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(20);
 /// How long the set of voters must be unchanged before their votes elect a coordinator: while a fleet starts, each
 /// daemon sees more and more members.
 const STABLE_MEMBERS_FOR: Duration = Duration::from_millis(200);
 /// How long a candidate campaigns without a quorum before it frees its voters.
 const CANDIDACY_LIMIT: Duration = Duration::from_millis(1_200);
-/// The same for a candidate that grants its part of the limits: longer, since it serves its voters meanwhile.
+/// The same for a candidate that grants its part of the limits: longer, since it serves its voters during the campaign.
 const PARTIAL_CANDIDACY_LIMIT: Duration = Duration::from_millis(5_000);
 /// How often it is checked whether this daemon should campaign.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
@@ -81,7 +80,7 @@
     incarnation: u64,
     voter: RefCell<Voter>,
     candidacy: RefCell<Option<Candidacy>>,
-    began_at: Cell<Instant>,
+    campaign_began_at: Cell<Instant>,
     next_term: Cell<u64>,
     no_campaign_until: Cell<Option<Instant>>,
     coordinator_seen_at: Cell<Option<Instant>>,
@@ -100,7 +99,7 @@
             incarnation: rand::rng().random(),
             voter: RefCell::new(Voter::new(times(rule.window), now)),
             candidacy: RefCell::default(),
-            began_at: Cell::new(now),
+            campaign_began_at: Cell::new(now),
             next_term: Cell::new(1),
             no_campaign_until: Cell::new(None),
             coordinator_seen_at: Cell::new(None),
@@ -121,7 +120,7 @@
         self.voter.borrow_mut().note_coordinator(host, now);
     }
 
-    /// Whether a coordinator was heard of since this daemon started, or it is a candidate itself.
+    /// Whether a coordinator was known since this daemon started, or it is a candidate itself.
     pub(super) fn has_seen_coordinator(&self) -> bool {
         self.coordinator_seen_at.get().is_some() || self.candidacy.borrow().is_some()
     }
@@ -300,9 +299,9 @@
                 ElectionState::Partial { .. } => PARTIAL_CANDIDACY_LIMIT,
                 _ => CANDIDACY_LIMIT,
             };
-            let is_expired = now.duration_since(limits.began_at.get()) > candidacy_limit;
+            let is_expired = now.duration_since(limits.campaign_began_at.get()) > candidacy_limit;
             if limits.is_coordinator(now) {
-                limits.began_at.set(now);
+                limits.campaign_began_at.set(now);
             } else if is_expired {
                 limits.resign();
                 let pause = VOTE_DURATION.mul_f64(rand::rng().random_range(1.0..2.0));
@@ -325,7 +324,7 @@
         }
         let term = limits.next_term.get();
         *limits.candidacy.borrow_mut() = Some(Candidacy::new(times(limits.rule.window), term));
-        limits.began_at.set(now);
+        limits.campaign_began_at.set(now);
         true
     }
 
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -82,7 +82,7 @@
         match &self.backing {
             Backing::Local(connection) => &connection.server,
             Backing::Remote(lease) => lease.server(),
-            Backing::Released => unreachable!("what was given back is not used"),
+            Backing::Released => unreachable!("a released connection is not used"),
         }
     }
 
@@ -122,7 +122,7 @@
             }
             Backing::Remote(lease) => lease.run(task, deadline).await,
             Backing::Released => {
-                let lost = ConnectionLost::Broken("it was given back".to_owned());
+                let lost = ConnectionLost::Broken("the connection was released".to_owned());
                 Err((Progress::NotSent, lost))
             }
         }
@@ -142,7 +142,7 @@
         task: &EndpointTask,
         answered: &Result<Answer, (Progress, ConnectionLost)>,
     ) {
-        let has_run = matches!(task.kind, TaskKind::Work(_))
+        let has_run = matches!(task.kind, TaskKind::Statement(_))
             && answered.as_ref().is_ok_and(|answer| answer.error_code().is_none());
         for permit in self.permit.iter_mut().chain(self.statement_permit.iter_mut()) {
             permit.release_slot(has_run);
@@ -177,7 +177,7 @@
         self.permit = None;
         self.acquired_at = Instant::now();
         if std::mem::take(&mut self.yields) {
-            self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
+            self.pool.with_server(self.server(), |pooled| pooled.yielding -= 1);
         }
         while let Some(waiter) = self.pool.next_waiter(self.server()) {
             if !self.may_serve(&waiter.request) {
@@ -185,14 +185,14 @@
             }
             if waiter.request.yields {
                 self.yields = true;
-                self.pool.with_slot(self.server(), |slot| slot.yielding += 1);
+                self.pool.with_server(self.server(), |pooled| pooled.yielding += 1);
             }
             match waiter.grant.send(Offer::Ready(self)) {
                 Ok(()) => return,
                 Err(Offer::Ready(connection)) => {
                     self = connection;
                     if std::mem::take(&mut self.yields) {
-                        self.pool.with_slot(self.server(), |slot| slot.yielding -= 1);
+                        self.pool.with_server(self.server(), |pooled| pooled.yielding -= 1);
                     }
                 }
                 Err(Offer::Open(_)) => return,
@@ -229,7 +229,7 @@
         };
         let server = connection.server.clone();
         drop(connection);
-        self.pool.with_slot(&server, |slot| slot.on_released(false));
+        self.pool.with_server(&server, |pooled| pooled.on_released(false));
         self.pool.offer_opening(&server, waiter);
     }
 }
--- a/crates/proxy/src/serve/slot.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -55,7 +55,7 @@
 const TUNNEL_PAUSE: Duration = Duration::from_millis(500);
 
 /// One server and the connections to it.
-pub(crate) struct ServerSlot<E> {
+pub(crate) struct PooledServer<E> {
     pub(crate) entry: Arc<ServerEntry>,
     /// Idle connections and since when each is idle, the longest idle first.
     pub(crate) idle: Vec<(Instant, Box<EndpointConnection<E>>)>,
@@ -99,9 +99,9 @@
     pub(crate) listed: bool,
 }
 
-impl<E> ServerSlot<E> {
-    pub(crate) fn new(entry: Arc<ServerEntry>) -> ServerSlot<E> {
-        ServerSlot {
+impl<E> PooledServer<E> {
+    pub(crate) fn new(entry: Arc<ServerEntry>) -> PooledServer<E> {
+        PooledServer {
             entry,
             idle: Vec::new(),
             in_use: 0,
@@ -366,7 +366,7 @@
     }
 
     /// Whether there is no connection and none may be opened before `deadline`.
-    pub(crate) fn is_out_of_reach_until(&self, deadline: Instant) -> bool {
+    pub(crate) fn is_unavailable_until(&self, deadline: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| until >= deadline);
         is_paused && self.in_use == 0 && self.idle.is_empty()
     }
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -32,7 +32,6 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// Default retry delay sent to a caller.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Retry delay sent to a caller while a primary is being replaced.
 const RETRY_DELAY_CHANGING: Duration = Duration::from_millis(400);
@@ -41,7 +40,7 @@
 #[derive(Default)]
 pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
-    tries: RefCell<AccountRetryBudget>,
+    retry_budget: RefCell<AccountRetryBudget>,
 }
 
 /// The attempts made so far to run one statement.
@@ -49,9 +48,7 @@
 pub(crate) struct Attempts {
     pub(crate) avoid: Vec<Name>,
     pub(crate) last_error: Option<ErrorCode>,
-    /// Whether only the primary can run it.
     pub(crate) needs_primary: bool,
-    /// Whether it opens a transaction.
     pub(crate) opens_transaction: bool,
     /// Whether an owner was asked for a sample of the primary's log position.
     pub(crate) requested_sample: bool,
@@ -109,8 +106,8 @@
             }
             let (outage, began_at) = outage_of(&current, &job.route.service, now);
             let ongoing = self.observe_outage(group, outage, began_at, now);
-            let queued_here = queued.get_or_insert_with(|| group.outage.enqueue(job.rank()));
-            let backlog = self.service_interval(group, &job.route.service) * queued_here.ahead();
+            let entry = queued.get_or_insert_with(|| group.outage.enqueue(job.rank()));
+            let backlog = self.service_interval(group, &job.route.service) * entry.ahead();
             let backlog = backlog.min(job.route.target_latency);
             let hold = self.decide_hold(&ongoing, job, backlog, now);
             let was_stopping = stopping.borrow_and_update().is_some();
@@ -161,7 +158,6 @@
         }
     }
 
-    /// Until when a statement may wait for a usable server.
     pub(crate) fn hold_until(&self, job: &Job<'_>) -> Instant {
         job.hold_until(self.control_view().is_planned_gap(&job.route.service, Instant::now()))
     }
@@ -208,7 +204,7 @@
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.told());
-        self.hold_state.tries.borrow_mut().on_success(&account, job.rank());
+        self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
             self.end_outage(group, &job.route.service, Instant::now());
         }
@@ -264,7 +260,6 @@
         group.pool.latency_of(server) * daemons / slots
     }
 
-    /// Returns the error for a statement that found no usable primary.
     fn no_primary_error(
         &self,
         group: &Group<E>,
@@ -348,7 +343,7 @@
         let now = Instant::now();
         let view = self.control_view();
         let leader = view.usable_leader(&job.route.service, now);
-        // An empty name means that no server was found, which here stands for the primary.
+        // An empty name means that no server was found, which here means that the primary was not found.
         if needs_primary(job)
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
@@ -364,8 +359,8 @@
             Some(_) | None => RetryCause::Path,
         };
         let account = Name::from(job.principal.told());
-        let mut tries = self.hold_state.tries.borrow_mut();
-        let may = tries.may_retry(&account, job.rank(), attempts.sent, cause);
+        let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
+        let may = retry_budget.may_retry(&account, job.rank(), attempts.sent, cause);
         if !may {
             self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
         }
@@ -397,7 +392,6 @@
         self.refuse_statement(group, job, refusal)
     }
 
-    /// Returns the error for a statement that found no free connection.
     pub(crate) fn no_room_error(
         &self,
         group: &Group<E>,
@@ -420,5 +414,5 @@
 
 /// Whether only the primary can run a statement, regardless of samples of its log position.
 fn needs_primary(job: &Job<'_>) -> bool {
-    job.work.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
+    job.statement.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
 }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -1,5 +1,5 @@
 //! Acquires connections to servers that have a statement queue at this daemon: a statement first waits for
-//! its turn in the queue, then gets a connection.
+//! a permit of the queue, then gets a connection.
 
 use std::{
     rc::Rc,
@@ -16,10 +16,10 @@
     serve::{
         connection_request::ConnectionRequest,
         pool::{GroupPool, NoConnection, Offer},
+        pooled_server::PooledServer,
         replay::SessionValues,
         server_queue::{QueuePermit, QueueRefusal},
         share::{OwnerQuota, Share},
-        slot::ServerSlot,
     },
 };
 
@@ -28,10 +28,10 @@
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns the capacity for the queue of a server, if its statements are to be queued.
-    pub(super) fn queue_room(&self, slot: &ServerSlot<E>, share: &Share) -> Option<Capacity> {
+    pub(super) fn queue_room(&self, pooled: &PooledServer<E>, share: &Share) -> Option<Capacity> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
-        let slots = slot.entry.slots;
-        let connections = slot.limit + share.overflow;
+        let slots = pooled.entry.slots;
+        let connections = pooled.limit + share.overflow;
         let owners = match owned {
             OwnerQuota::Single { .. } => 1,
             // The owners of all zones share the slots in the same way as the connections.
@@ -40,7 +40,6 @@
         Some(Capacity { slots, connections, owners })
     }
 
-    /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().has_owners
     }
@@ -50,13 +49,12 @@
         self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
-    /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
-        self.with_slot(server, |slot| slot.queue.as_ref().map(|queue| queue.report()))?
+        self.with_server(server, |pooled| pooled.queue.as_ref().map(|queue| queue.report()))?
     }
 
-    /// Waits for the statement's turn in the queue of the server at `index`, then returns a connection or the
-    /// permission to open one. Returns `None` if there was no connection and a server must be chosen again.
+    /// Waits for a permit from the queue of the server at `index`, then returns a connection or the permission
+    /// to open one. Returns `None` if there was no connection and a server must be chosen again.
     pub(super) async fn acquire_queued(
         self: &Rc<Self>,
         index: usize,
@@ -66,8 +64,8 @@
     ) -> Result<Option<Offer<E>>, NoConnection> {
         let (server, queue) = {
             let state = self.state.borrow();
-            let slot = &state.servers[index];
-            (slot.entry.server.clone(), slot.queue.clone())
+            let pooled = &state.servers[index];
+            (pooled.entry.server.clone(), pooled.queue.clone())
         };
         let permit = match (queue, &request.principal) {
             (Some(queue), Some(principal)) => {
@@ -81,7 +79,7 @@
         // The list of servers may have changed during the wait.
         let found = {
             let state = self.state.borrow();
-            state.servers.iter().position(|slot| slot.listed && slot.entry.server == server)
+            state.servers.iter().position(|pooled| pooled.listed && pooled.entry.server == server)
         };
         let Some(index) = found else { return Ok(None) };
         if let Some(principal) = &request.principal {
@@ -99,13 +97,13 @@
     }
 
     /// Waits before a server is chosen again if no connection to this one may be opened now. Fails if the server
-    /// stays unreachable until the deadline.
+    /// stays unreachable until the deadline, or if the deadline would pass first.
     async fn await_opening(
         &self,
         server: &str,
         deadline: Instant,
     ) -> Result<Option<Offer<E>>, NoConnection> {
-        if self.with_slot(server, |slot| slot.is_out_of_reach_until(deadline)) == Some(true) {
+        if self.with_server(server, |pooled| pooled.is_unavailable_until(deadline)) == Some(true) {
             return Err(NoConnection::NoServer);
         }
         let recheck_at = Instant::now() + RECHECK_DELAY;
@@ -117,7 +115,7 @@
     }
 }
 
-/// Waits for a turn, unless the requesting daemon cancels the request or disconnects.
+/// Waits for a permit, unless the requesting daemon cancels the request or disconnects.
 async fn unless_cancelled(
     cancellation: Option<&CancellationToken>,
     wait: impl Future<Output = Result<QueuePermit, QueueRefusal>>,
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -19,7 +19,7 @@
         caller_link::CallerLink,
         connection::refusal,
         engine::Engine,
-        job::{Job, Work, id_text},
+        job::{EndpointStatement, Job, id_text},
         replay::SessionValues,
         transaction::Transaction,
     },
@@ -29,7 +29,6 @@
     },
 };
 
-/// How long a new connection may take to send its startup message.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a new session waits for the daemon's first configuration; callers give up after 2 s.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -39,9 +38,7 @@
 /// Maximum number of values, and of prepared statements, in one session; they are kept in memory and replayed.
 const MAX_SESSION_NAMES: usize = 1_024;
 
-/// Why a session ends.
 enum End {
-    /// The caller disconnected.
     Disconnected,
     /// The daemon stops and closes idle sessions.
     Stopping,
@@ -49,13 +46,11 @@
     Unreadable(StatementError),
 }
 
-/// The next event of a session.
 enum Event {
     Message(CallerMessage),
     End(End),
-    /// The open transaction was idle for too long.
     IdleTimeout,
-    /// The daemon stops and the time left for the open transaction is over.
+    /// The daemon stops and the open transaction has used up its remaining time.
     StopDeadline,
 }
 
@@ -91,8 +86,10 @@
         transaction: None,
     };
     session.run().await;
-    if let Some(lent) = session.transaction.take().and_then(|transaction| transaction.lent) {
-        engine.roll_back(lent);
+    if let Some(connection) =
+        session.transaction.take().and_then(|transaction| transaction.connection)
+    {
+        engine.roll_back(connection);
     }
     engine.callers.set(engine.callers.get() - 1);
 }
@@ -235,7 +232,7 @@
     /// Until when the open transaction may stay idle, if it holds a connection.
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
-        transaction.lent.as_ref()?;
+        transaction.connection.as_ref()?;
         Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
     }
 
@@ -287,16 +284,23 @@
             Statement::Commit if self.transaction.is_none() => {
                 self.local_error(ErrorCode::Malformed, "no transaction is open")
             }
-            Statement::Commit => self.on_server_statement(id, Work::Commit, arrived).await,
+            Statement::Commit => {
+                self.on_endpoint_statement(id, EndpointStatement::Commit, arrived).await
+            }
             Statement::Read { body } => {
-                self.on_server_statement(id, Work::Read(body), arrived).await
+                self.on_endpoint_statement(id, EndpointStatement::Read(body), arrived).await
             }
             Statement::Write { body } => {
-                self.on_server_statement(id, Work::Write(body), arrived).await
+                self.on_endpoint_statement(id, EndpointStatement::Write(body), arrived).await
             }
             Statement::Execute { name, arguments } => match self.prepared.get(&name).cloned() {
                 Some(shape) => {
-                    self.on_server_statement(id, Work::Execute { shape, arguments }, arrived).await
+                    self.on_endpoint_statement(
+                        id,
+                        EndpointStatement::Execute { shape, arguments },
+                        arrived,
+                    )
+                    .await
                 }
                 None => self.local_error(ErrorCode::UnknownStatement, "no such prepared name"),
             },
@@ -343,13 +347,18 @@
         let Some(transaction) = self.transaction.take() else {
             return self.local_error(ErrorCode::Malformed, "no transaction is open");
         };
-        if let Some(lent) = transaction.lent {
-            self.engine.roll_back(lent);
+        if let Some(connection) = transaction.connection {
+            self.engine.roll_back(connection);
         }
         self.local_success()
     }
 
-    async fn on_server_statement(&mut self, id: Bytes, work: Work, arrived: Instant) -> Answer {
+    async fn on_endpoint_statement(
+        &mut self,
+        id: Bytes,
+        statement: EndpointStatement,
+        arrived: Instant,
+    ) -> Answer {
         let route = match &self.transaction {
             Some(transaction) => Some(transaction.route.clone()),
             None => self.route(),
@@ -366,7 +375,7 @@
             Some(transaction) if transaction.principal() != principal => {
                 return self.local_error(ErrorCode::Aborted, "the key belongs to another account");
             }
-            Some(transaction) => transaction.lent.is_none(),
+            Some(transaction) => transaction.connection.is_none(),
             None => true,
         };
         if is_first
@@ -376,22 +385,23 @@
             self.fail_if_open();
             return refusal(error, self.state());
         }
-        let writes = work.class() == model::StatementClass::Write;
-        let is_commit = work == Work::Commit;
+        let writes = statement.class() == model::StatementClass::Write;
+        let is_commit = statement == EndpointStatement::Commit;
         let own_point = self.own_points.get(&route.service).copied();
         let values = std::mem::take(&mut self.values);
-        let job = Job { id, work, route: &route, values: &values, own_point, arrived, principal };
+        let job =
+            Job { id, statement, route: &route, values: &values, own_point, arrived, principal };
         let engine = self.engine.clone();
         let answer = match &mut self.transaction {
             Some(transaction) => engine.run_in_transaction(&job, transaction).await,
             None => engine.run_single(&job).await,
         };
-        self.after_work(&job, &answer, writes, is_commit);
+        self.after_statement(&job, &answer, writes, is_commit);
         self.values = values;
         answer
     }
 
-    fn after_work(&mut self, job: &Job<'_>, answer: &Answer, writes: bool, is_commit: bool) {
+    fn after_statement(&mut self, job: &Job<'_>, answer: &Answer, writes: bool, is_commit: bool) {
         let succeeded = matches!(answer.outcome, Outcome::Complete(_));
         let ended = answer.state == TransactionState::Idle;
         let wrote = match &self.transaction {
@@ -468,18 +478,18 @@
         }
     }
 
-    /// Fails the open transaction and rolls it back at its server. The caller is told with its next message.
+    /// Fails the open transaction and rolls it back at its server. The caller gets the error with its next message.
     fn fail_transaction(&mut self, why: &str) {
         let Some(transaction) = &mut self.transaction else { return };
         transaction.failed = true;
-        if let Some(lent) = transaction.lent.take() {
+        if let Some(connection) = transaction.connection.take() {
             log::info!(
                 event = "transaction_ended", service = &*transaction.route.service,
-                server = &**lent.server(), why = why,
-                lent_ms = lent.held_for().as_millis() as u64;
+                server = &**connection.server(), why = why,
+                lent_ms = connection.held_for().as_millis() as u64;
                 "an open transaction was rolled back"
             );
-            self.engine.roll_back(lent);
+            self.engine.roll_back(connection);
         }
     }
 
