--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -5,25 +5,25 @@
 //! much an account may ask keep their own proofs, and a wrong estimate here costs time, never a promise.
 //! `docs/design/hard-load.md` says who decides what and where the state lives.
 
+pub mod account_retry_budget;
 mod circuit;
-pub mod come_back;
 mod concurrency;
+mod connection_grant;
+mod decaying;
 mod demand;
-mod fading;
-mod granted;
+mod fair_queue;
 pub mod hold;
 mod layout;
 mod load_report;
 mod rank;
+pub mod retry_delay;
 mod reuse;
-pub mod try_budget;
-mod turns;
 mod work_queue;
 
-pub use circuit::{Circuit, CircuitChange, PathOutcome};
-pub use granted::{AfterRefusal, Granted};
+pub use circuit::{CircuitBreaker, CircuitChange, PathOutcome};
+pub use connection_grant::{AfterRefusal, ConnectionGrant};
 pub use layout::{Layout, Reach};
 pub use load_report::{AgedReport, LoadReport};
 pub use rank::{RANKS, Rank};
-pub use reuse::{Resting, Reuse};
-pub use work_queue::{Next, Offered, Request, Room, Stage, Ticket, WorkQueue};
+pub use reuse::{IdleConnection, ReuseHistory};
+pub use work_queue::{Capacity, Next, OfferResult, Request, Stage, Ticket, WorkQueue};
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use model::{LogPoint, StatementClass};
-use overload::{Rank, come_back::ComeBack, hold::Patience};
+use overload::{Rank, hold::HoldLimits, retry_delay::RetryDelay};
 
 use crate::{
     accounts::Principal,
@@ -88,7 +88,6 @@
 }
 
 impl Job<'_> {
-    /// Returns the task that runs it on a connection.
     pub(crate) fn endpoint_task(&self, min_point: Option<LogPoint>) -> EndpointTask {
         EndpointTask {
             id: Some(self.id.clone()),
@@ -116,14 +115,13 @@
         if now < self.arrived + max_wait { self.arrived + max_wait } else { now + max_wait }
     }
 
-    /// Returns the rank that its priority maps to.
     pub(crate) fn rank(&self) -> Rank {
         Rank::of_priority(self.route.priority)
     }
 
     /// Returns the time limits within which it may be held.
-    pub(crate) fn hold_limits(&self) -> Patience {
-        Patience {
+    pub(crate) fn hold_limits(&self) -> HoldLimits {
+        HoldLimits {
             arrived: self.arrived,
             target: self.route.target_latency,
             timeout: self.route.timeout,
@@ -131,11 +129,10 @@
     }
 
     /// Returns the time limits from which its retry delay is computed if it is refused.
-    pub(crate) fn retry_delay(&self) -> ComeBack {
-        ComeBack { target: self.route.target_latency, timeout: self.route.timeout }
+    pub(crate) fn retry_delay(&self) -> RetryDelay {
+        RetryDelay { target: self.route.target_latency, timeout: self.route.timeout }
     }
 
-    /// Returns until when the statement may wait for a usable server.
     pub(crate) fn hold_until(&self, is_planned_gap: bool) -> Instant {
         let share = if is_planned_gap { HOLD_SHARE_PLANNED } else { HOLD_SHARE };
         self.arrived + self.route.timeout.mul_f64(share)
--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -7,19 +7,18 @@
 
 use overload::{
     Rank,
-    come_back::ComeBack,
-    hold::{OngoingOutage, Outage, OutageHistory, Ticket, WaitingLine},
+    hold::{HoldQueue, OngoingOutage, Outage, OutageHistory, Ticket},
+    retry_delay::RetryDelay,
 };
 
 use crate::control::control_view::ControlView;
 
-/// The outage of one group, and the statements held until its end.
 #[derive(Default)]
 pub(crate) struct GroupOutage {
     pub(crate) ongoing: Cell<Option<OngoingOutage>>,
     /// The expected total length of the outage, estimated when it was detected.
     pub(crate) expected: Cell<Duration>,
-    pub(crate) queue: RefCell<WaitingLine>,
+    pub(crate) queue: RefCell<HoldQueue>,
 }
 
 /// A held statement in the queue of a group; dropping it removes the statement from the queue.
@@ -29,9 +28,8 @@
 }
 
 impl GroupOutage {
-    /// Adds a statement to the queue.
     pub(crate) fn enqueue(&self, rank: Rank) -> QueuedStatement<'_> {
-        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().join(rank) }
+        QueuedStatement { outage: self, ticket: self.queue.borrow_mut().enqueue(rank) }
     }
 
     /// Records that an outage of this kind is ongoing; a new one began at `began_at`.
@@ -51,26 +49,25 @@
         });
         ongoing.observe(now);
         self.ongoing.set(Some(ongoing));
-        self.queue.borrow_mut().close();
+        self.queue.borrow_mut().clear_release_times();
         ongoing
     }
 }
 
 impl QueuedStatement<'_> {
-    /// Returns the number of statements ahead in the queue.
     pub(crate) fn ahead(&self) -> u32 {
         self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
 
     /// Returns when the statement may continue after a primary has become usable.
     pub(crate) fn resume_at(&self, interval: Duration, latest: Instant, now: Instant) -> Instant {
-        self.outage.queue.borrow_mut().turn(self.ticket, interval, latest, now)
+        self.outage.queue.borrow_mut().release_time(self.ticket, interval, latest, now)
     }
 }
 
 impl Drop for QueuedStatement<'_> {
     fn drop(&mut self) {
-        self.outage.queue.borrow_mut().leave(self.ticket);
+        self.outage.queue.borrow_mut().remove(self.ticket);
     }
 }
 
@@ -80,12 +77,11 @@
         Some(leader) if leader.is_valid(now) => (Outage::Unreachable, now),
         Some(leader) if leader.planned => (Outage::PlannedChange, now),
         Some(leader) if leader.changing => (Outage::Failover, now),
-        Some(leader) => (Outage::LapsedRight, leader.valid_until),
-        None => (Outage::LapsedRight, now),
+        Some(leader) => (Outage::LapsedLease, leader.valid_until),
+        None => (Outage::LapsedLease, now),
     }
 }
 
-/// The expected course of an ongoing outage.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutageForecast {
     pub(crate) outage: Outage,
@@ -98,20 +94,20 @@
     /// try another daemon.
     pub(crate) fn retry_delay(
         &self,
-        route: ComeBack,
+        route: RetryDelay,
         history: &OutageHistory,
         primary_lease: Duration,
     ) -> Duration {
         let draw = rand::random();
-        if self.outage != Outage::LapsedRight {
-            return route.after(self.remaining, draw);
+        if self.outage != Outage::LapsedLease {
+            return route.for_wait(self.remaining, draw);
         }
         // The daemons that still reach the store and the servers replace the primary once every lease has expired.
         let replaced_after = primary_lease + history.remaining(Outage::Failover, Duration::ZERO);
         let until_replaced = replaced_after.saturating_sub(self.elapsed);
         match self.remaining.min(until_replaced) {
-            expected if expected > route.target => route.after(expected, draw),
-            _ => route.elsewhere(draw),
+            expected if expected > route.target => route.for_wait(expected, draw),
+            _ => route.for_other_daemon(draw),
         }
     }
 }
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -8,7 +8,9 @@
 };
 
 use model::LogPoint;
-use overload::{AfterRefusal, Circuit, Granted, Resting, Reuse, Room};
+use overload::{
+    AfterRefusal, Capacity, CircuitBreaker, ConnectionGrant, IdleConnection, ReuseHistory,
+};
 use routing::LatencyAverage;
 
 use crate::{
@@ -84,15 +86,15 @@
     pub(crate) next_tunnel: usize,
     pub(crate) no_tunnel_until: Option<Instant>,
     /// Circuit breaker on the server's results, as seen on the connections of this daemon.
-    pub(crate) health: Circuit,
+    pub(crate) health: CircuitBreaker,
     /// Which paths to the server work.
     pub(crate) paths: ServerPaths,
     /// The queue of statements for this server, if this daemon has one.
     pub(crate) queue: Option<Rc<ServerQueue>>,
     /// Estimate of how many connections the server grants at present.
-    pub(crate) granted: Granted,
+    pub(crate) granted: ConnectionGrant,
     /// How often each account uses connections to the server; `None` if accounts don't compete for them.
-    pub(crate) reuse: Option<Reuse>,
+    pub(crate) reuse: Option<ReuseHistory>,
     /// Whether the server is still listed; otherwise it gets no new work.
     pub(crate) listed: bool,
 }
@@ -120,10 +122,10 @@
             tunnels: Arc::default(),
             next_tunnel: 0,
             no_tunnel_until: None,
-            health: Circuit::default(),
+            health: CircuitBreaker::default(),
             paths: ServerPaths::default(),
             queue: None,
-            granted: Granted::default(),
+            granted: ConnectionGrant::default(),
             reuse: None,
             listed: true,
         }
@@ -158,9 +160,9 @@
             self.failures = 0;
             self.no_opening_until = None;
             self.avoid_until = None;
-            self.health = Circuit::default();
+            self.health = CircuitBreaker::default();
             self.paths = ServerPaths::default();
-            self.granted = Granted::default();
+            self.granted = ConnectionGrant::default();
         }
         self.entry = entry;
     }
@@ -186,10 +188,13 @@
     fn least_likely(&self, of_first: usize, now: Instant) -> Option<usize> {
         let Some(reuse) = &self.reuse else { return (of_first > 0).then_some(0) };
         let idle = self.idle.iter().take(of_first);
-        let idle: Vec<Resting<'_>> = idle
-            .map(|(since, idle)| Resting { account: idle.principal.account_name(), since: *since })
+        let idle: Vec<IdleConnection<'_>> = idle
+            .map(|(since, idle)| IdleConnection {
+                account: idle.principal.account_name(),
+                idle_since: *since,
+            })
             .collect();
-        reuse.least_likely(&idle, now)
+        reuse.least_likely_reused(&idle, now)
     }
 
     /// Records that a connection is used for a principal.
@@ -262,14 +267,14 @@
         }
         let held = self.idle.len() as u32 + self.in_use;
         match self.granted.on_refused(held, Instant::now()) {
-            AfterRefusal::Exchange => self.no_opening_until = None,
+            AfterRefusal::Replace => self.no_opening_until = None,
             AfterRefusal::Pause => {}
         }
     }
 
     /// Returns how many connections there may be now.
     fn max_connections_at(&self, now: Instant) -> u32 {
-        self.granted.most(self.limit + self.overflow, now)
+        self.granted.max_connections(self.limit + self.overflow, now)
     }
 
     /// Records that the owner's circuit breaker for this server is open.
@@ -313,7 +318,7 @@
     /// Whether the circuit breaker lets a request of this daemon's own callers pass. Forwarded requests were
     /// checked on arrival ([`super::health`]).
     pub(crate) fn is_healthy_for(&self, request: &ConnectionRequest, now: Instant) -> bool {
-        request.only.is_some() || request.is_forwarded || self.health.may_pass(now)
+        request.only.is_some() || request.is_forwarded || self.health.allows_request(now)
     }
 
     /// Whether the last probe failed and no tunnel works.
@@ -367,9 +372,9 @@
     }
 
     /// Creates, updates or removes the server's own queue.
-    pub(crate) fn set_queue(&mut self, room: Option<Room>) {
+    pub(crate) fn set_queue(&mut self, room: Option<Capacity>) {
         match (&self.queue, room) {
-            (Some(queue), Some(room)) => queue.set_room(room),
+            (Some(queue), Some(room)) => queue.set_capacity(room),
             (None, Some(room)) => {
                 self.queue = Some(ServerQueue::new(self.entry.server.clone(), room))
             }
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -11,9 +11,9 @@
 
 use model::{LogPoint, Name, StatementClass};
 use overload::{
-    come_back::spread,
-    hold::{Hold, OngoingOutage, Outage, OutageHistory, decide},
-    try_budget::{Cause, TryBudget},
+    account_retry_budget::{AccountRetryBudget, RetryCause},
+    hold::{HoldDecision, OngoingOutage, Outage, OutageHistory, decide},
+    retry_delay::add_jitter,
 };
 
 use crate::{
@@ -32,7 +32,6 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// Default retry delay sent to a caller.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Retry delay sent to a caller while a primary is being replaced.
 const RETRY_DELAY_CHANGING: Duration = Duration::from_millis(400);
@@ -41,7 +40,7 @@
 #[derive(Default)]
 pub(crate) struct HoldState {
     history: RefCell<OutageHistory>,
-    retry_budget: RefCell<TryBudget>,
+    retry_budget: RefCell<AccountRetryBudget>,
 }
 
 /// The attempts made so far to run one statement.
@@ -49,9 +48,7 @@
 pub(crate) struct Attempts {
     pub(crate) avoid: Vec<Name>,
     pub(crate) last_error: Option<ErrorCode>,
-    /// Whether only the primary can run it.
     pub(crate) needs_primary: bool,
-    /// Whether it opens a transaction.
     pub(crate) opens_transaction: bool,
     /// Whether an owner was asked for a sample of the primary's log position.
     pub(crate) requested_sample: bool,
@@ -68,7 +65,7 @@
     /// Adds jitter to a retry delay if statements are held.
     pub(crate) fn with_jitter(&self, retry_delay: Duration) -> Duration {
         match self.settings.overload.holding {
-            true => spread(retry_delay, rand::random()),
+            true => add_jitter(retry_delay, rand::random()),
             false => retry_delay,
         }
     }
@@ -115,8 +112,8 @@
             let hold = self.decide_hold(&ongoing, job, backlog, now);
             let was_stopping = stopping.borrow_and_update().is_some();
             let until = match hold {
-                Hold::Wait { until } if !was_stopping && until > now => until,
-                Hold::Wait { .. } | Hold::Refuse { .. } => {
+                HoldDecision::Wait { until } if !was_stopping && until > now => until,
+                HoldDecision::Wait { .. } | HoldDecision::Refuse { .. } => {
                     return Err(AssignError::Refuse(self.no_primary_error(group, job, attempts)));
                 }
             };
@@ -161,7 +158,6 @@
         }
     }
 
-    /// Until when a statement may wait for a usable server.
     pub(crate) fn hold_until(&self, job: &Job<'_>) -> Instant {
         job.hold_until(self.control_view().is_planned_gap(&job.route.service, Instant::now()))
     }
@@ -202,7 +198,7 @@
         let outage = ongoing.map_or(Outage::Failover, |ongoing| ongoing.outage);
         self.metrics.statements_held.with_label_values(&[outage.as_str(), "released"]).inc();
         let interval = self.service_interval_at(group, server);
-        queued.resume_at(interval, job.hold_limits().turn_until(outage, now), now)
+        queued.resume_at(interval, job.hold_limits().release_deadline(outage, now), now)
     }
 
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
@@ -218,7 +214,7 @@
         let Some(ongoing) = group.outage.ongoing.take() else { return };
         let length = ongoing.length(now);
         if let Some(length) = length {
-            self.hold_state.history.borrow_mut().note(ongoing.outage, length);
+            self.hold_state.history.borrow_mut().record(ongoing.outage, length);
         }
         log::info!(
             event = "outage_over", service = &**service, outage = ongoing.outage.as_str(),
@@ -245,7 +241,7 @@
         job: &Job<'_>,
         backlog: Duration,
         now: Instant,
-    ) -> Hold {
+    ) -> HoldDecision {
         decide(&self.hold_state.history.borrow(), ongoing, &job.hold_limits(), backlog, now)
     }
 
@@ -264,7 +260,6 @@
         group.pool.latency_of(server) * daemons / slots
     }
 
-    /// Returns the error for a statement that found no usable primary.
     fn no_primary_error(
         &self,
         group: &Group<E>,
@@ -312,7 +307,7 @@
     ) -> Option<StatementError> {
         let group = self.group(&job.route.service, &self.control_view());
         let until = match self.holds_statements(&group) && attempts.sent > 0 {
-            true => job.hold_limits().tries_until(),
+            true => job.hold_limits().retry_deadline(),
             false => self.hold_until(job),
         };
         if Instant::now() + RETRY_PAUSE >= until
@@ -353,17 +348,19 @@
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
             let ongoing = self.observe_outage(group, Outage::Unreachable, now, now);
-            if let Hold::Refuse { .. } = self.decide_hold(&ongoing, job, Duration::ZERO, now) {
+            if let HoldDecision::Refuse { .. } =
+                self.decide_hold(&ongoing, job, Duration::ZERO, now)
+            {
                 return true;
             }
         }
         let cause = match attempts.last_error {
-            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => Cause::NoRoom,
-            Some(_) | None => Cause::Path,
+            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => RetryCause::NoRoom,
+            Some(_) | None => RetryCause::Path,
         };
         let account = Name::from(job.principal.account_name());
         let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
-        let may = retry_budget.may_send_again(&account, job.rank(), attempts.sent, cause);
+        let may = retry_budget.may_retry(&account, job.rank(), attempts.sent, cause);
         if !may {
             self.metrics.attempts_denied.with_label_values(&[cause.as_str()]).inc();
         }
@@ -377,7 +374,7 @@
         attempts: &Attempts,
     ) -> StatementError {
         let retry_delay = match self.holds_statements(group) {
-            true => job.retry_delay().elsewhere(rand::random()),
+            true => job.retry_delay().for_other_daemon(rand::random()),
             false => RETRY_DELAY,
         };
         let refusal = Refusal {
@@ -395,7 +392,6 @@
         self.refuse_statement(group, job, refusal)
     }
 
-    /// Returns the error for a statement that found no free connection.
     pub(crate) fn no_room_error(
         &self,
         group: &Group<E>,
@@ -406,7 +402,7 @@
     ) -> StatementError {
         let expected = expected + Duration::from_millis(1);
         let retry_delay = match self.holds_statements(group) {
-            true => job.retry_delay().after(expected, rand::random()),
+            true => job.retry_delay().for_wait(expected, rand::random()),
             false => expected,
         };
         let code = ErrorCode::Overloaded;
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use overload::{LoadReport, Request, Room, Stage};
+use overload::{Capacity, LoadReport, Request, Stage};
 use tokio_util::sync::CancellationToken;
 
 use crate::{
@@ -28,7 +28,7 @@
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns the capacity for the queue of a server, if its statements are to be queued.
-    pub(super) fn queue_room(&self, pooled: &PooledServer<E>, share: &Share) -> Option<Room> {
+    pub(super) fn queue_room(&self, pooled: &PooledServer<E>, share: &Share) -> Option<Capacity> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = pooled.entry.slots;
         let connections = pooled.limit + share.overflow;
@@ -37,10 +37,9 @@
             // The owners of all zones share the slots in the same way as the connections.
             OwnerQuota::PerZone(count) => slots.div_ceil(count.max(1)),
         };
-        Some(Room { slots, connections, owners })
+        Some(Capacity { slots, connections, owners })
     }
 
-    /// Whether statements are queued per server.
     pub(crate) fn has_queues(&self) -> bool {
         self.overload.queue && self.state.borrow().has_owners
     }
@@ -50,7 +49,6 @@
         self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
-    /// Returns the load of a server that has a queue at this daemon.
     pub(crate) fn load_of(&self, server: &str) -> Option<LoadReport> {
         self.with_server(server, |pooled| pooled.queue.as_ref().map(|queue| queue.report()))?
     }
