--- a/crates/proxy/src/accounts.rs
+++ b/crates/proxy/src/accounts.rs
@@ -1,7 +1,7 @@
-//! Client accounts: whose key a caller names, and for whom a connection to a server works.
+//! Client accounts: which account a caller's key belongs to, and which principal a connection to a server acts for.
 //!
 //! See `docs/ACCOUNTS.md`. A key is a secret: it is compared in constant time, overwritten when it is dropped, and
-//! nothing here prints it.
+//! never printed.
 
 use std::{
     collections::{HashMap, hash_map::RandomState},
@@ -20,17 +20,17 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// What a caller names to show which account it belongs to.
+/// The secret by which a caller identifies its account.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct AccountKey(Zeroizing<Vec<u8>>);
 
 impl AccountKey {
-    /// Takes over a key.
+    /// Creates a key from a copy of its bytes.
     pub fn new(key: &[u8]) -> AccountKey {
         AccountKey(Zeroizing::new(key.to_vec()))
     }
 
-    /// Whether nothing was named.
+    /// Returns whether the caller named no key.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -45,23 +45,23 @@
 /// A client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name, which servers are told.
+    /// The account's name, which is sent to servers.
     pub name: Name,
-    /// How much it may ask; `None` for as much as it likes.
+    /// The limit on its requests; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
-/// Every account of a configuration, by its keys.
+/// The accounts of a configuration with their keys.
 #[derive(Clone, Debug)]
 pub struct Accounts {
     accounts: Vec<Arc<Account>>,
     keys: Vec<(AccountKey, Arc<Account>)>,
-    /// Places in `keys` by a keyed hash, so that a look tells nothing of other keys by the time that it takes.
+    /// Indices into `keys` by a keyed hash, so that the time of a lookup reveals nothing about other keys.
     key_indices: HashMap<u64, Vec<usize>>,
     hasher: RandomState,
 }
 
-/// Two accounts hold the same key, so that nobody knows whose work a caller does.
+/// Two accounts hold the same key, so a caller that names it can't be attributed to one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateKey {
     /// The accounts.
@@ -78,7 +78,7 @@
 impl std::error::Error for DuplicateKey {}
 
 impl Accounts {
-    /// Makes the list of a configuration.
+    /// Indexes accounts by their keys. Fails if two of them hold the same key.
     pub fn new(
         entries: impl IntoIterator<Item = (Account, Vec<AccountKey>)>,
     ) -> Result<Accounts, DuplicateKey> {
@@ -118,21 +118,22 @@
         }
         let key_indices = self.key_indices.get(&self.hasher.hash_one(&*key.0))?;
         let candidates = key_indices.iter().map(|index| &self.keys[*index]);
-        let mut found = candidates.filter(|(held, _)| bool::from(held.0.as_slice().ct_eq(&key.0)));
+        let mut found =
+            candidates.filter(|(known, _)| bool::from(known.0.as_slice().ct_eq(&key.0)));
         found.next().map(|(_, account)| account)
     }
 
-    /// Returns how many accounts there are.
+    /// Returns the number of accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// Whether any of them has a limit.
+    /// Returns whether any account has a limit.
     pub fn has_limits(&self) -> bool {
         self.accounts.iter().any(|account| account.limit.is_some())
     }
@@ -149,25 +150,25 @@
     }
 }
 
-/// For whom a connection to a server works, from its first message to its end.
+/// The principal that a connection to a server acts for, from its first message to its end.
 ///
-/// A server keeps values, prepared names and its own books by whoever connected, so a connection never passes from one
-/// account to another.
+/// A server keeps session values, prepared statements and usage by client, so a connection is never reused for another
+/// account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Principal {
-    /// The daemon itself, and callers of public routes, which belong to no account.
+    /// The daemon itself, and callers without an account.
     Daemon,
     /// A client account.
     Account(Name),
 }
 
 impl Principal {
-    /// Returns for whom a caller's work is done.
+    /// Returns the principal of a caller with this account.
     pub fn of(account: Option<&Arc<Account>>) -> Principal {
         account.map_or(Principal::Daemon, |account| Principal::Account(account.name.clone()))
     }
 
-    /// Returns the account's name as it is told to an owner; empty for none.
+    /// Returns the account's name as it is sent to an owner; empty for the daemon.
     pub fn account_name(&self) -> &str {
         match self {
             Principal::Daemon => "",
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Returns whom an owner was told.
+    /// Returns the principal for an account's name that another daemon sent; the daemon if it is empty.
     pub fn from_account_name(name: &str) -> Principal {
         match name {
             "" => Principal::Daemon,
@@ -188,12 +189,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// Returns what a caller is told whose key nobody holds.
+/// Returns the error for a caller whose key belongs to no account.
 pub fn unknown_key_error() -> StatementError {
     StatementError::new(ErrorCode::Forbidden, "the key belongs to no client account")
 }
 
-/// Returns the account that a key belongs to by a configuration; none where it has no accounts, or the route asks for none.
+/// Returns the account that a key belongs to. `None` if the configuration has no accounts, or if the key is unknown and
+/// the route is public.
 pub fn account_of(
     catalog: &Catalog,
     key: &AccountKey,
