--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration and the servers' own entries, as the engine uses them.
+//! The operators' configuration and the entries that servers write about themselves, as the engine uses them.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use crate::accounts::Accounts;
 
-/// What a session that names a database is given.
+/// How the sessions of a database are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// The route's name, for logs.
@@ -17,11 +17,11 @@
     pub reads: ReadRule,
     /// How long one statement may take.
     pub timeout: Duration,
-    /// How long the whole operation should take.
+    /// The time within which a whole operation should complete.
     pub target_latency: Duration,
-    /// The most urgent is 0.
+    /// The priority of its statements; 0 is the highest.
     pub priority: u8,
-    /// How often a statement may be sent to a server in all.
+    /// The largest number of times that a statement may be sent to a server.
     pub max_attempts: u32,
     /// Whether callers without an account are served.
     pub is_public: bool,
@@ -32,20 +32,20 @@
 pub enum ReadRule {
     /// Reads see every acknowledged write, so they run at the primary.
     Primary,
-    /// Reads see whatever was acknowledged longer ago than this.
+    /// Reads see every write that was acknowledged longer ago than the bound.
     BoundedStaleness {
-        /// The bound.
+        /// The largest allowed staleness.
         bound: Duration,
     },
-    /// The same, and every write of the session itself.
+    /// As `BoundedStaleness`, and reads also see every earlier write of their session.
     OwnWrites {
-        /// The bound.
+        /// The largest allowed staleness.
         bound: Duration,
     },
 }
 
 impl ReadRule {
-    /// Returns how old the data of a read may be; `None` where it must be at the primary.
+    /// Returns the largest allowed staleness; `None` if reads run at the primary.
     pub fn bound(self) -> Option<Duration> {
         match self {
             ReadRule::Primary => None,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the word used in logs and metrics.
+    /// Returns the rule's name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ReadRule::Primary => "primary",
@@ -66,46 +66,46 @@
 /// A service of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// Connections that one server grants to all daemons together.
+    /// The number of connections that one server grants to all daemons together.
     pub connections: u32,
-    /// Replicas that have received a write before it is acknowledged.
+    /// The number of replicas that must have received a write before it is acknowledged.
     pub synchronous_replicas: u32,
 }
 
-/// A configuration, whole.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Rises with every change; 0 before the first configuration.
+    /// Increases with every change; 0 before the first configuration.
     pub version: u64,
     /// Routes by the database that callers name.
     pub routes: HashMap<Name, Arc<Route>>,
     /// Services by name.
     pub services: HashMap<Name, ServiceRule>,
-    /// How long a transaction may rest before it may be ended; `None` for as long as it likes.
+    /// How long a transaction may be idle before it may be ended; `None` for no limit.
     pub idle_transaction_timeout: Option<Duration>,
-    /// The client accounts; `None` where the configuration has none, so that whoever comes is served.
+    /// The client accounts; `None` if the configuration has none, so that every caller is served.
     pub accounts: Option<Arc<Accounts>>,
 }
 
-/// What a server says of itself in the store.
+/// The entry that a server writes about itself to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// The server's identity; another at the same address has another one.
+    /// The server's identity; another server at the same address has a different one.
     pub server: Name,
     /// The service that it belongs to.
     pub service: Name,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// The server's availability zone.
     pub availability_zone: Name,
-    /// Statements that it runs at a time.
+    /// The number of statements that it runs at a time.
     pub slots: u32,
     /// Whether it is leaving and gets no new work.
     pub leaving: bool,
-    /// Whether it regards itself as the primary, which proves nothing.
+    /// Whether it regards itself as the primary. The claim may be outdated, so it is no evidence.
     pub claims_primary: bool,
-    /// When it was started, by its own word; `None` where servers don't say. A server that starts again under its
-    /// identity holds nothing of before, so it is another one to whoever knew it.
+    /// The start time that it reports; `None` if servers report none. A server that restarts under its identity has
+    /// lost its data, so it is treated as another server.
     pub incarnation: Option<ServerIncarnation>,
 }
 
@@ -116,8 +116,8 @@
 #[serde(transparent)]
 pub struct ServerIncarnation(pub u64);
 
-/// An item that can't be understood. A configuration that was known before stays in force; a server whose entry can't be
-/// read is none that may be used.
+/// An item that can't be decoded. The previous configuration stays in force; a server with an unreadable entry is not
+/// used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogError(pub String);
 
@@ -129,14 +129,14 @@
 
 impl std::error::Error for CatalogError {}
 
-/// Where the catalog lies in the store and how it is written there.
+/// The keys of the catalog in the store and the encoding of its items.
 pub trait CatalogFormat: Clone + 'static {
-    /// The key that holds the configuration.
+    /// Returns the key of the configuration.
     fn configuration_key(&self) -> &str;
-    /// The prefix of the servers' entries.
+    /// Returns the key prefix of the servers' entries.
     fn servers_prefix(&self) -> &str;
-    /// Reads the configuration.
+    /// Decodes the configuration.
     fn decode_configuration(&self, value: &[u8]) -> Result<Catalog, CatalogError>;
-    /// Reads a server's entry; the identity follows from the key.
+    /// Decodes a server's entry; its identity is taken from the key.
     fn decode_server(&self, key: &str, value: &[u8]) -> Result<ServerEntry, CatalogError>;
 }
