--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,12 +1,12 @@
-//! A daemon: its threads and how they are joined.
+//! A daemon: its threads and the channels between them.
 //!
-//! | thread | duty | fed by (bounded ring, entries) |
+//! | thread | responsibility | inputs (entries of bounded channels) |
 //! | --- | --- | --- |
-//! | `serve` | callers and connections to servers | sockets; questions of the control thread 64 |
-//! | `control` | store, rights, membership, changes of primary | the store; observations 256 |
-//! | `http` | whether the daemon takes callers; metrics | sockets |
+//! | `serve` | callers and connections to servers | sockets; requests of the control thread (64) |
+//! | `control` | metadata store, primary leases, membership, changes of primary | the store; observations (256) |
+//! | `http` | readiness checks and metrics | sockets |
 //!
-//! The serving and the control thread share one value, the control view, which is replaced as a whole.
+//! The control thread publishes its [`ControlView`] to the other threads and replaces it as a whole.
 
 use std::{
     net::SocketAddr,
@@ -41,46 +41,46 @@
     },
 };
 
-/// Observations that may wait for the control thread.
-const OBSERVATIONS: usize = 256;
-/// Questions to servers that may wait for the serving thread.
-const ASKS: usize = 64;
-/// How long sessions at rest stay after the signal to stop: the load balancer asks every second and
-/// goes by two answers.
+/// The capacity of the channel for observations of the serving thread.
+const OBSERVATION_CAPACITY: usize = 256;
+/// The capacity of the channel for requests to the serving thread.
+const SERVING_REQUEST_CAPACITY: usize = 64;
+/// How long idle sessions stay open after the signal to stop. The load balancer checks readiness every second and needs
+/// two failed checks to stop sending callers.
 const STOP_IDLE_AFTER: Duration = Duration::from_millis(2_300);
-/// The part of the grace after which open transactions are ended.
-const STOP_TRANSACTIONS_SHARE: f64 = 0.55;
-/// The part of the grace after which the daemon ends in any case.
-const STOP_SHARE: f64 = 0.85;
-/// How often the stop looks whether every caller has left.
-const STOP_LOOK_EVERY: Duration = Duration::from_millis(50);
-/// The pause after a connection could not be accepted, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The fraction of the grace period after which open transactions are ended.
+const STOP_TRANSACTIONS_FRACTION: f64 = 0.55;
+/// The fraction of the grace period after which the daemon exits even if callers are left.
+const STOP_FRACTION: f64 = 0.85;
+/// The interval at which a stopping daemon checks whether every caller has left.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The delay after a failure to accept a connection, as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Where a daemon listens, once it does; ports that were left to the system are known from here.
+/// The addresses that a daemon listens on, with the ports that the system assigned.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundAddresses {
     /// Where callers connect.
     pub callers: SocketAddr,
-    /// Where the load balancer asks.
+    /// Where the load balancer checks readiness.
     pub ready: SocketAddr,
 }
 
-/// What an adapter provides. The makers run on the thread that uses what they make.
+/// What an adapter provides. The `make_` functions run on the thread that uses their result.
 pub struct DaemonAdapter<C, E, F, M, O> {
-    /// How callers speak.
+    /// The wire protocol of callers.
     pub caller_dialect: C,
-    /// How servers speak.
+    /// The wire protocol of servers.
     pub endpoint_dialect: E,
-    /// How the catalog is written.
+    /// The format of the catalog in the store.
     pub format: F,
-    /// Makes the client of the store, from its address.
+    /// Creates a client for the metadata store at an address.
     pub make_store: M,
-    /// Makes the client that orders promotions, from its address.
+    /// Creates a client for the service that takes promotion orders at an address.
     pub make_orders: O,
 }
 
-/// Runs a daemon until `stop` says so, then stops it as planned.
+/// Runs a daemon until `stop` completes, then stops it gracefully.
 pub fn run_daemon<C, E, F, S, P>(
     settings: &ProxySettings,
     adapter: DaemonAdapter<
@@ -104,8 +104,8 @@
     let (control_view_out, control_view) = watch::channel(Arc::new(ControlView::default()));
     let (stopping_out, stopping) = watch::channel(None);
     let (ended_out, ended) = watch::channel(false);
-    let (observations_out, observations) = flume::bounded(OBSERVATIONS);
-    let (asks_out, asks) = flume::bounded(ASKS);
+    let (observations_out, observations) = flume::bounded(OBSERVATION_CAPACITY);
+    let (serving_requests_out, serving_requests) = flume::bounded(SERVING_REQUEST_CAPACITY);
 
     let peer_listener = settings.daemon.peer_listen.map(bind).transpose()?;
     let control = {
@@ -135,7 +135,7 @@
                 dialect,
                 control_view: control_view_out,
                 observations,
-                serving_requests: asks_out,
+                serving_requests: serving_requests_out,
                 stopping,
                 ended,
                 peer_listener,
@@ -175,7 +175,7 @@
     let grace = Duration::from_millis(settings.daemon.stop_grace_ms);
     let served = LocalSet::new().block_on(
         &runtime()?,
-        serve(Rc::new(engine), caller_listener, asks, stopping_out, grace, stop),
+        serve(Rc::new(engine), caller_listener, serving_requests, stopping_out, grace, stop),
     );
     ended_out.send_replace(true);
     join(control);
@@ -190,8 +190,8 @@
         availability_zone: settings.daemon.availability_zone.clone(),
         suspect_after: Duration::from_millis(settings.leadership.suspect_after_ms),
         primary_lease: Duration::from_millis(settings.leadership.right_ms),
-        stop_transactions_after: grace.mul_f64(STOP_TRANSACTIONS_SHARE),
-        stop_idle_after: STOP_IDLE_AFTER.min(grace.mul_f64(STOP_TRANSACTIONS_SHARE)),
+        stop_transactions_after: grace.mul_f64(STOP_TRANSACTIONS_FRACTION),
+        stop_idle_after: STOP_IDLE_AFTER.min(grace.mul_f64(STOP_TRANSACTIONS_FRACTION)),
         max_callers: settings.daemon.descriptors / 2,
         window_rule: WindowRule {
             window: Duration::from_millis(settings.limits.window_ms),
@@ -203,18 +203,18 @@
     }
 }
 
-/// Accepts callers until the stop, then waits for those that are connected.
+/// Accepts callers until `stop` completes, then waits until they have left or the grace period is nearly over.
 async fn serve<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     listener: std::net::TcpListener,
-    asks: flume::Receiver<ServingRequest>,
+    serving_requests: flume::Receiver<ServingRequest>,
     stopping: watch::Sender<Option<Instant>>,
     grace: Duration,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
     let listener = TcpListener::from_std(listener).wrap_err("can't listen for callers")?;
-    log::info!(event = "started", host = &*engine.settings.host; "the daemon runs");
-    tokio::task::spawn_local(answer_control_requests(engine.clone(), asks));
+    log::info!(event = "started", host = &*engine.settings.host; "daemon started");
+    tokio::task::spawn_local(answer_control_requests(engine.clone(), serving_requests));
     tokio::task::spawn_local(engine.clone().close_idle_connections());
     tokio::task::spawn_local(engine.clone().run_limit_election());
     let accepting = {
@@ -228,34 +228,34 @@
                     Err(error) => {
                         log::warn!(
                             event = "accept_failed", why = error.to_string().as_str();
-                            "a caller could not be accepted"
+                            "failed to accept a caller's connection"
                         );
-                        tokio::time::sleep(ACCEPT_PAUSE).await;
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
         })
     };
     stop.await;
-    let since = Instant::now();
+    let stopping_since = Instant::now();
     log::info!(
         event = "stopping", callers = engine.callers.get();
-        "a planned stop begins"
+        "graceful stop started"
     );
-    stopping.send_replace(Some(since));
-    let last = since + grace.mul_f64(STOP_SHARE);
-    let settled = since + engine.settings.stop_idle_after;
-    while Instant::now() < last {
-        if engine.callers.get() == 0 && Instant::now() >= settled {
+    stopping.send_replace(Some(stopping_since));
+    let deadline = stopping_since + grace.mul_f64(STOP_FRACTION);
+    let idle_closed_at = stopping_since + engine.settings.stop_idle_after;
+    while Instant::now() < deadline {
+        if engine.callers.get() == 0 && Instant::now() >= idle_closed_at {
             break;
         }
-        tokio::time::sleep(STOP_LOOK_EVERY).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     accepting.abort();
     log::info!(
         event = "stopped", callers_left = engine.callers.get(),
-        took_ms = since.elapsed().as_millis() as u64;
-        "the daemon ends"
+        took_ms = stopping_since.elapsed().as_millis() as u64;
+        "daemon stopped"
     );
     Ok(())
 }
@@ -274,7 +274,7 @@
         .wrap_err("can't start a runtime")
 }
 
-/// Starts a thread for one duty, with a runtime of its own.
+/// Starts a named thread with its own runtime.
 fn spawn_thread<F, R>(name: &str, work: F) -> eyre::Result<JoinHandle<()>>
 where
     F: FnOnce() -> R + Send + 'static,
@@ -289,6 +289,6 @@
 
 fn join(thread: JoinHandle<()>) {
     if thread.join().is_err() {
-        log::error!(event = "thread_failed"; "a thread ended by a panic");
+        log::error!(event = "thread_failed"; "thread panicked");
     }
 }
