--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The wires, as the engine sees them: typed messages in, typed messages out.
+//! The wire protocols of callers and servers, as typed messages.
 
 use std::fmt;
 
@@ -10,21 +10,21 @@
     statement::{EndpointCommand, EndpointStatus, Request, StatementError, TransactionState},
 };
 
-/// A message of a caller.
+/// A message from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerMessage {
     /// The first message of a connection.
     Startup {
         /// The database that the caller names.
         database: Name,
-        /// What it shows to be of a client account.
+        /// The key of its client account; empty if it names none.
         key: AccountKey,
     },
     /// A request.
     Request(Request),
-    /// A message that can't be understood; the connection can go on after it.
+    /// A malformed message after which the connection remains usable.
     Invalid {
-        /// Why.
+        /// The error that describes it.
         error: StatementError,
     },
     /// The caller ends the connection.
@@ -36,20 +36,20 @@
 pub enum CallerReply {
     /// A row.
     Row(Bytes),
-    /// A success, with the server's proof; `None` for what the engine answers itself.
+    /// A success, with the server's proof; `None` if the engine answers itself.
     Complete(Option<Bytes>),
     /// A failure.
     Error(StatementError),
     /// The end of an answer.
     Ready {
-        /// Where the session stands.
+        /// The session's transaction state.
         state: TransactionState,
-        /// The point of the server's log, where one answered.
+        /// The log point of the server, if one answered.
         point: Option<LogPoint>,
     },
 }
 
-/// A message of a server.
+/// A message from a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointMessage {
     /// A row.
@@ -60,14 +60,14 @@
     Error(StatementError),
     /// The end of an answer.
     Ready {
-        /// Where the server's session stands.
+        /// The transaction state of the server's session.
         state: TransactionState,
-        /// The point of its log.
+        /// The server's log point.
         point: Option<LogPoint>,
     },
 }
 
-/// Bytes that can't be read on; the connection they came from must end.
+/// Bytes that can't be decoded; the connection that they came from must be closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError(pub StatementError);
 
@@ -79,33 +79,33 @@
 
 impl std::error::Error for WireError {}
 
-/// What a new connection tells the server that it wants.
+/// The content of the first message on a connection to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStartup {
     /// The service.
     pub service: Name,
-    /// Who connects: a client account's name, or the host's for work of no account.
+    /// The name of the client: a client account's, or the daemon's host for work without an account.
     pub client: Name,
-    /// The server that must answer; another at the same address refuses.
+    /// The identity of the expected server; another server at the same address refuses.
     pub server: Name,
 }
 
-/// The wire that callers speak.
+/// The wire protocol of callers.
 pub trait CallerDialect: Clone + 'static {
-    /// Takes one message from the buffer; `None` while it is not whole.
+    /// Removes one message from the buffer; `None` while it is incomplete.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
-    /// Adds a reply to the buffer.
+    /// Appends a reply to the buffer.
     fn encode(&self, reply: &CallerReply, buffer: &mut BytesMut);
 }
 
-/// The wire that servers speak.
+/// The wire protocol of servers.
 pub trait EndpointDialect: Clone + 'static {
-    /// Adds the first message of a connection to the buffer.
+    /// Appends the first message of a connection to the buffer.
     fn encode_startup(&self, startup: &EndpointStartup, buffer: &mut BytesMut);
-    /// Adds a command to the buffer.
+    /// Appends a command to the buffer.
     fn encode(&self, command: &EndpointCommand, buffer: &mut BytesMut);
-    /// Takes one message from the buffer; `None` while it is not whole.
+    /// Removes one message from the buffer; `None` while it is incomplete.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<EndpointMessage>, WireError>;
-    /// Reads the row that answers a status query, a pause or a step down; `None` if it is no such row.
+    /// Decodes the row that answers a status query, a pause or a step-down; `None` if it is another row.
     fn decode_status(&self, row: &[u8]) -> Option<EndpointStatus>;
 }
