--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,4 +1,4 @@
-//! What the load balancer and operators read over HTTP: whether the daemon takes callers, and metrics.
+//! The HTTP servers of a daemon: readiness checks for the load balancer and metrics for operators.
 
 use std::{
     convert::Infallible,
@@ -18,24 +18,24 @@
 
 use crate::{control::control_view::ControlView, metrics::ProxyMetrics};
 
-/// How long a peer may take to send a request's head.
-const HEADER_WITHIN: Duration = Duration::from_secs(5);
-/// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// The pause between two attempts to listen on an address that is still taken.
-const BIND_PAUSE: Duration = Duration::from_secs(1);
+/// The time within which a client must send the headers of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The delay between attempts to listen on an address that is in use.
+const BIND_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What the HTTP thread needs.
 pub struct HttpParts {
-    /// Where the load balancer asks.
+    /// The listener for the load balancer's readiness checks.
     pub ready_listener: std::net::TcpListener,
-    /// Where operators read metrics.
+    /// The address for requests of metrics; `None` to serve no metrics.
     pub metrics_listen: Option<SocketAddr>,
-    /// What is believed now.
+    /// The current control view.
     pub control_view: watch::Receiver<Arc<ControlView>>,
-    /// When the stop began.
+    /// When the stop began; `None` before it.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// What is counted.
+    /// The metrics to serve.
     pub metrics: ProxyMetrics,
 }
 
@@ -46,7 +46,7 @@
     metrics: ProxyMetrics,
 }
 
-/// Serves until the daemon's process ends.
+/// Serves until the control thread has stopped.
 pub async fn serve_http(parts: HttpParts) {
     let shared = Shared {
         control_view: parts.control_view,
@@ -59,23 +59,23 @@
     let mut control_view = shared.control_view.clone();
     let serving = async {
         match TcpListener::from_std(parts.ready_listener) {
-            Ok(listener) => accept(listener, shared, answer_ready).await,
+            Ok(listener) => serve_listener(listener, shared, respond_ready).await,
             Err(error) => log::error!(
                 event = "listen_failed", why = error.to_string().as_str();
-                "can't answer the load balancer"
+                "failed to listen for readiness checks"
             ),
         }
     };
     tokio::select! {
         () = serving => {}
-        // The control thread drops the control view when it has stopped, last of all.
+        // The control thread drops its sender as its last step.
         () = async { while control_view.changed().await.is_ok() {} } => {}
     }
 }
 
-type Answer = fn(&Shared) -> (StatusCode, String);
+type Responder = fn(&Shared) -> (StatusCode, String);
 
-fn answer_ready(shared: &Shared) -> (StatusCode, String) {
+fn respond_ready(shared: &Shared) -> (StatusCode, String) {
     if shared.stopping.borrow().is_some() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping".to_owned());
     }
@@ -86,58 +86,58 @@
     }
 }
 
-fn answer_metrics(shared: &Shared) -> (StatusCode, String) {
+fn respond_metrics(shared: &Shared) -> (StatusCode, String) {
     (StatusCode::OK, shared.metrics.render())
 }
 
-/// Metrics are worth waiting for an address that a former process may still hold.
+/// Serves metrics. Retries to listen, since a previous process may still hold the address.
 async fn listen_for_metrics(address: SocketAddr, shared: Shared) {
     loop {
         match TcpListener::bind(address).await {
-            Ok(listener) => return accept(listener, shared, answer_metrics).await,
+            Ok(listener) => return serve_listener(listener, shared, respond_metrics).await,
             Err(error) => log::warn!(
                 event = "listen_failed", address = address.to_string().as_str(),
                 why = error.to_string().as_str();
-                "can't listen for readers of metrics yet"
+                "failed to listen for metrics requests; retrying"
             ),
         }
-        tokio::time::sleep(BIND_PAUSE).await;
+        tokio::time::sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-async fn accept(listener: TcpListener, shared: Shared, answer: Answer) {
+async fn serve_listener(listener: TcpListener, shared: Shared, respond: Responder) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(stream, shared.clone(), answer));
+                tokio::task::spawn_local(serve_connection(stream, shared.clone(), respond));
             }
             Err(error) => {
                 log::warn!(
                     event = "accept_failed", why = error.to_string().as_str();
-                    "an HTTP connection could not be accepted"
+                    "failed to accept an HTTP connection"
                 );
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, shared: Shared, answer: Answer) {
+async fn serve_connection(stream: TcpStream, shared: Shared, respond: Responder) {
     let service = service_fn(move |_request: Request<Incoming>| {
-        let (status, text) = answer(&shared);
+        let (status, text) = respond(&shared);
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         std::future::ready(Ok::<_, Infallible>(response))
     });
-    let served = hyper::server::conn::http1::Builder::new()
+    let result = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEADER_WITHIN)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         log::debug!(
             event = "http_connection_ended", why = error.to_string().as_str();
-            "an HTTP connection ended with an error"
+            "HTTP connection failed"
         );
     }
 }
