--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The engine of a fleet that keeps everything shared in a metadata store.
+//! The engine of a fleet of daemons that keep their shared state in a metadata store.
 //!
-//! Callers' sessions share connections to servers; what a read must have seen is checked by the
-//! server itself; changes of primary are ordered by whichever daemon holds the duty. The engine knows
-//! no wire: [`dialect`], [`metadata`] and [`order`] are what an adapter fills. `docs/PLATFORM.md` says
-//! which programs run where and what was weighed.
+//! Callers' sessions share connections to servers. A server itself checks that it has reached the log point that a read
+//! requires. The daemon in the promoter role orders changes of primary. The engine depends on no wire protocol: an
+//! adapter implements the traits of [`catalog`], [`dialect`], [`metadata`] and [`order`]. `docs/PLATFORM.md` lists the
+//! programs, where they run and the reasons for the design.
 
 pub mod accounts;
 pub mod catalog;
