--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata store, as the engine sees it.
+//! The interface to the metadata store.
 
 use std::{fmt, time::Duration};
 
@@ -6,13 +6,12 @@
 
 pub use crate::revision::{Era, Revision};
 
-/// A lease, by the store's number for it. A store that was restored gives its numbers out again, so the number alone may
-/// name somebody else's lease.
+/// The identity of a lease. A restored store reuses its numbers, so the number alone may name another owner's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId {
-    /// The era in which it was granted; it ends with it.
+    /// The era in which it was granted; the lease ends with the era.
     pub era: Era,
-    /// The store's number.
+    /// The number that the store assigned.
     pub number: u64,
 }
 
@@ -38,7 +37,7 @@
     pub created: Revision,
 }
 
-/// Items with the revision of the store as they were read.
+/// Items that were read from the store, with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// The items.
@@ -47,7 +46,7 @@
     pub revision: Revision,
 }
 
-/// A change.
+/// A change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The key was written.
@@ -79,21 +78,21 @@
     }
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes {
-    /// The changes, oldest first; none when the wait was over.
+    /// The changes, oldest first; empty if the wait timed out.
     pub changes: Vec<Change>,
-    /// Where to go on.
+    /// The revision after which the next watch continues.
     pub revision: Revision,
 }
 
-/// A change under conditions: all of it or nothing.
+/// An atomic change under conditions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
     /// Keys with the revision that they must have; [`Revision::ABSENT`] means that the key must not exist.
     pub expected: Vec<(String, Revision)>,
-    /// Keys to write, with the lease that they go with.
+    /// Keys to write with their values, and the leases that they are attached to.
     pub puts: Vec<(String, Bytes, Option<LeaseId>)>,
     /// Keys to remove.
     pub removes: Vec<String>,
@@ -102,50 +101,51 @@
 /// How a transaction ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It was done at this revision.
+    /// It was committed at this revision.
     Done(Revision),
-    /// A condition did not hold; nothing was done.
+    /// A condition did not hold; nothing was changed.
     Conflict,
-    /// The lease is over; nothing was done.
+    /// The lease has ended; nothing was changed.
     LeaseOver,
 }
 
-/// Whether a read may be answered from an older state.
+/// The consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It shows every change that was acknowledged before it was asked.
+    /// It shows every change that was acknowledged before the read began.
     Linearizable,
-    /// It may be seconds old and costs a tenth.
+    /// It may be seconds old and costs the store less.
     Stale,
 }
 
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MetadataError {
-    /// The store said that nothing was done, or could not be reached at all.
+    /// The store reported that nothing was done, or could not be reached.
     NotDone(String),
-    /// No answer came; a write may have been done, or may be done later.
+    /// No answer arrived; a write may have been applied, or may be applied later.
     NoAnswer(String),
-    /// An answer began and did not end in time: the link is full or slow, not the store away. A write may have been done.
+    /// An answer began but was not complete in time: the network is slow, but the store is reachable. A write may have
+    /// been applied.
     Unfinished,
-    /// The history that a watch asked for is gone.
+    /// The store no longer has the history that a watch asked for.
     HistoryGone,
-    /// What the call rests on is of another era of the store than its answer, or than answers before it. A write may have
-    /// been done.
+    /// The call is based on another era of the store than its answer, or than earlier answers. A write may have been
+    /// applied.
     EraChanged(Era),
-    /// The store answered something that can't be understood.
+    /// The store's answer can't be decoded.
     Malformed(String),
 }
 
 impl fmt::Display for MetadataError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MetadataError::NotDone(why) => write!(f, "the store did nothing: {why}"),
-            MetadataError::NoAnswer(why) => write!(f, "the store's answer is missing: {why}"),
-            MetadataError::Unfinished => {
-                f.write_str("only part of the store's answer came in time")
+            MetadataError::NotDone(why) => write!(f, "the store did not run the call: {why}"),
+            MetadataError::NoAnswer(why) => write!(f, "no answer from the store: {why}"),
+            MetadataError::Unfinished => f.write_str("the store's answer was not complete in time"),
+            MetadataError::HistoryGone => {
+                f.write_str("the store no longer has the requested history")
             }
-            MetadataError::HistoryGone => f.write_str("the store's history is gone"),
             MetadataError::EraChanged(era) => write!(f, "the store is in era {era}"),
             MetadataError::Malformed(why) => write!(f, "the store's answer is malformed: {why}"),
         }
@@ -154,28 +154,27 @@
 
 impl std::error::Error for MetadataError {}
 
-/// How long a call may take. A store that says nothing is given up soon; an answer that has begun may be
-/// large, and its link slow.
+/// The timeouts of a call. A silent store is given up early; an answer that has begun may be large or the network slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadTimeouts {
-    /// Until the answer begins.
+    /// The time until the answer begins.
     pub answer: Duration,
-    /// Until all of it is there.
+    /// The time until the answer is complete.
     pub whole: Duration,
 }
 
 impl From<Duration> for ReadTimeouts {
-    fn from(time: Duration) -> ReadTimeouts {
-        ReadTimeouts { answer: time, whole: time }
+    fn from(timeout: Duration) -> ReadTimeouts {
+        ReadTimeouts { answer: timeout, whole: timeout }
     }
 }
 
-/// The store. Every call ends after the time it is given; none is repeated by the adapter.
+/// The metadata store. Every call ends at its timeout, and the adapter retries none.
 #[allow(async_fn_in_trait, reason = "the engine uses it on one thread only")]
 pub trait MetadataStore: 'static {
-    /// Returns the latest era that an answer of the store told of, and that answers are taken from.
+    /// Returns the latest known era of the store. Answers of earlier eras are refused.
     fn era(&self) -> Era;
-    /// Notes an era that another daemon heard of: answers of an earlier one are refused from then on.
+    /// Records an era that another daemon reported. Answers of earlier eras are refused from then on.
     fn note_era(&self, era: Era);
     /// Reads a key; `None` when it does not exist.
     async fn get(&self, key: &str, timeout: Duration) -> Result<Option<Item>, MetadataError>;
@@ -184,7 +183,7 @@
         &self,
         prefix: &str,
         consistency: Consistency,
-        patience: ReadTimeouts,
+        timeouts: ReadTimeouts,
     ) -> Result<Snapshot, MetadataError>;
     /// Waits for changes after a revision, at most for `wait`.
     async fn watch(
@@ -193,16 +192,20 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, MetadataError>;
-    /// Does a transaction.
+    /// Commits a transaction.
     async fn commit(
         &self,
         transaction: &Transaction,
         timeout: Duration,
     ) -> Result<TransactionOutcome, MetadataError>;
-    /// Takes a lease.
-    async fn grant(&self, lasts: Duration, timeout: Duration) -> Result<LeaseId, MetadataError>;
-    /// Renews a lease; `false` when it is over.
+    /// Acquires a lease that lasts for `time_to_live` unless it is renewed.
+    async fn grant(
+        &self,
+        time_to_live: Duration,
+        timeout: Duration,
+    ) -> Result<LeaseId, MetadataError>;
+    /// Renews a lease; `false` if it has ended.
     async fn renew(&self, lease: LeaseId, timeout: Duration) -> Result<bool, MetadataError>;
-    /// Ends a lease with its keys.
+    /// Ends a lease and removes its keys.
     async fn revoke(&self, lease: LeaseId, timeout: Duration) -> Result<(), MetadataError>;
 }
