--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the engine counts, and how it tells decisions to the log.
+//! The metrics of a daemon in Prometheus's format.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
@@ -8,42 +8,42 @@
 #[derive(Clone)]
 pub struct ProxyMetrics {
     registry: Registry,
-    /// Statements by kind of route and how they ended.
+    /// Statements, by the route's read rule and outcome.
     pub statements: IntCounterVec,
-    /// The time of a statement by kind of route, in seconds.
+    /// The duration of statements in seconds, by the route's read rule.
     pub statement_seconds: HistogramVec,
-    /// Statements sent to servers by the server's role, and whether it stands in the same zone.
+    /// Statements sent to servers, by the server's role and whether it is in the same zone.
     pub statements_sent: IntCounterVec,
-    /// Connections opened to servers, by how that ended.
+    /// Attempts to open connections to servers, by outcome.
     pub connections_opened: IntCounterVec,
-    /// Statements that went through an owner's queue, by rank and how that ended.
+    /// Statements offered to an owner's queue, by rank and outcome.
     pub statements_queued: IntCounterVec,
-    /// Calls to the metadata store by kind and how they ended.
+    /// Calls to the metadata store, by kind and outcome.
     pub store_calls: IntCounterVec,
-    /// Steps of changes of primary.
+    /// Steps of changes of primary, by step.
     pub promotion_steps: IntCounterVec,
-    /// Answers of primaries that contradict the right that they were used by; none may ever be seen.
+    /// Answers of primaries that contradict the lease under which they were used. Any such answer is a fault.
     pub contradictions: IntCounterVec,
-    /// Operations refused for their client account, by why: its limit, or a key that nobody holds.
+    /// Operations refused for their client account, by reason: its limit or an unknown key.
     pub refusals: IntCounterVec,
-    /// Changes of circuits, by the hop that they watch and what they became.
+    /// State changes of circuit breakers, by the hop that they watch and the new state.
     pub circuit_changes: IntCounterVec,
-    /// Statements that found no primary to use, by why and by what became of them.
+    /// Statements that found no usable primary, by the kind of outage and how it ended for them.
     pub statements_held: IntCounterVec,
-    /// Attempts that were not made because they would have taken room from others, by why they were wanted.
+    /// Attempts that were not made so that they take no capacity from other statements, by cause.
     pub attempts_denied: IntCounterVec,
-    /// What was done because the store was restored, by what it was.
+    /// Restores of the store that were seen and the actions that followed, by kind.
     pub store_restores: IntCounterVec,
-    /// Numbers as they are now: callers, version of the configuration, members.
+    /// Current values, by what is measured, such as the number of members.
     pub gauges: IntGaugeVec,
 }
 
-/// From a millisecond to five seconds, about three to a decade.
-const SECONDS_BUCKETS: [f64; 12] =
+/// The upper bounds of the histogram's buckets, in seconds.
+const STATEMENT_SECONDS_BUCKETS: [f64; 12] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
 impl ProxyMetrics {
-    /// Makes and registers every metric.
+    /// Creates and registers every metric.
     pub fn new() -> ProxyMetrics {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -117,7 +117,7 @@
                 "wardtiller_proxy_statement_seconds",
                 "From the arrival of a statement to its answer, by kind of route.",
             )
-            .buckets(SECONDS_BUCKETS.to_vec()),
+            .buckets(STATEMENT_SECONDS_BUCKETS.to_vec()),
             &["reads"],
         )
         .expect("names of metrics are constants that a test checks");
@@ -152,7 +152,7 @@
     /// Writes every metric in Prometheus's text format.
     pub fn render(&self) -> String {
         let mut buffer = Vec::new();
-        // Writing into memory can't fail, and every metric was checked when it was registered.
+        // Writing into memory can't fail, and every metric was validated when it was registered.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
         String::from_utf8_lossy(&buffer).into_owned()
     }
