--- a/crates/proxy/src/order.rs
+++ b/crates/proxy/src/order.rs
@@ -4,27 +4,27 @@
 
 use model::Name;
 
-/// An order, with what proves the right to give it.
+/// An order to promote a server, with the fencing token that authorizes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromotionOrder {
     /// The service.
     pub service: Name,
-    /// The server that is to lead.
+    /// The server to promote.
     pub server: Name,
-    /// The daemon that gives the order.
+    /// The daemon that holds the promoter role and gives the order.
     pub promoter: Name,
-    /// Rises with every change of holder, so that a late order can be told from a newer one.
+    /// Increases with every change of promoter, so that a delayed order can be told from a newer one.
     pub fencing_token: u64,
 }
 
-/// Why an order was not taken.
+/// Why an order failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderError {
-    /// The server is not running, so it was not ordered.
+    /// The server is not running; nothing was done.
     NotRunning,
-    /// The platform did nothing.
+    /// The platform refused the order or could not be reached; nothing was done.
     NotDone(String),
-    /// No answer came; the order may take effect.
+    /// No answer arrived; the order may take effect.
     NoAnswer(String),
 }
 
@@ -32,17 +32,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OrderError::NotRunning => f.write_str("the server is not running"),
-            OrderError::NotDone(why) => write!(f, "the order was not taken: {why}"),
-            OrderError::NoAnswer(why) => write!(f, "the order's answer is missing: {why}"),
+            OrderError::NotDone(why) => write!(f, "the order was not accepted: {why}"),
+            OrderError::NoAnswer(why) => write!(f, "no answer to the order: {why}"),
         }
     }
 }
 
 impl std::error::Error for OrderError {}
 
-/// Where promotions are ordered.
+/// The service that takes promotion orders.
 #[allow(async_fn_in_trait, reason = "the engine uses it on one thread only")]
 pub trait PromotionOrders: 'static {
-    /// Orders that a server lead. The answer comes before the change takes effect.
+    /// Orders the promotion of a server. The answer arrives before the promotion takes effect.
     async fn promote(&self, order: &PromotionOrder, timeout: Duration) -> Result<(), OrderError>;
 }
