--- a/crates/proxy/src/revision.rs
+++ b/crates/proxy/src/revision.rs
@@ -1,23 +1,23 @@
-//! Where the store stands: a revision within an era.
+//! Revisions of the metadata store, and the eras that they belong to.
 //!
-//! A store that was restored from an older copy has lost writes that it had acknowledged, and gives their revisions out
-//! again. It then begins a new era. Two revisions can only be compared together with their eras, so the number is not
-//! to be had by itself but where it goes to the store. See `docs/design/store-restored.md`.
+//! A store that is restored from an older copy loses acknowledged writes and reuses their revisions, so it begins a new
+//! era. Revisions can only be compared together with their eras; the bare number is for the store, messages and logs.
+//! See `docs/design/store-restored.md`.
 
 use std::fmt;
 
-/// Bits of a fencing token that hold a revision's number: a store that makes a thousand changes a second fills them in 34
-/// years. Together with [`Era::LAST`] a token stays below 2⁵³, so that it survives a reader that takes it for a float.
+/// The bits of a fencing token that hold a revision's number. Together with [`Era::LAST`] a token stays below 2⁵³, so
+/// readers that parse it as a float keep it exact.
 const TOKEN_NUMBER_BITS: u32 = 40;
 
-/// How often the store was restored. A later era supersedes all that was known of an earlier one.
+/// The number of times that the store was restored. A later era supersedes what was read in earlier ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Era(pub u64);
 
 impl Era {
-    /// That of a store which does not tell of eras.
+    /// The era of a store that does not report eras.
     pub const NONE: Era = Era(0);
-    /// The last one that a fencing token has room for; a greater number is none that a store can have counted to.
+    /// The last era that fits into a fencing token; greater numbers are invalid.
     pub const LAST: Era = Era((1 << 13) - 1);
 }
 
@@ -27,21 +27,21 @@
     }
 }
 
-/// A revision of the store; each change anywhere in it raises it. Any revision of a later era is later.
+/// A revision of the store, which increases with every change of any key. A revision of a later era is always greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    // The order of the fields is that of the comparison.
+    // The derived ordering compares the fields in this order.
     era: Era,
     number: u64,
 }
 
 impl Revision {
-    /// Before every change. As an expectation: the key does not exist.
+    /// The revision before every change. As an expected revision it means that the key does not exist.
     pub const ABSENT: Revision = Revision { era: Era::NONE, number: 0 };
-    /// After every change.
+    /// The revision after every change.
     pub const MAX: Revision = Revision { era: Era(u64::MAX), number: u64::MAX };
 
-    /// Makes a revision from the store's number in an era.
+    /// Creates a revision from the store's number in an era.
     pub const fn new(era: Era, number: u64) -> Revision {
         Revision { era, number }
     }
@@ -51,13 +51,13 @@
         self.era
     }
 
-    /// Returns the number by itself, for whatever tells the era beside it: the store, messages, the log.
+    /// Returns the number without the era, for the store, messages and logs that carry the era separately.
     pub fn number(self) -> u64 {
         self.number
     }
 
-    /// Returns the fencing token that stands for what was created at this revision. It rises with the revision, and is the
-    /// number itself where there are no eras: a token never falls although the store gives its numbers out again.
+    /// Returns the fencing token of a key that was created at this revision. Tokens increase with the revision, even
+    /// when a restored store reuses its numbers. Without eras the token is the number itself.
     pub fn fencing_token(self) -> u64 {
         (self.era.0 << TOKEN_NUMBER_BITS) + self.number
     }
