--- a/crates/proxy/src/statement.rs
+++ b/crates/proxy/src/statement.rs
@@ -1,37 +1,37 @@
-//! What callers ask and what servers answer, as types that no wire shows through.
+//! Callers' statements, commands to servers and their answers, independent of the wire protocols.
 
 use bytes::Bytes;
 use model::{LogPoint, Name, StatementClass, Term};
 
-/// A caller's request with the identifier under which it asks for the answer.
+/// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Passed on unchanged, so that a server's log and the caller's name the same request.
+    /// The caller's identifier, forwarded unchanged so that logs of servers and callers can be matched.
     pub id: Bytes,
-    /// What is asked.
+    /// The statement to run.
     pub statement: Statement,
 }
 
 /// One statement of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Opens a transaction.
+    /// Begins a transaction.
     Begin {
-        /// Whether it only reads, so that a replica may run it.
+        /// Whether it is read-only, so that a replica may run it.
         read_only: bool,
     },
-    /// Ends a transaction, keeping what it wrote.
+    /// Commits the transaction.
     Commit,
-    /// Ends a transaction, dropping what it wrote.
+    /// Rolls the transaction back.
     Rollback,
-    /// Reads something.
+    /// Reads data.
     Read {
-        /// What follows the verb, unchanged.
+        /// The text after the verb, unchanged.
         body: Bytes,
     },
-    /// Writes something.
+    /// Writes data.
     Write {
-        /// What follows the verb, unchanged.
+        /// The text after the verb, unchanged.
         body: Bytes,
     },
     /// Sets a value of the session.
@@ -41,82 +41,82 @@
         /// The value.
         value: Name,
     },
-    /// Gives a statement a name within the session.
+    /// Prepares a statement under a name of the session.
     Prepare {
         /// The name.
         name: Name,
-        /// What it stands for.
+        /// The prepared statement.
         shape: PreparedShape,
     },
     /// Runs a prepared statement.
     Execute {
         /// Its name within the session.
         name: Name,
-        /// What follows the name, unchanged.
+        /// The text after the name, unchanged.
         arguments: Bytes,
     },
-    /// Forgets a prepared name.
+    /// Discards a prepared statement.
     Deallocate {
         /// The name.
         name: Name,
     },
 }
 
-/// What a prepared name stands for; sessions that prepare the same share it on a connection.
+/// A prepared statement. Sessions that prepare the same one share it on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PreparedShape {
     /// Whether it reads or writes.
     pub class: StatementClass,
-    /// The statement itself.
+    /// The statement's text.
     pub shape: Name,
 }
 
-/// Where a session stands between two requests.
+/// The transaction state of a session between two requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionState {
     /// No transaction is open.
     Idle,
     /// A transaction is open.
     Open,
-    /// The transaction failed and waits for its end.
+    /// The transaction failed and has not been ended yet.
     Failed,
 }
 
-/// What an error says; the same codes come from servers and go to callers.
+/// The code of an error, both in answers of servers and in replies to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ErrorCode {
     /// No capacity; the statement was not run.
     Overloaded,
-    /// Nothing of the transaction is kept.
+    /// The transaction was aborted and none of its writes are kept.
     Aborted,
-    /// The server's log lacks the position that was asked for; not run.
+    /// The server's log has not reached the required point; not run.
     NotFresh,
-    /// The server does not lead; not run.
+    /// The server is not the primary; not run.
     NotPrimary,
-    /// The server is another one than was expected; not run.
+    /// The server is not the expected one; not run.
     WrongServer,
-    /// The server has no connection left; not run.
+    /// The server accepts no more connections; not run.
     TooManyConnections,
-    /// The prepared name is not known; not run.
+    /// The prepared statement is unknown; not run.
     UnknownStatement,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It took too long and may have run.
+    /// The statement timed out and may have run.
     TimedOut,
-    /// Whether it took effect is not known.
+    /// Whether the statement took effect is unknown.
     InDoubt,
-    /// The database is not known.
+    /// The database is unknown.
     UnknownDatabase,
-    /// The message can't be understood.
+    /// The message is malformed.
     Malformed,
     /// The message is larger than allowed.
     TooLarge,
-    /// The caller may not do this.
+    /// The caller is not permitted to do this.
     Forbidden,
 }
 
 impl ErrorCode {
-    /// Whether a server that answers this has not run the statement.
+    /// Returns whether a server that answers this code has not run the statement.
     pub fn was_not_run(self) -> bool {
         matches!(
             self,
@@ -146,12 +146,12 @@
         ErrorCode::Forbidden,
     ];
 
-    /// Returns the code that is written as this word, between daemons.
-    pub fn parse(word: &str) -> Option<ErrorCode> {
-        ErrorCode::ALL.into_iter().find(|code| code.as_str() == word)
+    /// Returns the code with this name, as sent between daemons.
+    pub fn parse(name: &str) -> Option<ErrorCode> {
+        ErrorCode::ALL.into_iter().find(|code| code.as_str() == name)
     }
 
-    /// Returns the word used in logs, in metrics and between daemons.
+    /// Returns the code's name in logs, metrics and messages between daemons.
     pub fn as_str(self) -> &'static str {
         match self {
             ErrorCode::Overloaded => "overloaded",
@@ -177,42 +177,42 @@
 pub struct StatementError {
     /// The code.
     pub code: ErrorCode,
-    /// One phrase for whoever reads the caller's log.
+    /// A short explanation for the caller's log.
     pub text: Bytes,
 }
 
 impl StatementError {
-    /// Joins a code and a fixed phrase.
+    /// Creates an error with a fixed text.
     pub fn new(code: ErrorCode, text: &'static str) -> StatementError {
         StatementError { code, text: Bytes::from_static(text.as_bytes()) }
     }
 
-    /// An error of a request that was not run, with when to come back.
+    /// Creates an error for a request that was not run, with the delay before a retry.
     pub fn with_retry_delay(code: ErrorCode, why: &str, retry_after_ms: u64) -> StatementError {
         let text = format!("{why}; retry after {retry_after_ms} ms");
         StatementError { code, text: Bytes::from(text) }
     }
 }
 
-/// How a statement ended.
+/// The outcome of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded, with the server's proof of it.
+    /// It succeeded, with the server's proof.
     Complete(Bytes),
     /// It failed.
     Error(StatementError),
 }
 
-/// The whole answer to one statement.
+/// The complete answer to one statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Rows, in order.
     pub rows: Vec<Bytes>,
-    /// How it ended.
+    /// The statement's outcome.
     pub outcome: Outcome,
-    /// Where the session stands after it.
+    /// The session's transaction state after it.
     pub state: TransactionState,
-    /// The point of the server's log after it.
+    /// The server's log point after it.
     pub point: Option<LogPoint>,
 }
 
@@ -226,17 +226,17 @@
     }
 }
 
-/// What the engine asks of a server.
+/// An operation that a server is asked to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointOperation {
-    /// Opens a transaction.
+    /// Begins a transaction.
     Begin {
-        /// Whether it only reads.
+        /// Whether it is read-only.
         read_only: bool,
     },
-    /// Ends a transaction, keeping what it wrote.
+    /// Commits the transaction.
     Commit,
-    /// Ends a transaction, dropping what it wrote.
+    /// Rolls the transaction back.
     Rollback,
     /// A caller's read.
     Read(Bytes),
@@ -249,32 +249,32 @@
         /// The value.
         value: Name,
     },
-    /// Prepares a shape under a number of this connection.
+    /// Prepares a statement under a number of the connection.
     Prepare {
         /// The number.
         number: u32,
-        /// The shape.
+        /// The statement.
         shape: PreparedShape,
     },
-    /// Runs what was prepared under a number.
+    /// Runs the statement that was prepared under a number.
     Execute {
         /// The number.
         number: u32,
         /// The caller's arguments, unchanged.
         arguments: Bytes,
     },
-    /// Discards values and prepared names.
+    /// Discards the values and prepared statements of the server's session.
     Reset,
     /// Asks for the server's status.
     Status,
-    /// Keeps a replica from receiving until it is resumed or a term begins.
+    /// Pauses a replica's replication until it is resumed or a new term begins.
     Pause {
-        /// A term above every one seen.
+        /// A term above every known one.
         term: Term,
     },
     /// Ends a pause.
     Resume,
-    /// Turns a primary of a lower term into a replica.
+    /// Demotes a primary of a lower term to a replica.
     StepDown {
         /// The term.
         term: Term,
@@ -286,32 +286,32 @@
 pub struct EndpointCommand {
     /// The caller's identifier; `None` for the engine's own commands.
     pub id: Option<Bytes>,
-    /// The point that the server's log must hold, else it answers [`ErrorCode::NotFresh`].
+    /// The log point that the server must have reached; otherwise it answers [`ErrorCode::NotFresh`].
     pub min_point: Option<LogPoint>,
-    /// What is asked.
+    /// The operation to run.
     pub operation: EndpointOperation,
 }
 
 impl EndpointCommand {
-    /// A command of the engine's own.
+    /// Creates a command of the engine itself.
     pub fn internal(operation: EndpointOperation) -> EndpointCommand {
         EndpointCommand { id: None, min_point: None, operation }
     }
 }
 
-/// What a server says of itself.
+/// The status that a server reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStatus {
-    /// Whether it believes that it leads.
+    /// Whether it regards itself as the primary.
     pub leads: bool,
-    /// The term that it knows.
+    /// The latest term that it knows.
     pub term: Term,
-    /// The last point that it has received.
+    /// The last log point that it has received.
     pub received: LogPoint,
     /// The term that it is paused for; 0 when it is not paused.
     pub paused_for: Term,
-    /// How far what it shows lags behind what it has received, in milliseconds.
+    /// How far the data that it serves lags behind the log that it has received, in milliseconds.
     pub lag_ms: u64,
-    /// Connections open to it from everybody.
+    /// The number of open connections to it, from all clients.
     pub connections: u32,
 }
