--- a/crates/proxy/src/tcp_options.rs
+++ b/crates/proxy/src/tcp_options.rs
@@ -1,56 +1,53 @@
-//! What holds for every connection that a daemon keeps: it does not stay silent for good unnoticed, and what was given
-//! up on it is not delivered later.
+//! Socket options of a daemon's connections, so that dead peers are noticed and abandoned data is not delivered late.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long a connection may rest before the kernel asks whether the other end still has it; a resting
-/// connection costs one small packet each way in this time.
-const PROBED_AFTER: Duration = Duration::from_secs(2);
-/// The pause between such questions.
-const PROBED_EVERY: Duration = Duration::from_secs(1);
-/// Questions without an answer after which the connection is broken, 4 s after it fell silent.
-const UNANSWERED_PROBES: u32 = 2;
-/// How long what was sent may stay without the other end's receipt before the connection is broken; far
-/// beyond any round trip, and as long as the probes of one at rest take.
-const RECEIPT_WITHIN: Duration = Duration::from_secs(4);
+/// How long a connection may be idle before the kernel sends a keepalive probe.
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(2);
+/// The interval between keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of unanswered probes after which the connection is closed.
+const KEEPALIVE_RETRIES: u32 = 2;
+/// How long sent data may stay unacknowledged before the connection is closed; as long as idle time plus probes.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Bounds how long a connection whose other end is gone or cut off may look alive.
+/// Bounds how long a connection stays open whose peer is gone or unreachable.
 pub(crate) fn detect_dead_peer(stream: &TcpStream) {
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBED_AFTER)
-        .with_interval(PROBED_EVERY)
-        .with_retries(UNANSWERED_PROBES);
+        .with_time(KEEPALIVE_IDLE_TIME)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     let socket = SockRef::from(stream);
-    let set = socket
+    let result = socket
         .set_tcp_keepalive(&keepalive)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(RECEIPT_WITHIN)));
-    if let Err(error) = set {
-        // The connection works without; only its end may be noticed late.
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
+    if let Err(error) = result {
+        // The connection still works; a dead peer is only noticed late.
         log::debug!(
             event = "keepalive_unset", why = error.to_string().as_str();
-            "a connection's silence is not bounded"
+            "failed to set the keepalive options of a connection"
         );
     }
 }
 
-/// Has a connection that ends in the middle of something, or with its process, drop what the other end has not received.
+/// Makes the end of a connection, also by the end of the process, discard data that the peer has not received.
 ///
-/// A connection that is closed in order goes on sending it, also when a partition holds it up for seconds: a write would
-/// run after its caller was told that its outcome is in doubt and has written anew. See `docs/PLATFORM.md`, "Verdicts".
+/// After a graceful close the kernel would still deliver it when a partition heals: a write could run after its caller
+/// was told that its outcome is in doubt and has written again. See `docs/PLATFORM.md`, "Verdicts".
 pub(crate) fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Has a connection on which nothing is under way end in order.
+/// Makes a connection without pending work close gracefully instead of by a reset.
 pub(crate) fn close_gracefully(stream: &TcpStream) {
     if let Err(error) = SockRef::from(stream).set_linger(None) {
-        // The other end sees a reset in place of an end; nothing is lost by it.
+        // The peer sees a reset instead of a graceful close; no data is lost.
         log::debug!(
             event = "linger_unset", why = error.to_string().as_str();
-            "a connection ends by a reset"
+            "failed to close a connection gracefully; it ends by a reset"
         );
     }
 }
