--- a/crates/daemon/src/failover_duty.rs
+++ b/crates/daemon/src/failover_duty.rs
@@ -294,7 +294,7 @@
             tokio::spawn(async move {
                 // An owner that can't be told finds out by its heartbeat.
                 if let Ok(client) = peers.get(address).await {
-                    let _ = client.tell(notice).await;
+                    let _ = client.notify(notice).await;
                 }
             });
         }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use parking_lot::Mutex;
-use peer::{PeerClient, PeerGone};
+use peer::{PeerClient, PeerDisconnected};
 
 /// A connection, or the place for one; held while it is being made, so that it is made once.
 type Slot = Arc<tokio::sync::Mutex<Option<Arc<PeerClient>>>>;
@@ -20,13 +20,17 @@
     }
 
     /// Returns the connection to a daemon, making it if there is none that stands.
-    pub(crate) async fn get(&self, address: SocketAddr) -> Result<Arc<PeerClient>, PeerGone> {
+    pub(crate) async fn get(
+        &self,
+        address: SocketAddr,
+    ) -> Result<Arc<PeerClient>, PeerDisconnected> {
         let slot = self.connections.lock().entry(address).or_default().clone();
         let mut slot = slot.lock().await;
         if let Some(client) = slot.as_ref().filter(|client| client.is_alive()) {
             return Ok(client.clone());
         }
-        let client = PeerClient::connect(address, self.timeout).await.map_err(|_| PeerGone)?;
+        let client =
+            PeerClient::connect(address, self.timeout).await.map_err(|_| PeerDisconnected)?;
         *slot = Some(client.clone());
         Ok(client)
     }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -36,7 +36,7 @@
         // The owner rolls back at once instead of when the connection between the daemons ends.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                let _ = client.tell(Body::Abandon(RelayAbandon { session_id })).await;
+                let _ = client.notify(Body::Abandon(RelayAbandon { session_id })).await;
             });
         }
     }
@@ -202,7 +202,7 @@
     let Some(address) = address else { return };
     if let Ok(client) = context.relay_peers.get(address).await {
         // A cancellation has no answer in the protocol either.
-        let _ = client.tell(Body::Cancel(RelayCancel { session_id })).await;
+        let _ = client.notify(Body::Cancel(RelayCancel { session_id })).await;
     }
 }
 
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The calling side of a connection between daemons.
+//! The requesting side of a connection between daemons.
 
 use std::{
     collections::HashMap,
@@ -17,30 +17,31 @@
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 use tokio_util::codec::{FramedRead, LengthDelimitedCodec};
 
-use crate::{ANSWER_WINDOW, Body, Credit, Envelope, LONGEST_FRAME_BYTES};
+use crate::{ANSWER_WINDOW, Body, Credit, Envelope, MAX_FRAME_BYTES};
 
-/// Frames that may wait for the socket before callers wait for room.
-const OUTGOING_FRAMES: usize = 1_024;
+/// The capacity of the queue of outgoing frames; senders wait while it is full.
+const OUTGOING_QUEUE_FRAMES: usize = 1_024;
 
-/// The connection to the other daemon is lost; what was asked of it may have been done.
+/// The connection to the other daemon is lost; requests in progress may have been carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerGone;
+pub struct PeerDisconnected;
 
-impl std::fmt::Display for PeerGone {
+impl std::fmt::Display for PeerDisconnected {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the connection to the other daemon is lost")
     }
 }
 
-impl std::error::Error for PeerGone {}
+impl std::error::Error for PeerDisconnected {}
 
-type Pending = Arc<Mutex<HashMap<u64, flume::Sender<Body>>>>;
+/// The receivers of answers, by request id.
+type PendingRequests = Arc<Mutex<HashMap<u64, flume::Sender<Body>>>>;
 
-/// A connection on which this daemon asks and another answers.
+/// A connection on which this daemon sends requests and another answers them.
 #[derive(Debug)]
 pub struct PeerClient {
     outgoing: flume::Sender<Envelope>,
-    pending: Pending,
+    pending: PendingRequests,
     next_id: AtomicU64,
     alive: Arc<AtomicBool>,
 }
@@ -57,10 +58,10 @@
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
         let (reader, writer) = stream.into_split();
-        let (outgoing, queue) = flume::bounded(OUTGOING_FRAMES);
+        let (outgoing, queue) = flume::bounded(OUTGOING_QUEUE_FRAMES);
         let client = Arc::new(PeerClient {
             outgoing,
-            pending: Pending::default(),
+            pending: PendingRequests::default(),
             next_id: AtomicU64::new(1),
             alive: Arc::new(AtomicBool::new(true)),
         });
@@ -71,62 +72,62 @@
         tokio::spawn(async move {
             read_answers(frames, &pending).await;
             alive.store(false, Ordering::Release);
-            // Dropping the senders tells every waiting request that its answer won't come.
+            // Dropping the senders fails every pending request.
             pending.lock().clear();
         });
         Ok(client)
     }
 
-    /// Whether the connection still stands, as far as is known.
+    /// Returns whether the connection is open, as far as is known.
     pub fn is_alive(&self) -> bool {
         self.alive.load(Ordering::Acquire) && !self.outgoing.is_disconnected()
     }
 
     /// Sends a request. Returns an error only when nothing was sent.
-    pub async fn call(self: &Arc<PeerClient>, body: Body) -> Result<Answers, PeerGone> {
+    pub async fn call(self: &Arc<PeerClient>, body: Body) -> Result<Answers, PeerDisconnected> {
         let request_id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = flume::bounded(ANSWER_WINDOW + 1);
         self.pending.lock().insert(request_id, sender);
-        let answers = Answers { client: self.clone(), request_id, receiver, taken: 0 };
+        let answers = Answers { client: self.clone(), request_id, receiver, uncredited_chunks: 0 };
         if !self.is_alive() {
-            return Err(PeerGone);
+            return Err(PeerDisconnected);
         }
         let envelope = Envelope { request_id, body: Some(body) };
-        self.outgoing.send_async(envelope).await.map_err(|_| PeerGone)?;
+        self.outgoing.send_async(envelope).await.map_err(|_| PeerDisconnected)?;
         Ok(answers)
     }
 
     /// Sends a message that has no answer.
-    pub async fn tell(&self, body: Body) -> Result<(), PeerGone> {
+    pub async fn notify(&self, body: Body) -> Result<(), PeerDisconnected> {
         let request_id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let envelope = Envelope { request_id, body: Some(body) };
-        self.outgoing.send_async(envelope).await.map_err(|_| PeerGone)
+        self.outgoing.send_async(envelope).await.map_err(|_| PeerDisconnected)
     }
 }
 
-/// The answers to one request. Dropping it makes later answers go nowhere.
+/// The answers to one request. Answers that arrive after it is dropped are discarded.
 #[derive(Debug)]
 pub struct Answers {
     client: Arc<PeerClient>,
     request_id: u64,
     receiver: flume::Receiver<Body>,
-    taken: u32,
+    uncredited_chunks: u32,
 }
 
-/// Credit is given back in steps, to save frames.
-const CREDIT_STEP: u32 = (ANSWER_WINDOW / 2) as u32;
+/// The number of received chunks after which credit is granted for them together, to save frames.
+const CREDIT_CHUNKS: u32 = (ANSWER_WINDOW / 2) as u32;
 
 impl Answers {
     /// Waits for the next part of the answer.
-    pub async fn next(&mut self) -> Result<Body, PeerGone> {
-        let body = self.receiver.recv_async().await.map_err(|_| PeerGone)?;
+    pub async fn next(&mut self) -> Result<Body, PeerDisconnected> {
+        let body = self.receiver.recv_async().await.map_err(|_| PeerDisconnected)?;
         if matches!(body, Body::Chunk(_)) {
-            self.taken += 1;
-            if self.taken == CREDIT_STEP {
-                self.taken = 0;
-                let body = Some(Body::Credit(Credit { chunks: CREDIT_STEP }));
+            self.uncredited_chunks += 1;
+            if self.uncredited_chunks == CREDIT_CHUNKS {
+                self.uncredited_chunks = 0;
+                let body = Some(Body::Credit(Credit { chunks: CREDIT_CHUNKS }));
                 let envelope = Envelope { request_id: self.request_id, body };
-                self.client.outgoing.send_async(envelope).await.map_err(|_| PeerGone)?;
+                self.client.outgoing.send_async(envelope).await.map_err(|_| PeerDisconnected)?;
             }
         }
         Ok(body)
@@ -140,19 +141,19 @@
 }
 
 pub(crate) fn frame_codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST_FRAME_BYTES).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-async fn read_answers<R>(mut frames: FramedRead<R, LengthDelimitedCodec>, pending: &Pending)
+async fn read_answers<R>(mut frames: FramedRead<R, LengthDelimitedCodec>, pending: &PendingRequests)
 where
     R: tokio::io::AsyncRead + Unpin,
 {
     while let Some(Ok(frame)) = frames.next().await {
         let Some((request_id, body)) = decode(frame.freeze()) else { return };
         let sender = pending.lock().get(&request_id).cloned();
-        // An answer to a request that was given up is dropped here.
+        // Answers to abandoned requests are dropped.
         let Some(sender) = sender else { continue };
-        // The window keeps an answer from outgrowing its ring, so a full one is a broken peer.
+        // The window limits the chunks in flight, so a full channel means that the peer violates it.
         if sender.try_send(body).is_err() {
             pending.lock().remove(&request_id);
         }
@@ -164,16 +165,16 @@
         Ok(Envelope { request_id, body: Some(body) }) => Some((request_id, body)),
         Ok(_) => None,
         Err(error) => {
-            log::warn!(error = error.to_string().as_str(); "malformed frame from another daemon");
+            log::warn!(error = error.to_string().as_str(); "received a malformed frame from another daemon");
             None
         }
     }
 }
 
-/// Once this many bytes wait to be written, they are written before more are encoded.
+/// The size of the buffer at which encoded frames are written before more are encoded.
 const WRITE_BATCH_BYTES: usize = 256 * 1024;
 
-/// Writes frames until the queue or the socket closes, several at a time under load.
+/// Writes queued frames until the queue or the socket closes, in batches if several are waiting.
 pub(crate) async fn write_frames<W>(mut writer: W, queue: flume::Receiver<Envelope>)
 where
     W: tokio::io::AsyncWrite + Unpin,
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -6,7 +6,7 @@
 /// A frame between daemons.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// Joins an answer to its request, within one connection; never 0 in a request.
+    /// Matches an answer to its request within one connection; never 0 in a request.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
     /// The message.
@@ -20,7 +20,7 @@
 /// The message within a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Run a request for a caller of the sending daemon.
+    /// Asks to run a request for a caller of the sending daemon.
     #[prost(message, tag = "2")]
     Job(Job),
     /// A part of the answer to a job.
@@ -29,49 +29,49 @@
     /// The end of the answer to a job.
     #[prost(message, tag = "4")]
     End(RelayEnd),
-    /// The caller of a session is gone; roll its transaction back.
+    /// The caller of a session has disconnected, so its transaction is to be rolled back.
     #[prost(message, tag = "5")]
     Abandon(RelayAbandon),
-    /// The caller of a session asked to cancel what runs.
+    /// The caller of a session asked to cancel its running request.
     #[prost(message, tag = "6")]
     Cancel(RelayCancel),
-    /// The receiver has taken some chunks of an answer.
+    /// Allows the sender of an answer to send more chunks.
     #[prost(message, tag = "7")]
     Credit(Credit),
-    /// What do you see of a group's primary?
+    /// Asks for the receiver's view of a group's primary.
     #[prost(message, tag = "8")]
     ViewRequest(ViewRequest),
-    /// What is seen of a group's primary.
+    /// The view of a group's primary.
     #[prost(message, tag = "9")]
     ViewAnswer(ViewAnswer),
-    /// Notes to compare; answered by the other side's.
+    /// The sender's versions and state; answered by those of the receiver.
     #[prost(message, tag = "10")]
     Gossip(GossipNote),
-    /// Which configuration is in force?
+    /// Asks for the head of the configuration in force.
     #[prost(message, tag = "11")]
     HeadRequest(HeadRequest),
-    /// The configuration's head.
+    /// The head of the configuration.
     #[prost(message, tag = "12")]
     HeadAnswer(HeadAnswer),
-    /// Give me a chunk of the configuration.
+    /// Asks for a chunk of the configuration.
     #[prost(message, tag = "13")]
     ChunkRequest(ChunkRequest),
     /// A chunk of the configuration.
     #[prost(message, tag = "14")]
     ChunkAnswer(ChunkAnswer),
-    /// Hold new transactions of a group back, for a planned switch.
+    /// Asks to hold back new transactions of a group for a planned change of primary.
     #[prost(message, tag = "15")]
     HoldRequest(HoldRequest),
-    /// How many transactions of the group still run.
+    /// The number of transactions of the group that still run.
     #[prost(message, tag = "16")]
     HoldAnswer(HoldAnswer),
-    /// Give me the host list.
+    /// Asks for the host list.
     #[prost(message, tag = "17")]
     HostListRequest(HostListRequest),
     /// The host list.
     #[prost(message, tag = "18")]
     HostListAnswer(HostListAnswer),
-    /// A new primary leads a group; ask its servers now rather than at the next heartbeat.
+    /// A group has a new primary, so its servers are to be queried now rather than at the next heartbeat.
     #[prost(message, tag = "19")]
     TermNotice(TermNotice),
 }
@@ -87,7 +87,7 @@
     pub position: u64,
 }
 
-/// A session setting to replay.
+/// A session setting to apply on the endpoint's connection.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Setting {
     /// Its name in lower case.
@@ -109,13 +109,13 @@
     pub parse: Bytes,
 }
 
-/// What kind of answer a step of a job has.
+/// The kind of answer to a step of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum StepShape {
     /// A simple query: anything up to `ReadyForQuery`.
     Query = 0,
-    /// `ParseComplete`; not sent when the connection has the statement already.
+    /// `ParseComplete`; not sent if the statement is already prepared on the connection.
     Parse = 1,
     /// `BindComplete`.
     Bind = 2,
@@ -125,20 +125,20 @@
     Execute = 4,
     /// `CloseComplete` of a portal.
     Close = 5,
-    /// Nothing is sent; the step's message is itself the answer.
+    /// A predefined answer: nothing is sent, and the step's message is the answer.
     Canned = 6,
 }
 
 /// One message of a job.
 #[derive(Clone, PartialEq, Message)]
 pub struct Step {
-    /// What kind of answer it has.
+    /// The kind of its answer, a [`StepShape`].
     #[prost(enumeration = "StepShape", tag = "1")]
     pub shape: i32,
     /// The encoded message, with statement names as they are on the endpoint.
     #[prost(bytes = "bytes", tag = "2")]
     pub message: Bytes,
-    /// The prepared statement that it needs; 0 for none.
+    /// The id of the prepared statement that it needs; 0 for none.
     #[prost(uint64, tag = "3")]
     pub statement: u64,
 }
@@ -155,19 +155,19 @@
     /// The group.
     #[prost(string, tag = "3")]
     pub group: String,
-    /// The user, whom fairness is for.
+    /// The user, between whom capacity is shared fairly.
     #[prost(string, tag = "4")]
     pub user: String,
-    /// What the session has to see in this group.
+    /// The log point that the session must see in this group.
     #[prost(message, optional, tag = "5")]
     pub seen: Option<Point>,
-    /// Whether the session carries a token; without one the read-index rule applies.
+    /// Whether the session has a session token; without one the read-index rule applies.
     #[prost(bool, tag = "6")]
     pub tracked: bool,
     /// The kind of read, empty for none.
     #[prost(string, tag = "7")]
     pub read_kind: String,
-    /// Whether it may run on a replica: it neither writes nor begins a transaction that may.
+    /// Whether it may run on a replica: it neither writes nor begins a transaction that may write.
     #[prost(bool, tag = "8")]
     pub read_only: bool,
     /// Whether the end of this job may commit something, now or written earlier.
@@ -185,7 +185,7 @@
     /// The session's settings.
     #[prost(message, repeated, tag = "13")]
     pub settings: Vec<Setting>,
-    /// How long the job may still take, in milliseconds.
+    /// The time left for the job, in milliseconds.
     #[prost(uint64, tag = "14")]
     pub deadline_ms: u64,
     /// The W3C trace context of the sending hop; empty when the request is not traced.
@@ -207,22 +207,22 @@
 /// The end of an answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayEnd {
-    /// The verdict's word when the job was refused or given up; empty when it was answered.
+    /// The verdict's name if the job was refused or abandoned; empty if it was answered.
     #[prost(string, tag = "1")]
     pub verdict: String,
-    /// The reason's word.
+    /// The reason's name.
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// One sentence for people.
+    /// One sentence for human readers.
     #[prost(string, tag = "3")]
     pub detail: String,
-    /// When to ask again.
+    /// The delay before a retry, in milliseconds.
     #[prost(uint64, optional, tag = "4")]
     pub retry_after_ms: Option<u64>,
     /// The transaction status byte after the job: `I`, `T` or `E`.
     #[prost(uint32, tag = "5")]
     pub transaction: u32,
-    /// Where an acknowledged write stands.
+    /// The log point of an acknowledged write.
     #[prost(message, optional, tag = "6")]
     pub written: Option<Point>,
     /// The server that answered.
@@ -231,12 +231,12 @@
     /// Whether a replica answered.
     #[prost(bool, tag = "8")]
     pub by_replica: bool,
-    /// The last messages, to be passed on after the token.
+    /// The last messages, which are forwarded after the session token.
     #[prost(bytes = "bytes", tag = "9")]
     pub messages: Bytes,
 }
 
-/// A session's caller is gone.
+/// The caller of a session has disconnected.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayAbandon {
     /// The session.
@@ -244,7 +244,7 @@
     pub session_id: u64,
 }
 
-/// A session's caller asked to cancel.
+/// The caller of a session asked to cancel its running request.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayCancel {
     /// The session.
@@ -252,10 +252,10 @@
     pub session_id: u64,
 }
 
-/// Chunks taken.
+/// Permission to send more chunks.
 #[derive(Clone, PartialEq, Message)]
 pub struct Credit {
-    /// How many.
+    /// The number of chunks.
     #[prost(uint32, tag = "1")]
     pub chunks: u32,
 }
@@ -271,7 +271,7 @@
     pub group: String,
 }
 
-/// A new primary leads a group.
+/// A group has a new primary.
 #[derive(Clone, PartialEq, Message)]
 pub struct TermNotice {
     /// The service.
@@ -280,7 +280,7 @@
     /// The group.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// Its term.
+    /// The primary's term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
 }
@@ -288,15 +288,15 @@
 /// A view of a group's primary.
 #[derive(Clone, PartialEq, Message)]
 pub struct ViewAnswer {
-    /// Whether the primary answered the daemon lately.
+    /// Whether the primary answered the daemon recently.
     #[prost(bool, tag = "1")]
     pub reachable: bool,
-    /// The newest term that the daemon knows.
+    /// The latest term that the daemon knows.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
 
-/// What two daemons compare.
+/// The versions and state that two daemons exchange.
 #[derive(Clone, PartialEq, Message)]
 pub struct GossipNote {
     /// The sender's host.
@@ -311,12 +311,12 @@
     /// Whether the sender is stopping.
     #[prost(bool, tag = "4")]
     pub stopping: bool,
-    /// The sender's use of connections, for the groups that it owns with the receiver.
+    /// The sender's demand for connections, for the groups that it owns together with the receiver.
     #[prost(message, repeated, tag = "5")]
     pub demands: Vec<GroupDemand>,
 }
 
-/// The use of a group's connections by one owner.
+/// The demand for a group's connections by one owner.
 #[derive(Clone, PartialEq, Message)]
 pub struct GroupDemand {
     /// The service.
@@ -325,24 +325,24 @@
     /// The group.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// Connections wanted at each server, in the group's order.
+    /// The number of connections wanted at each server, in the group's order.
     #[prost(uint32, repeated, tag = "3")]
     pub wanted: Vec<u32>,
 }
 
-/// Asks for the configuration's head.
+/// Asks for the head of the configuration.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeadRequest {}
 
-/// The configuration's head as JSON, the form in which the store holds it.
+/// The head of the configuration, as the JSON that the store holds.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeadAnswer {
-    /// The head; empty when no configuration is known.
+    /// The head; empty if no configuration is known.
     #[prost(bytes = "bytes", tag = "1")]
     pub head: Bytes,
 }
 
-/// Asks for chunks of the configuration.
+/// Asks for a chunk of the configuration by its hash.
 #[derive(Clone, PartialEq, Message)]
 pub struct ChunkRequest {
     /// The chunk's hash.
@@ -353,7 +353,7 @@
 /// A chunk of the configuration.
 #[derive(Clone, PartialEq, Message)]
 pub struct ChunkAnswer {
-    /// Its text; `None` when the daemon does not have it.
+    /// Its text; `None` if the daemon does not have it.
     #[prost(string, optional, tag = "1")]
     pub text: Option<String>,
 }
@@ -367,15 +367,15 @@
     /// The group.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// For how long at most; 0 ends the hold.
+    /// The longest time to hold them, in milliseconds; 0 ends the hold.
     #[prost(uint64, tag = "3")]
     pub hold_ms: u64,
 }
 
-/// What still runs in a held group.
+/// The number of operations that still run in a held group.
 #[derive(Clone, PartialEq, Message)]
 pub struct HoldAnswer {
-    /// Transactions and writes.
+    /// The number of transactions and writes.
     #[prost(uint32, tag = "1")]
     pub running: u32,
 }
@@ -404,10 +404,10 @@
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub availability_zone: String,
-    /// The address of what runs there.
+    /// The address of the daemon or endpoint that runs there.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Whether it is an endpoint rather than a daemon.
+    /// Whether an endpoint runs there rather than a daemon.
     #[prost(bool, tag = "4")]
     pub endpoint: bool,
     /// Whether it is leaving.
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -12,25 +12,26 @@
     client::{decode, frame_codec, write_frames},
 };
 
-/// Frames that may wait for the socket before answers wait for room.
-const OUTGOING_FRAMES: usize = 1_024;
+/// The capacity of the queue of outgoing frames; senders wait while it is full.
+const OUTGOING_QUEUE_FRAMES: usize = 1_024;
 
-/// Takes requests of another daemon.
+/// Handles requests of other daemons.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Begins to handle a request; whatever takes time is to be spawned.
+    /// Starts to handle a request. Must not block: long work is spawned.
     fn on_request(&self, body: Body, reply: Reply);
 
-    /// The connection is lost; nothing more can be answered on it.
+    /// Called when the connection is lost, after which no more answers can be sent on it.
     fn on_disconnect(&self, connection_id: u64);
 }
 
-/// The connection on which an answer was due is lost.
+/// The connection of the daemon that sent the request is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReplyGone;
+pub struct RequesterDisconnected;
 
+/// The send windows of answers, by request id.
 type Windows = Arc<Mutex<HashMap<u64, Arc<Semaphore>>>>;
 
-/// Where the answers to one request go.
+/// Sends the answers to one request.
 #[derive(Debug)]
 pub struct Reply {
     connection_id: u64,
@@ -41,18 +42,18 @@
 }
 
 impl Reply {
-    /// Identifies the connection, so that what belongs to it can be given up with it.
+    /// Returns the connection's id, so that its resources can be released when it is lost.
     pub fn connection_id(&self) -> u64 {
         self.connection_id
     }
 
-    /// Sends a part of the answer, waiting while the receiver has not taken earlier ones.
-    pub async fn send(&self, body: Body) -> Result<(), ReplyGone> {
+    /// Sends a part of the answer. Chunks wait until the receiver has granted credit.
+    pub async fn send(&self, body: Body) -> Result<(), RequesterDisconnected> {
         if matches!(body, Body::Chunk(_)) {
-            self.window.acquire().await.map_err(|_| ReplyGone)?.forget();
+            self.window.acquire().await.map_err(|_| RequesterDisconnected)?.forget();
         }
         let envelope = Envelope { request_id: self.request_id, body: Some(body) };
-        self.outgoing.send_async(envelope).await.map_err(|_| ReplyGone)
+        self.outgoing.send_async(envelope).await.map_err(|_| RequesterDisconnected)
     }
 }
 
@@ -68,10 +69,10 @@
     connection_id: u64,
     handler: Arc<H>,
 ) {
-    // Without it small answers would wait for acknowledgements; failing to set it costs only time.
+    // Avoids that small answers wait for acknowledgements. A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
-    let (outgoing, queue) = flume::bounded(OUTGOING_FRAMES);
+    let (outgoing, queue) = flume::bounded(OUTGOING_QUEUE_FRAMES);
     let writing = tokio::spawn(write_frames(writer, queue));
     let windows = Windows::default();
     let mut frames = FramedRead::new(reader, frame_codec());
