--- a/crates/store/src/consul_client.rs
+++ b/crates/store/src/consul_client.rs
@@ -1,4 +1,4 @@
-//! A client of Consul's HTTP interface.
+//! A client of Consul's HTTP API.
 
 use std::{
     net::SocketAddr,
@@ -16,24 +16,24 @@
     KeyValueStore, Lease, SessionCreated, SessionRequest, StoreError,
 };
 
-/// A value may be a megabyte, in base64, inside a little JSON.
-const LARGEST_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
+/// The largest accepted response body: enough for a value of a megabyte in base64 within JSON.
+const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// The version header that Consul sends with every read.
+/// The header with the version of the data, which Consul sends with every read.
 const INDEX_HEADER: &str = "x-consul-index";
 
-/// What was asked of the service, since it counts each call.
+/// The number of calls to the service.
 #[derive(Debug, Default)]
 pub struct CallCounts {
-    /// Reads, each renewed watch among them.
+    /// Reads, including every call of a watch.
     pub reads: AtomicU64,
     /// Writes.
     pub writes: AtomicU64,
-    /// Watches that wait now.
+    /// Watches that are waiting.
     pub waiting_watches: AtomicU64,
 }
 
-/// Speaks to the platform over HTTP.
+/// A client of the platform over HTTP.
 #[derive(Debug)]
 pub struct ConsulClient {
     base: String,
@@ -43,7 +43,7 @@
 }
 
 impl ConsulClient {
-    /// Makes a client; it connects when it is first used.
+    /// Creates a client, which connects on first use.
     pub fn new(address: SocketAddr, call_timeout: Duration) -> ConsulClient {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -67,7 +67,7 @@
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.agent.get(format!("{}/{path}", self.base));
         let request = request.config().timeout_global(Some(timeout)).build();
-        // A read that fails has changed nothing, whichever way it failed.
+        // A failed read has changed nothing, whatever the cause.
         let mut response =
             request.call().map_err(|error| StoreError::Unreachable(error.to_string()))?;
         if response.status() == 404 {
@@ -87,7 +87,7 @@
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let request = self.agent.put(format!("{}/{path}", self.base));
         let request = request.config().timeout_global(Some(self.call_timeout)).build();
-        let mut response = request.send(body).map_err(|error| classify_write(&error))?;
+        let mut response = request.send(body).map_err(|error| classify_write_error(&error))?;
         let status = response.status();
         if status.is_server_error() {
             return Err(StoreError::AnswerLost(format!("status {status}")));
@@ -99,8 +99,8 @@
     }
 
     fn read_entry(&self, path: &str, timeout: Duration) -> Result<Option<Entry>, StoreError> {
-        let found: Option<(u64, Vec<KeyValuePair>)> = self.get_json(path, timeout)?;
-        let Some(pair) = found.and_then(|(_, pairs)| pairs.into_iter().next()) else {
+        let response: Option<(u64, Vec<KeyValuePair>)> = self.get_json(path, timeout)?;
+        let Some(pair) = response.and_then(|(_, pairs)| pairs.into_iter().next()) else {
             return Ok(None);
         };
         let value = STANDARD
@@ -133,7 +133,7 @@
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let request = self.agent.delete(format!("{}/kv/{key}", self.base));
         let request = request.config().timeout_global(Some(self.call_timeout)).build();
-        let response = request.call().map_err(|error| classify_write(&error))?;
+        let response = request.call().map_err(|error| classify_write_error(&error))?;
         let status = response.status();
         if status.is_success() {
             return Ok(());
@@ -176,21 +176,23 @@
 
 impl HostList for ConsulClient {
     fn hosts(&self) -> Result<(u64, Vec<HostEntry>), StoreError> {
-        let found: Option<(u64, Vec<CatalogNode>)> =
+        let response: Option<(u64, Vec<CatalogNode>)> =
             self.get_json("catalog/nodes", self.call_timeout)?;
-        let (version, nodes) = found.unwrap_or_default();
+        let (version, nodes) = response.unwrap_or_default();
         let mut hosts = Vec::with_capacity(nodes.len());
         for node in nodes {
-            match read_node(&node) {
+            match parse_node(&node) {
                 Some(host) => hosts.push(host),
-                None => log::warn!(node = node.node.as_str(); "host list entry left out"),
+                None => {
+                    log::warn!(node = node.node.as_str(); "ignored an invalid entry of the host list")
+                }
             }
         }
         Ok((version, hosts))
     }
 }
 
-fn read_node(node: &CatalogNode) -> Option<HostEntry> {
+fn parse_node(node: &CatalogNode) -> Option<HostEntry> {
     let port = node.meta.get("port")?;
     let address = format!("{}:{port}", node.address).parse().ok()?;
     let role = match node.meta.get("role").map(String::as_str) {
@@ -202,11 +204,12 @@
         Some("leaving") => HostState::Leaving,
         _ => HostState::Live,
     };
-    let named = |key: &str| Name::from(node.meta.get(key).map(String::as_str).unwrap_or_default());
+    let meta_name =
+        |key: &str| Name::from(node.meta.get(key).map(String::as_str).unwrap_or_default());
     Some(HostEntry {
         host: Name::from(node.node.as_str()),
-        region: named("region"),
-        availability_zone: named("availability_zone"),
+        region: meta_name("region"),
+        availability_zone: meta_name("availability_zone"),
         address,
         role,
         state,
@@ -217,7 +220,7 @@
     response
         .body_mut()
         .with_config()
-        .limit(LARGEST_ANSWER_BYTES)
+        .limit(MAX_RESPONSE_BYTES)
         .read_to_vec()
         .map_err(|error| StoreError::Unreachable(error.to_string()))
 }
@@ -227,8 +230,8 @@
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// Only a connection that was never made shows that a write did not take effect.
-fn classify_write(error: &ureq::Error) -> StoreError {
+/// Classifies the failure of a write: it surely had no effect only if no connection was made.
+fn classify_write_error(error: &ureq::Error) -> StoreError {
     match error {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
--- a/crates/store/src/consul_messages.rs
+++ b/crates/store/src/consul_messages.rs
@@ -1,31 +1,31 @@
-//! The JSON messages of Consul's HTTP interface, as far as they are used.
+//! The JSON messages of Consul's HTTP API that the client uses.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A pair as `GET /v1/kv/KEY` returns it, in a list of one.
+/// A key-value pair as `GET /v1/kv/KEY` returns it, in a list of one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyValuePair {
     /// The key.
     pub key: String,
-    /// The value in base64; absent for an empty one.
+    /// The value in base64; absent if it is empty.
     pub value: Option<String>,
-    /// The version.
+    /// The version of the key's last change.
     pub modify_index: u64,
 }
 
 /// A node as `GET /v1/catalog/nodes` returns it.
 ///
-/// The node's metadata carries what wardtiller needs: `role` (`daemon` or `endpoint`), `state`
+/// wardtiller uses these keys of the metadata: `role` (`daemon` or `endpoint`), `state`
 /// (`live` or `leaving`), `region`, `availability_zone` and `port`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CatalogNode {
     /// The host's name.
     pub node: String,
-    /// Its IP number.
+    /// Its IP address.
     pub address: String,
     /// Its metadata.
     #[serde(default)]
@@ -35,10 +35,10 @@
 /// The body of `PUT /v1/session/create`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SessionRequest {
-    /// What the lease is for.
+    /// The purpose of the lease.
     #[serde(rename = "Name")]
     pub name: String,
-    /// When it lapses without renewal, such as `15s`.
+    /// The time after which it expires without renewal, such as `15s`.
     #[serde(rename = "TTL")]
     pub ttl: String,
 }
@@ -46,7 +46,7 @@
 /// The answer to `PUT /v1/session/create`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SessionCreated {
-    /// The lease's name.
+    /// The lease's id.
     #[serde(rename = "ID")]
     pub id: String,
 }
--- a/crates/store/src/host_list.rs
+++ b/crates/store/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of hosts.
+//! The platform's list of hosts, which may be outdated.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::StoreError;
 
-/// What runs on a host.
+/// The role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRole {
     /// A wardtiller daemon.
@@ -15,34 +15,34 @@
     Endpoint,
 }
 
-/// Whether a host stays.
+/// The state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It does.
+    /// It is in service.
     Live,
-    /// It is being taken out.
+    /// It is being taken out of service.
     Leaving,
 }
 
-/// A host of the list.
+/// An entry of the list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostEntry {
-    /// Its name.
+    /// The host's name.
     pub host: Name,
-    /// Its region; empty where the list names none.
+    /// Its region; empty if the list names none.
     pub region: Name,
     /// Its availability zone.
     pub availability_zone: Name,
-    /// The address that matters for its role: a daemon's peer address, an endpoint's own.
+    /// The address for its role: a daemon's address for peers, or an endpoint's address.
     pub address: SocketAddr,
-    /// What runs on it.
+    /// Its role.
     pub role: HostRole,
-    /// Whether it stays.
+    /// Its state.
     pub state: HostState,
 }
 
-/// The list of hosts.
+/// A source of the list of hosts.
 pub trait HostList: Send + Sync {
-    /// Reads the list with its version.
+    /// Returns the version of the list and its hosts.
     fn hosts(&self) -> Result<(u64, Vec<HostEntry>), StoreError>;
 }
--- a/crates/store/src/key_value.rs
+++ b/crates/store/src/key_value.rs
@@ -1,11 +1,11 @@
-//! The narrow interface to the key-value service.
+//! The interface to the key-value service.
 
 use std::{fmt, time::Duration};
 
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Changes with every write of the key and never returns to an earlier number.
+    /// The version, which changes with every write of the key and is never reused.
     pub version: u64,
     /// The value.
     pub value: Vec<u8>,
@@ -20,7 +20,7 @@
     Conflict,
 }
 
-/// A lease, by the service's name for it.
+/// The id that the service assigned to a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease(pub String);
 
@@ -31,7 +31,7 @@
     Unreachable(String),
     /// The answer was lost; a write may have taken effect.
     AnswerLost(String),
-    /// The service answered something that can't be understood.
+    /// The service's answer can't be decoded.
     Malformed(String),
 }
 
@@ -47,12 +47,12 @@
 
 impl std::error::Error for StoreError {}
 
-/// The key-value service. Calls block the thread; daemons call from a duty's own thread.
+/// The key-value service. Calls block the thread, so daemons make them on dedicated threads.
 pub trait KeyValueStore: Send + Sync {
-    /// Reads a key; `None` when it does not exist.
+    /// Reads a key; `None` if it does not exist.
     fn get(&self, key: &str) -> Result<Option<Entry>, StoreError>;
 
-    /// Writes a key if it still has the version; 0 means if it does not exist.
+    /// Writes a key if it still has the expected version; 0 means that the key must not exist.
     fn compare_and_swap(
         &self,
         key: &str,
@@ -60,12 +60,12 @@
         value: &[u8],
     ) -> Result<CasOutcome, StoreError>;
 
-    /// Removes a key; one that does not exist is no error.
+    /// Removes a key. A key that does not exist is not an error.
     fn delete(&self, key: &str) -> Result<(), StoreError>;
 
-    /// Waits until the key has another version than the one known, or the time is over.
+    /// Waits until the key has a version other than `known_version`, or until `wait` has passed.
     ///
-    /// Returns the entry as it then is. One waiting call counts like any other call.
+    /// Returns the current entry. The service counts a waiting call as one call.
     fn watch(
         &self,
         key: &str,
@@ -73,9 +73,9 @@
         wait: Duration,
     ) -> Result<Option<Entry>, StoreError>;
 
-    /// Takes a lease that lapses unless it is renewed within `time_to_live`.
+    /// Acquires a lease that expires unless it is renewed within `time_to_live`.
     fn create_lease(&self, name: &str, time_to_live: Duration) -> Result<Lease, StoreError>;
 
-    /// Renews a lease; `false` when it has lapsed.
+    /// Renews a lease; `false` if it has expired.
     fn renew_lease(&self, lease: &Lease) -> Result<bool, StoreError>;
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,7 @@
-//! The platform's key-value service and host list.
+//! Interfaces to the platform's key-value service and host list.
 //!
-//! [`KeyValueStore`] and [`HostList`] are all that the daemons know of the platform;
-//! [`ConsulClient`] speaks to one over the published HTTP interface of Consul (its key-value,
-//! session and catalogue endpoints). An error always says whether a write may have taken effect.
+//! Daemons access the platform only through [`KeyValueStore`] and [`HostList`]. [`ConsulClient`] implements both over
+//! Consul's HTTP API (key-value, session and catalog). Every error tells whether a write may have taken effect.
 
 mod consul_client;
 mod consul_messages;
