--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -35,9 +35,7 @@
 const SILENT_AFTER: Duration = Duration::from_millis(80);
 /// How often liveness is checked while requests wait.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Timeout for writing to the link.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Capacity of the queue of requests to be written.
 const OUTGOING_CAPACITY: usize = 512;
 
 /// How long after its wait for a connection the owner may still start a request. Covers the way there and
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -129,10 +129,8 @@
     }
 }
 
-/// Error of a request on a link that has ended.
 struct LinkEnded;
 
-/// Starts the task of a request.
 async fn start<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: RelayRequest,
@@ -228,7 +226,6 @@
     RelayOutcome::NotSent(why.number())
 }
 
-/// Runs a single statement.
 async fn run_single<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -40,7 +40,6 @@
 const NO_COORDINATOR_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum delay before a caller may retry when its account is at its limit.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Minimum interval between two log records about one account at its limit.
 const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What this daemon holds of one account's limit.
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -91,7 +91,6 @@
 }
 
 impl Limits {
-    /// Creates the state of a daemon that starts now.
     pub(crate) fn new(rule: WindowRule) -> Limits {
         let now = Instant::now();
         Limits {
@@ -115,7 +114,6 @@
         self.voter.borrow().coordinator(now).cloned()
     }
 
-    /// Records a daemon as the coordinator.
     pub(super) fn note_coordinator(&self, host: Name, now: Instant) {
         self.voter.borrow_mut().note_coordinator(host, now);
     }
@@ -199,7 +197,6 @@
         }
     }
 
-    /// Applies the current members.
     fn note_members(&self, view: &ControlView, now: Instant) {
         let mut electorate = self.electorate.borrow_mut();
         if Arc::ptr_eq(&view.members, &electorate.members) {
@@ -278,7 +275,6 @@
         }
     }
 
-    /// Whether this daemon should ask for votes now.
     fn should_campaign(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) -> bool {
         let limits = &self.limits;
         let own = &self.settings.host;
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -35,7 +35,6 @@
 /// servers they can't reach.
 const TUNNEL_SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The paths to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
     owner_circuits: HashMap<SocketAddr, CircuitBreaker>,
@@ -43,7 +42,6 @@
     is_unreachable: bool,
     /// Whether a tunneled connection was opened since then.
     has_tunnel: bool,
-    /// Whether a search for a tunnel is running.
     is_searching: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -87,7 +87,6 @@
     pub(crate) no_tunnel_until: Option<Instant>,
     /// Circuit breaker on the server's results, as seen on the connections of this daemon.
     pub(crate) health: CircuitBreaker,
-    /// Which paths to the server work.
     pub(crate) paths: ServerPaths,
     /// The queue of statements for this server, if this daemon has one.
     pub(crate) queue: Option<Rc<ServerQueue>>,
@@ -197,14 +196,12 @@
         reuse.least_likely_reused(&idle, now)
     }
 
-    /// Records that a connection is used for a principal.
     pub(crate) fn note_use(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
             reuse.on_used(principal.told(), Instant::now());
         }
     }
 
-    /// Sets whether accounts compete for the connections to this server.
     pub(crate) fn set_competing(&mut self, is_competing: bool) {
         match is_competing {
             true => drop(self.reuse.get_or_insert_default()),
@@ -272,7 +269,6 @@
         }
     }
 
-    /// Returns how many connections there may be now.
     fn max_connections_at(&self, now: Instant) -> u32 {
         self.granted.max_connections(self.limit + self.overflow, now)
     }
@@ -327,7 +323,6 @@
         self.paths.is_unreachable() && !has_tunnel
     }
 
-    /// Whether it lagged recently.
     pub(crate) fn has_lagged(&self, now: Instant) -> bool {
         self.lagging_until.is_some_and(|until| now < until + RECENT_LAG_WINDOW)
     }
@@ -359,7 +354,6 @@
         }
     }
 
-    /// Whether a connection may be opened now.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
         self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -28,7 +28,6 @@
 const BEHIND_GAP: Duration = Duration::from_millis(1_000);
 /// Interval between two probes of an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a server may take to accept a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// State of a running probe.
--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -25,7 +25,6 @@
     TooLate,
 }
 
-/// Minimum interval between two log records about refused statements.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 type PermitResult = Result<QueuePermit, QueueRefusal>;
--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -21,7 +21,6 @@
 
 const DAEMONS: usize = 4;
 
-/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
@@ -36,8 +35,13 @@
     /// A daemon requests a sample from the primary.
     Sample(usize),
     /// One daemon sends a request to another; each part takes this long, in milliseconds.
-    Request { sender: usize, receiver: usize, there_ms: u64, held_ms: u64, back_ms: u64 },
-    /// A daemon restarts.
+    Request {
+        sender: usize,
+        receiver: usize,
+        there_ms: u64,
+        held_ms: u64,
+        back_ms: u64,
+    },
     Restart(usize),
     /// Time passes, in milliseconds.
     Wait(u64),
--- a/crates/proxy/tests/sampling.rs
+++ b/crates/proxy/tests/sampling.rs
@@ -8,11 +8,9 @@
 use model::{LogPoint, Position, Term};
 use proxy::relay::sampling::{SAMPLING_TIMEOUT, SampleStep, next_sample_step};
 
-/// Daemons of the zone.
 const DAEMONS: u64 = 59;
 /// Period in which their first reads arrive, in milliseconds.
 const ARRIVE_WITHIN_MS: u64 = 100;
-/// Duration of a read at the primary, in milliseconds.
 const READ_MS: u64 = 18;
 /// Maximum age of a sample: half of a staleness bound of 1.5 s.
 const MAX_AGE: Duration = Duration::from_millis(750);
