--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -6,7 +6,7 @@
 //! | `control` | store, rights, membership, changes of primary | the store; observations 256 |
 //! | `http` | whether the daemon takes callers; metrics | sockets |
 //!
-//! The serving and the control thread share one value, the beliefs, which is replaced as a whole.
+//! The serving and the control thread share one value, the control view, which is replaced as a whole.
 
 use std::{
     net::SocketAddr,
@@ -30,9 +30,9 @@
         runner::{ControlParts, ControlSettings, ServingRequest, run_control},
     },
     dialect::{CallerDialect, EndpointDialect},
-    events::ProxyMetrics,
-    http::{HttpPart, serve_http},
+    http::{HttpParts, serve_http},
     metadata::MetadataStore,
+    metrics::ProxyMetrics,
     order::PromotionOrders,
     serve::{
         control_requests::answer_control_requests,
@@ -59,7 +59,7 @@
 
 /// Where a daemon listens, once it does; ports that were left to the system are known from here.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the load balancer asks.
@@ -67,7 +67,7 @@
 }
 
 /// What an adapter provides. The makers run on the thread that uses what they make.
-pub struct Adapter<C, E, F, M, O> {
+pub struct DaemonAdapter<C, E, F, M, O> {
     /// How callers speak.
     pub caller_dialect: C,
     /// How servers speak.
@@ -83,7 +83,7 @@
 /// Runs a daemon until `stop` says so, then stops it as planned.
 pub fn run_daemon<C, E, F, S, P>(
     settings: &ProxySettings,
-    adapter: Adapter<
+    adapter: DaemonAdapter<
         C,
         E,
         F,
@@ -91,7 +91,7 @@
         impl FnOnce(SocketAddr) -> P + Send + 'static,
     >,
     stop: impl Future<Output = ()>,
-    on_bound: impl FnOnce(Bound),
+    on_bound: impl FnOnce(BoundAddresses),
 ) -> eyre::Result<()>
 where
     C: CallerDialect,
@@ -101,7 +101,7 @@
     P: PromotionOrders,
 {
     let metrics = ProxyMetrics::new();
-    let (beliefs_out, beliefs) = watch::channel(Arc::new(ControlView::default()));
+    let (control_view_out, control_view) = watch::channel(Arc::new(ControlView::default()));
     let (stopping_out, stopping) = watch::channel(None);
     let (ended_out, ended) = watch::channel(false);
     let (observations_out, observations) = flume::bounded(OBSERVATIONS);
@@ -133,7 +133,7 @@
                 orders: make_orders(order_address),
                 format,
                 dialect,
-                control_view: beliefs_out,
+                control_view: control_view_out,
                 observations,
                 serving_requests: asks_out,
                 stopping,
@@ -148,23 +148,26 @@
     let ready_listen = settings.daemon.ready_listen.ok_or_eyre("ready_listen is unset")?;
     let caller_listener = bind(listen)?;
     let ready_listener = bind(ready_listen)?;
-    on_bound(Bound { callers: caller_listener.local_addr()?, ready: ready_listener.local_addr()? });
+    on_bound(BoundAddresses {
+        callers: caller_listener.local_addr()?,
+        ready: ready_listener.local_addr()?,
+    });
     let http = {
-        let part = HttpPart {
+        let parts = HttpParts {
             ready_listener,
             metrics_listen: settings.daemon.metrics_listen,
-            beliefs: beliefs.clone(),
+            control_view: control_view.clone(),
             stopping: stopping.clone(),
             metrics: metrics.clone(),
         };
-        spawn_thread("http", move || serve_http(part))?
+        spawn_thread("http", move || serve_http(parts))?
     };
 
     let engine = Engine::new(EngineParts {
         caller_dialect: adapter.caller_dialect,
         endpoint_dialect: adapter.endpoint_dialect,
         settings: serve_settings(settings),
-        control_view: beliefs,
+        control_view,
         stopping,
         metrics,
         observations: observations_out,
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -263,7 +263,7 @@
 ) {
     let mut connection: Option<PooledConnection<E>> = None;
     loop {
-        let rest = engine.control_view().catalog.idle_transaction;
+        let rest = engine.control_view().catalog.idle_transaction_timeout;
         let request = match rest {
             Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
                 Ok(request) => request,
@@ -386,7 +386,7 @@
         cancellation: Some(cancellation.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
-            _ => Some(Principal::from_told(&request.account)),
+            _ => Some(Principal::from_account_name(&request.account)),
         },
     };
     let wait_until = received_at + request.wait_limit();
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -189,7 +189,7 @@
         let idle = self.idle.iter().take(of_first);
         let idle: Vec<IdleConnection<'_>> = idle
             .map(|(since, idle)| IdleConnection {
-                account: idle.principal.told(),
+                account: idle.principal.account_name(),
                 idle_since: *since,
             })
             .collect();
@@ -198,7 +198,7 @@
 
     pub(crate) fn note_use(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
-            reuse.on_used(principal.told(), Instant::now());
+            reuse.on_used(principal.account_name(), Instant::now());
         }
     }
 
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 use crate::{
-    accounts::{Account, AccountKey, Principal, UnknownKey, account_of, unknown_key},
+    accounts::{Account, AccountKey, Principal, UnknownKey, account_of, unknown_key_error},
     catalog::Route,
     dialect::{CallerDialect, CallerMessage, EndpointDialect},
     serve::{
@@ -158,7 +158,7 @@
             && self.account(&route).is_err()
         {
             self.note_unknown_key("startup");
-            self.link.put_error(unknown_key());
+            self.link.put_error(unknown_key_error());
             let _ = self.link.flush().await;
             return false;
         }
@@ -174,7 +174,7 @@
             callers = self.engine.callers.get(), retry_after_ms = retry_after_ms;
             "a session was refused"
         );
-        let error = StatementError::come_back(ErrorCode::Overloaded, why, retry_after_ms);
+        let error = StatementError::with_retry_delay(ErrorCode::Overloaded, why, retry_after_ms);
         self.link.put_error(error);
         // A caller that has disconnected needs no answer.
         let _ = self.link.flush().await;
@@ -233,7 +233,7 @@
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.connection.as_ref()?;
-        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction?)
+        Some(Instant::now() + self.engine.control_view().catalog.idle_transaction_timeout?)
     }
 
     /// Answers a message; returns `false` if the connection is to be closed.
@@ -446,11 +446,11 @@
         self.fail_if_open();
         self.transaction = None;
         self.is_ending = true;
-        refusal(unknown_key(), TransactionState::Idle)
+        refusal(unknown_key_error(), TransactionState::Idle)
     }
 
     fn note_unknown_key(&self, at: &'static str) {
-        self.engine.metrics.refused.with_label_values(&["key"]).inc();
+        self.engine.metrics.refusals.with_label_values(&["key"]).inc();
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
             configuration = self.engine.control_view().catalog.version;
