--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,47 +1,47 @@
-//! What a limit allows in a window, and how it is divided.
+//! The operations that a limit allows in a window, and their division into parts.
 
 use std::time::Duration;
 
-/// How much an account may ask.
+/// The limit of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Operations a second that it may ask for ever.
+    /// Sustained operations per second.
     pub rate_per_s: f64,
-    /// Operations beyond the rate that may come at once.
+    /// Operations beyond the rate that may run at once.
     pub burst: f64,
 }
 
-/// By which windows a limit is judged.
+/// How a limit is applied to windows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowRule {
-    /// The length of a window; every span of that length counts.
+    /// The length of a window. The limit holds for every span of this length.
     pub window: Duration,
-    /// The part of a window's operations that may be run beyond the limit.
+    /// Permitted excess, as a share of a window's operations.
     pub overage: f64,
-    /// Operations that may be run beyond that, whatever the limit.
+    /// Further permitted excess, in operations, independent of the limit.
     pub slack: f64,
 }
 
-/// The parts into which a limit's window is divided; their sum stays within the bound.
+/// The parts of a window's operations; their sum is within the bound.
 ///
-/// The rate goes to the keeper in whole. What the bound allows beyond it is divided among what makes a window hold more
-/// than the rate: see `docs/ACCOUNTS.md`, "The bound".
+/// The coordinator grants the whole rate. The operations of the bound beyond the rate are divided among the causes
+/// that make a window exceed the rate; see `docs/ACCOUNTS.md`, "The bound".
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Operations a second that the keeper lends.
+    /// Operations per second that the coordinator grants.
     pub rate_per_s: f64,
-    /// Operations that the keeper may have saved up.
+    /// Maximum number of operations that the coordinator may save up.
     pub burst: f64,
-    /// Operations that may be lent and not be used yet.
+    /// Maximum number of operations that may be granted and unused.
     pub outstanding: f64,
-    /// Operations in a window that candidates lend who are not proved to be the keeper.
+    /// Operations per window that candidates may grant before they are elected.
     pub provisional: f64,
     /// The length of a window.
     pub window: Duration,
 }
 
 impl Budget {
-    /// Returns the part of it that a daemon lends which has that share of the members' votes.
+    /// Returns the part of the budget that a daemon with this share of the votes grants.
     pub fn scaled(&self, share: f64) -> Budget {
         Budget {
             rate_per_s: self.rate_per_s * share,
@@ -52,22 +52,22 @@
     }
 }
 
-/// The part of a window's spare operations that the keeper may have saved up.
+/// The share of a window's spare operations that the coordinator may save up.
 const BURST_SHARE: f64 = 0.3;
-/// The part that may be lent and unused: a quarter of a second of the rate where bursts are a second of it.
+/// The share that may be granted and unused.
 const OUTSTANDING_SHARE: f64 = 0.25;
-/// The part that serves accounts while there is no keeper. The rest, a twentieth, is for operations that are late on
-/// their way to a server.
+/// The share for grants without a coordinator. The remaining share covers operations that are delayed on their way to
+/// a server.
 const PROVISIONAL_SHARE: f64 = 0.4;
 
 impl WindowRule {
-    /// Returns how many operations any window may hold.
+    /// Returns the maximum number of operations in any window.
     pub fn bound(&self, limit: &RateLimit) -> f64 {
         let within = limit.rate_per_s * self.window.as_secs_f64() + limit.burst;
         within * (1.0 + self.overage) + self.slack
     }
 
-    /// Divides a window's bound.
+    /// Divides a window's bound into its parts.
     pub fn budget(&self, limit: &RateLimit) -> Budget {
         let spare = self.bound(limit) - limit.rate_per_s * self.window.as_secs_f64();
         Budget {
