--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -1,8 +1,9 @@
-//! Who keeps the limits: one daemon at a time, by the votes of the others.
+//! Election of the limit coordinator among the daemons.
 //!
-//! A vote binds its voter for a time by the voter's clock, and counts for the candidate for a little less, from when it
-//! asked. Two keepers at a time would need a voter that is bound to both. A daemon that starts knows nothing of its
-//! former life's votes and waits for as long as one binds, unless every member answers and none is bound.
+//! A vote binds its voter for a time by the voter's clock, and counts for the candidate for slightly less, from the
+//! time of the request. Two coordinators at a time would need a voter that is bound to both. A daemon that starts
+//! does not know the votes of its former incarnation, so its votes are not granted until those have expired. The
+//! exception is a round in which every member is bound to the candidate.
 
 use std::{
     collections::HashMap,
@@ -11,64 +12,65 @@
 
 use model::Name;
 
-/// Votes that a keeper needs, as a part of the members: above a half, since two daemons may know of somewhat different
-/// members while some come and go. Any two such sets that differ by less than two fifths of the members have a voter in
-/// common.
+/// The share of the members whose votes make a coordinator. Above one half, since daemons may know slightly different
+/// sets of members while some join or leave, and two quorums must still have a voter in common.
 const QUORUM_SHARE: f64 = 0.55;
-/// The part of the members' votes from which a keeper lends the whole rate; with fewer it lends their part of it, and the others
-/// may lend theirs. Whoever has no more votes than are left beside it lends none of the rate, so that nothing is lent twice.
+/// The share of the votes from which a coordinator grants the whole rate. With fewer votes it grants its share of the
+/// rate, and other candidates may grant theirs. A candidate with no more than the remaining share of the votes grants
+/// none of the rate, so that nothing is granted twice.
 const FULL_RATE_SHARE: f64 = 0.75;
-/// A candidate to which more than one member in so many is bound does not leave the campaign to another one.
+/// A candidate with more than this fraction (1/n) of the votes does not yield to another one.
 const MANY_VOTES_DIVISOR: usize = 3;
-/// How often a daemon's part of what is lent without a keeper may be used in a window: by a candidate that it supported
-/// at the end of one window and still lends, by the next one, and once more where the daemon started anew and does not
-/// know. The part is divided by it.
+/// How often a daemon's share of the provisional quota may be used in a window: by a candidate that it supported at
+/// the end of the previous window, by the next candidate, and by one that it supported before a restart. The share is
+/// divided by this number.
 const MAX_USES_PER_WINDOW: f64 = 3.0;
 
-/// The times of an election.
+/// The timing of an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ElectionTimes {
     /// How long a vote binds its voter.
     pub vote_duration: Duration,
-    /// How long it counts for the candidate; less, by what clocks may drift in that time.
+    /// How long a vote counts for the candidate. Shorter than `vote_duration` by the possible clock drift.
     pub counted_for: Duration,
-    /// The window of the limits: in one of them a voter supports one candidate that is not proved.
+    /// The window of the limits. A voter supports at most one unelected candidate per window.
     pub window: Duration,
 }
 
-/// A candidate's question.
+/// A candidate's request for a vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoteRequest {
     /// The candidate's host.
     pub host: Name,
-    /// A number of this life of it.
+    /// Identifies the incarnation of the candidate.
     pub incarnation: u64,
-    /// Whether it has a quorum.
+    /// Whether the candidate has a quorum.
     pub is_coordinator: bool,
-    /// Whether it has stopped lending and frees those that are bound to it.
+    /// Whether the candidate has stopped granting quota and releases its voters.
     pub resigns: bool,
 }
 
-/// The answer.
+/// The answer to a vote request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Vote {
-    /// Whether the voter is bound to the candidate now, and was bound to nobody else in any life of it.
+    /// Whether the voter is bound to the candidate, and no former incarnation of the voter can be bound to another
+    /// one.
     pub is_granted: bool,
-    /// Whether the voter is bound to the candidate, as far as this life of it knows.
+    /// Whether the voter's current incarnation is bound to the candidate.
     pub is_bound: bool,
-    /// Whether its part of what may be lent without a keeper goes to the candidate.
+    /// Whether the candidate gets the voter's share of the provisional quota.
     pub is_provisional: bool,
 }
 
-/// A daemon as a voter.
+/// A daemon in its role as voter.
 #[derive(Clone, Debug)]
 pub struct Voter {
     times: ElectionTimes,
-    /// Until when a former life of this daemon may be bound.
+    /// Until when votes of a former incarnation may be in force.
     unknown_votes_until: Instant,
     bound: Option<Bound>,
     supported_at: Option<Instant>,
-    /// Who last said to be the keeper, and when; whoever it is bound to.
+    /// The daemon that last announced to be the coordinator, and when, regardless of the vote.
     announced: Option<(Name, Instant)>,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl Voter {
-    /// Makes the voter of a daemon that starts now.
+    /// Creates the voter of a daemon that starts now.
     pub fn new(times: ElectionTimes, now: Instant) -> Voter {
         Voter {
             times,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Answers a candidate. Only a daemon whose lease stands by its own clock votes: others may count it no more.
+    /// Votes on a candidate's request. Only a daemon with a valid membership lease votes; others may no longer count
+    /// it as a member.
     pub fn vote(&mut self, request: &VoteRequest, is_member: bool, now: Instant) -> Vote {
         if request.resigns {
             return self.release(request);
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Frees this voter of a keeper that has stopped lending.
+    /// Releases this voter from a coordinator that has stopped granting quota.
     fn release(&mut self, request: &VoteRequest) -> Vote {
         let is_same =
             |it: &VoteRequest| it.host == request.host && it.incarnation == request.incarnation;
@@ -135,7 +138,7 @@
         Vote::default()
     }
 
-    /// Returns whom this daemon takes for the keeper: who last said so, else the one that it is bound to.
+    /// Returns the presumed coordinator: the last one announced, otherwise the candidate that this voter is bound to.
     pub fn coordinator(&self, now: Instant) -> Option<&Name> {
         let announced =
             self.announced.as_ref().filter(|(_, at)| now < *at + self.times.vote_duration);
@@ -143,76 +146,76 @@
         announced.map(|(host, _)| host).or(bound.map(|bound| &bound.request.host))
     }
 
-    /// Notes that a daemon is the keeper, as it or another one has told.
+    /// Records that a daemon is the coordinator, as announced by itself or another daemon.
     pub fn note_coordinator(&mut self, host: Name, now: Instant) {
         self.announced = Some((host, now));
     }
 }
 
-/// What a daemon is in an election.
+/// The role of a daemon in an election.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ElectionState {
-    /// It keeps the limits.
+    /// The daemon is the coordinator.
     Coordinator {
-        /// Rises with each time that it came to keep them.
+        /// Increases with each election won by this candidacy.
         term: u64,
-        /// Since when.
+        /// When the daemon became the coordinator.
         since: Instant,
     },
-    /// It keeps them for the part of the members that it reaches, as on one side of a partition.
+    /// The daemon grants quota for a part of the members, for example on one side of a partition.
     Partial {
-        /// The term of this candidacy; it rises where a quorum is reached.
+        /// The term of the candidacy; it increases when a quorum is reached.
         term: u64,
-        /// Since when it has every one of the votes that count.
+        /// Since when all counted votes have been held.
         since: Instant,
-        /// The part of the members' votes that it has, and so of each limit that it may lend.
+        /// The share of the members' votes, and so of each limit that the daemon may grant.
         share: f64,
     },
-    /// It wants to, and may lend this share of what is for that time.
+    /// The daemon campaigns and may grant a share of the provisional quota.
     Candidate {
-        /// The term that it would have.
+        /// The term of the candidacy.
         term: u64,
-        /// The share, 1 at the most.
+        /// The share of the provisional quota, at most 1.
         share: f64,
     },
-    /// It does not, or nobody answers it.
+    /// The daemon is neither coordinator nor candidate, or has lost its votes.
     None,
 }
 
-/// An answer with when it was asked for.
+/// A vote and when it was requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ballot {
     /// The voter.
     pub host: Name,
-    /// When the candidate asked.
+    /// When the candidate sent the request.
     pub asked_at: Instant,
-    /// What was answered.
+    /// The vote.
     pub vote: Vote,
 }
 
-/// The last answer of a voter.
+/// The latest ballot of a voter.
 #[derive(Clone, Debug)]
 struct Counted {
     ballot: Ballot,
-    /// Since when its votes have counted without a gap, as far as that was worked out.
+    /// Since when the voter's votes have counted without a gap, as of the last tally.
     since: Option<Instant>,
 }
 
-/// A daemon as a candidate, or as the keeper.
+/// A daemon in its role as candidate or coordinator.
 #[derive(Clone, Debug)]
 pub struct Candidacy {
     times: ElectionTimes,
     ballots: HashMap<Name, Counted>,
     term: u64,
-    /// Since when it has a quorum.
+    /// Since when the candidate has a quorum.
     since: Option<Instant>,
-    /// Since when it has so many votes that it lends the whole rate.
+    /// Since when the candidate has enough votes to grant the whole rate.
     full_rate_since: Option<Instant>,
     valid_until: Option<Instant>,
 }
 
 impl Candidacy {
-    /// Begins one; `term` is above those of former candidacies of this life.
+    /// Starts a candidacy. `term` must exceed the terms of earlier candidacies of this incarnation.
     pub fn new(times: ElectionTimes, term: u64) -> Candidacy {
         Candidacy {
             times,
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Takes over an answer.
+    /// Adds the ballot of a voter, which replaces its previous one.
     pub fn count(&mut self, ballot: Ballot) {
         let counted_for = self.times.counted_for;
         let before = self.ballots.remove(&ballot.host).filter(|before| {
@@ -234,7 +237,7 @@
         self.ballots.insert(ballot.host.clone(), Counted { ballot, since });
     }
 
-    /// Works out until when the votes of these members hold.
+    /// Computes until when the votes of these members are valid.
     pub fn tally(&mut self, members: &[Name], now: Instant) {
         for counted in self.ballots.values_mut().filter(|it| it.ballot.vote.is_granted) {
             counted.since.get_or_insert(now);
@@ -262,13 +265,13 @@
                 self.since = Some(now);
                 self.term += 1;
             }
-            // Whoever lost the quorum begins anew, with nothing saved up.
+            // A candidate that lost its quorum starts again without saved tokens.
             (None, Some(_)) => self.since = None,
             _ => {}
         }
     }
 
-    /// Returns what this daemon is now.
+    /// Returns the daemon's current role.
     pub fn state(&self, members: usize, now: Instant) -> ElectionState {
         let is_valid = |it: &&Counted| now < it.ballot.asked_at + self.times.counted_for;
         let votes = || self.ballots.values().filter(is_valid);
@@ -294,8 +297,8 @@
         ElectionState::Candidate { term: self.term, share: parts.min(1.0) / MAX_USES_PER_WINDOW }
     }
 
-    /// Whether a good part of so many members has voted for it a moment ago: one round more may be enough, and votes that it
-    /// gave up now would bind their voters to nobody.
+    /// Whether many of the members have a valid vote for this candidate. It should not yield then, since the next
+    /// round may reach a quorum, and its voters would stay bound after it yielded.
     pub fn has_many_votes(&self, members: usize, now: Instant) -> bool {
         let is_bound = |it: &&Counted| {
             it.ballot.vote.is_bound && now < it.ballot.asked_at + self.times.counted_for
@@ -303,36 +306,36 @@
         self.ballots.values().filter(is_bound).count() * MANY_VOTES_DIVISOR > members
     }
 
-    /// Returns the term that the next candidacy of this life begins with.
+    /// Returns the term for the next candidacy of this incarnation.
     pub fn next_term(&self) -> u64 {
         self.term + 1
     }
 
-    /// Whether it has a quorum.
+    /// Whether the candidate has a quorum.
     pub fn is_coordinator(&self, now: Instant) -> bool {
         self.since.is_some() && self.valid_until.is_some_and(|until| now < until)
     }
 }
 
-/// Whether so many votes leave none of the others enough to lend a part of the rate.
+/// Whether the remaining votes are too few for another candidate to grant a part of the rate.
 fn has_full_rate(votes: usize, members: usize) -> bool {
     members > 0 && votes as f64 >= members as f64 * FULL_RATE_SHARE
 }
 
-/// How long nothing may be heard of a keeper before a daemon asks for votes itself, by its place among the members: one
-/// after the other, so that they don't take each other's votes.
-pub fn campaign_delay(silence: Duration, place: usize) -> Duration {
-    /// A round of votes and the scheduling of a busy host.
-    const EACH: Duration = Duration::from_millis(60);
-    silence + EACH * place as u32
+/// Returns how long a daemon waits for a sign of a coordinator before it campaigns. The delay grows with its position
+/// among the members, so that daemons campaign one after the other and don't split the votes.
+pub fn campaign_delay(timeout: Duration, position: usize) -> Duration {
+    /// A round of votes on a busy host.
+    const ROUND_DURATION: Duration = Duration::from_millis(60);
+    timeout + ROUND_DURATION * position as u32
 }
 
-/// Whether a candidate without a quorum leaves the campaign to another one, by their places in the order of the voters: the
-/// first of those that hear each other stays.
+/// Whether a candidate without a quorum yields to another one, given their positions among the voters. The first
+/// position wins.
 pub fn should_yield(own: Option<usize>, other: Option<usize>) -> bool {
     match (own, other) {
         (Some(own), Some(other)) => other < own,
-        // A daemon that the voters do not know has no chance.
+        // A daemon that is not among the voters can't win.
         (None, Some(_)) => true,
         (_, None) => false,
     }
