--- a/crates/limits/src/held_quota.rs
+++ b/crates/limits/src/held_quota.rs
@@ -1,61 +1,62 @@
-//! What a daemon holds of an account's limit.
+//! The quota of an account's limit that a daemon holds.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// How far ahead a daemon asks for operations, by the rate that it has seen: one question a fifth of a second, and no
-/// more is held by daemons whose callers have gone than they would use in that time.
+/// The time for which a daemon requests operations ahead, at the current rate. Limits the request rate, and what is
+/// lost when the callers move to other daemons.
 const REQUEST_AHEAD: Duration = Duration::from_millis(200);
-/// The part of an allotment that is left when the next is asked for, ahead of need.
+/// The next request is sent when this share of the last grant is left.
 const LOW_SHARE: f64 = 0.4;
-/// How long an account must have been at its limit before its operations are refused at once. A new keeper begins with
-/// nothing saved up, and what is short for a moment is there in the next.
+/// How long an account must have been at its limit before its operations are refused at once. Covers the start of a
+/// new coordinator, which has no saved tokens.
 const SUSTAINED_AFTER: Duration = Duration::from_millis(250);
 /// The time over which the rate is averaged.
 const RATE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Whether an operation may be run.
+/// Whether an operation may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeResult {
-    /// It may.
+    /// The operation may run.
     Allowed {
-        /// Whether more should be asked for meanwhile.
+        /// Whether to request more quota now, ahead of need.
         request_ahead: bool,
     },
-    /// Nothing is held: the keeper has to be asked.
+    /// No quota is held; request it from the coordinator.
     RequestQuota,
-    /// The account is at its limit until this moment, at the least.
+    /// The account is at its limit.
     AtLimit {
-        /// When the keeper may be asked again.
+        /// When quota may be requested again.
         until: Instant,
-        /// Whether it has been at its limit for so long that whoever asks now would wait in vain.
+        /// Whether the account has been at its limit for so long that further operations should be refused at once.
         is_sustained: bool,
     },
 }
 
-/// Operations that the keeper granted.
+/// Quota granted by the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedQuota {
-    /// How many.
+    /// Number of operations.
     pub count: u32,
-    /// When they were asked for; they last from then on, by this daemon's clock.
+    /// When the quota was requested, by this daemon's clock. It expires `lifetime` after that.
     pub requested_at: Instant,
-    /// For how long.
+    /// The lifetime of the quota.
     pub lifetime: Duration,
 }
 
-/// What this daemon holds of one account's limit.
+/// The quota of one account's limit that this daemon holds.
 #[derive(Clone, Debug, Default)]
 pub struct HeldQuota {
-    /// What was lent and not used, with until when; oldest first. Nothing lengthens it: another keeper does not know of it.
+    /// Unused operations and their expiry, the oldest first. The expiry is never extended, because a new coordinator
+    /// does not know of the grant.
     held: VecDeque<(u32, Instant)>,
     last_grant: u32,
     exhausted_until: Option<Instant>,
-    /// Since when nothing was granted.
+    /// Since when no quota was granted.
     exhausted_since: Option<Instant>,
-    /// Operations a second, lately.
+    /// Recent operations per second.
     rate_per_s: f64,
     last_at: Option<Instant>,
 }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Returns how many operations are held and how many to ask for beside them, where `waiting` wait already.
+    /// Returns the number of unused operations and the number to request, if `waiting` operations wait for quota.
     pub fn request_amounts(&self, waiting: u32, now: Instant) -> (u32, u32) {
         let ahead = (self.rate_per_s * REQUEST_AHEAD.as_secs_f64()).round() as u32;
         (self.unused(now), (waiting + ahead).max(1))
@@ -96,7 +97,7 @@
         held.map(|(count, _)| *count).sum()
     }
 
-    /// Takes over what was granted.
+    /// Adds granted quota.
     pub fn add_grant(&mut self, granted: GrantedQuota) {
         self.held.push_back((granted.count, granted.requested_at + granted.lifetime));
         self.last_grant = granted.count;
@@ -104,13 +105,13 @@
         self.exhausted_since = None;
     }
 
-    /// Notes that nothing was left.
+    /// Records that no quota is left.
     pub fn note_exhausted(&mut self, now: Instant, until: Instant) {
         self.exhausted_since = self.exhausted_since.or(Some(now));
         self.exhausted_until = Some(until);
     }
 
-    /// Notes that a caller asks for an operation.
+    /// Records that a caller requests an operation.
     pub fn note_demand(&mut self, now: Instant) {
         let over = RATE_WINDOW.as_secs_f64();
         if let Some(last_at) = self.last_at {
