--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What the keeper has lent of each account's limit.
+//! The coordinator's record of granted quota.
 
 use std::{
     collections::HashMap,
@@ -9,39 +9,38 @@
 
 use crate::{budget::Budget, election::ElectionState};
 
-/// How long a daemon is told to wait at the least when nothing is left: a flood is refused by the daemon that it
-/// reaches meanwhile, without a question.
+/// Minimum wait before a daemon may request quota again. Until then it refuses operations without another request.
 const MIN_WAIT: Duration = Duration::from_millis(40);
-/// The longest such wait, so that a limit that is raised is felt soon.
+/// Maximum wait before a daemon may request quota again, so that a raised limit takes effect soon.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
 
-/// What a daemon asks for.
+/// A daemon's request for quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRequest {
     /// The daemon's host.
     pub host: Name,
-    /// Operations that it still holds.
+    /// Granted operations that it has not used.
     pub unused: u32,
-    /// Operations that it wants.
+    /// The number of operations that it requests.
     pub wanted: u32,
 }
 
-/// What it gets.
+/// The answer to a quota request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
-    /// So many operations.
+    /// The number of granted operations.
     Granted(u32),
-    /// Nothing is left; it may ask again after this time.
+    /// Nothing is left; the daemon may request again after this time.
     Exhausted(Duration),
-    /// This daemon is not the keeper.
+    /// This daemon is not the coordinator.
     NotCoordinator,
 }
 
-/// What is lent of all accounts' limits.
+/// The granted quota of all accounts.
 #[derive(Default)]
 pub struct Ledger {
     accounts: HashMap<Name, AccountLedger>,
-    /// The term of keeping that the entries are of; a new one begins with nothing saved up.
+    /// The term of the entries. A new term starts without saved tokens.
     term: u64,
 }
 
@@ -49,13 +48,13 @@
     tokens: f64,
     refilled_at: Instant,
     outstanding: HashMap<Name, (u32, Instant)>,
-    /// Operations that were lent without a proved keeper and still count, and when that was worked out.
+    /// Operations granted without an elected coordinator that still count, and when that number was computed.
     provisional: f64,
     provisional_at: Instant,
 }
 
 impl Ledger {
-    /// Lends what there is of an account's limit; what is lent ends `lasts` after now at the latest.
+    /// Grants what is left of an account's limit. The grant expires after `lifetime` at the latest.
     pub fn grant(
         &mut self,
         account: &Name,
@@ -97,8 +96,7 @@
 }
 
 impl AccountLedger {
-    /// Forgets what was saved up and lent: it was another keeper's, or that of a time before another one's. What was
-    /// lent without a keeper still counts.
+    /// Drops the tokens and grants, which belong to another coordinator's term. Provisional grants still count.
     fn begin_term(&mut self) {
         self.tokens = 0.0;
         self.outstanding.clear();
@@ -116,7 +114,7 @@
         let saved = now.saturating_duration_since(from).as_secs_f64() * budget.rate_per_s;
         self.refilled_at = now.max(from);
         self.outstanding.retain(|_, (_, until)| *until > now);
-        // What is held was lent, so it can't be more than that.
+        // The daemon can't hold more than it was granted.
         let granted = self.outstanding.remove(&request.host).map_or(0, |(count, _)| count);
         let kept = request.unused.min(granted);
         self.tokens = (self.tokens + saved).min(budget.burst.max(1.0));
@@ -155,11 +153,12 @@
         Grant::Granted(count as u32)
     }
 
-    /// Returns when there may be something for one more daemon, after those that wait already.
+    /// Returns the expected time until another daemon can be granted an operation, after those that request again
+    /// soon.
     fn time_until_one(&self, budget: &Budget, outstanding: u32) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         let seconds = missing / budget.rate_per_s.max(0.001);
-        // Whoever holds something is about to ask again too.
+        // Daemons that hold quota are about to request again.
         let others = f64::from(outstanding.min(8)) / budget.rate_per_s.max(0.001);
         let seconds = (seconds + others).min(MAX_WAIT.as_secs_f64());
         Duration::from_secs_f64(seconds).max(MIN_WAIT)
