--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,9 +1,9 @@
-//! How much a client account may ask of all daemons together.
+//! Limits how many operations a client account may run on all daemons together.
 //!
-//! One daemon, the keeper, lends each account's operations to the daemons at which its callers are; it is elected by
-//! the daemons themselves, so that limits hold also while the platform's store is away. Everything here is a small
-//! state machine without input, output or clock: the daemon feeds it and carries out what it returns. The guarantee
-//! and its proof stand in `docs/ACCOUNTS.md`.
+//! One daemon, the limit coordinator, grants quota of each account's limit to the daemons that its callers use. The
+//! daemons elect it themselves, so that limits hold even if the platform's store is unavailable. Each type is a small
+//! state machine without I/O or a clock, which the daemon drives. See `docs/ACCOUNTS.md` for the guarantee and its
+//! proof.
 
 mod budget;
 mod election;
