--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -1,4 +1,4 @@
-//! Who keeps the limits, and what a daemon holds of them.
+//! Tests of the coordinator election, and of granted and held quota.
 
 use std::time::{Duration, Instant};
 
@@ -31,26 +31,26 @@
     Ballot { host: host.clone(), asked_at, vote }
 }
 
-/// A daemon that starts again does not know whom its former life was bound to.
+/// A restarted daemon does not know the votes of its former incarnation.
 #[test]
-fn a_voter_is_bound_to_one_candidate_at_a_time_in_all_of_its_lives() {
+fn a_voter_is_bound_to_one_candidate_at_a_time_across_restarts() {
     let start = Instant::now();
     let mut voter = Voter::new(TIMES, start);
     let first = voter.vote(&request("a", 1), true, start);
     assert!(first.is_bound && !first.is_granted);
     assert!(!voter.vote(&request("b", 1), true, start + ms(10)).is_bound);
-    // Another life of the same host is another candidate.
+    // Another incarnation of the same host is another candidate.
     assert!(!voter.vote(&request("a", 2), true, start + ms(10)).is_bound);
     assert!(voter.vote(&request("a", 1), true, start + ms(500)).is_bound);
     assert!(!voter.vote(&request("b", 1), true, start + ms(1_050)).is_bound);
     let later = voter.vote(&request("b", 1), true, start + ms(1_150));
     assert!(later.is_bound && later.is_granted);
-    // Who is no member by its own clock is counted by nobody else.
+    // Other daemons don't count a daemon that is not a member by its own clock.
     assert_eq!(voter.vote(&request("b", 1), false, start + ms(1_200)), Vote::default());
 }
 
 #[test]
-fn a_keeper_that_stops_frees_its_voters_and_no_others() {
+fn a_coordinator_that_resigns_releases_only_its_own_voters() {
     let start = Instant::now();
     let mut voter = Voter::new(TIMES, start);
     voter.vote(&request("a", 1), true, start);
@@ -62,22 +62,23 @@
     assert!(voter.vote(&request("b", 1), true, start + ms(40)).is_bound);
 }
 
-/// What a daemon lends of a limit.
+/// How much of a limit a daemon grants.
 #[derive(Debug, PartialEq)]
 enum Share {
     Whole,
-    /// So many ninths of the rate.
+    /// A number of ninths of the rate.
     Ninths(usize),
     Provisional,
 }
 
 #[test]
-fn a_quorum_of_votes_or_the_word_of_all_makes_a_keeper_for_as_long_as_they_count() {
+fn a_quorum_or_all_votes_make_a_coordinator_while_they_count() {
     let now = Instant::now();
     let members = hosts(9);
     let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     let fresh = Vote { is_granted: false, ..granted_vote.clone() };
-    // Votes granted, votes of daemons that have just started; whether it is the keeper, and what it lends.
+    // Granted votes, votes of daemons that have just started, whether the candidate is the coordinator, and its
+    // share.
     let cases = [
         (2, 0, false, Share::Provisional),
         (3, 0, false, Share::Ninths(3)),
@@ -114,10 +115,9 @@
     }
 }
 
-/// Load pattern: a split of the fleet, with an account's callers on both sides. Each side lends its part of the rate, and together
-/// they lend no more than the rate.
+/// In a partition each side grants its share of the rate, and together they grant no more than the rate.
 #[test]
-fn both_sides_of_a_split_lend_their_part_of_the_rate() {
+fn both_sides_of_a_partition_grant_their_share_of_the_rate() {
     let start = Instant::now();
     let members = hosts(9);
     let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
@@ -148,9 +148,9 @@
     assert!(granted[0] + granted[1] <= rate_of_ten_s + budget.burst as u32, "{granted:?}");
 }
 
-/// A vote that was away for a moment counts anew: what was saved up in the time before is not lent for it.
+/// After a gap in a vote, nothing is granted for the time before the vote's return.
 #[test]
-fn a_vote_that_comes_back_brings_nothing_from_the_time_without_it() {
+fn a_vote_that_returns_counts_from_its_return() {
     let start = Instant::now();
     let members = hosts(9);
     let granted_vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
@@ -168,15 +168,15 @@
 }
 
 #[test]
-fn those_that_come_later_in_order_wait_longer() {
+fn later_positions_wait_longer() {
     let waits: Vec<Duration> = (0..3).map(|place| campaign_delay(ms(400), place)).collect();
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
-    // No two begin together, however many are silent at the head of the order.
+    // No two daemons campaign at once, even if all positions before them are silent.
     assert!(campaign_delay(ms(400), 70) < campaign_delay(ms(400), 71));
 }
 
 #[test]
-fn the_parts_of_a_limit_stay_within_the_bound_of_a_window() {
+fn the_parts_of_a_limit_stay_within_its_bound() {
     let rule = WindowRule { window: Duration::from_secs(5), overage: 0.1, slack: 20.0 };
     for rate_per_s in [0.5, 2.0, 112.0, 370.0] {
         for burst in [0.0, 1.0, 112.0, 1_000.0] {
@@ -188,9 +188,9 @@
     }
 }
 
-/// Another keeper does not know what the one before it lent, so nothing that it says makes that last longer.
+/// A new coordinator does not know earlier grants, so nothing that it sends may extend them.
 #[test]
-fn what_was_lent_ends_by_itself_whatever_is_lent_after_it() {
+fn later_grants_do_not_extend_earlier_ones() {
     let start = Instant::now();
     let mut held_quota = HeldQuota::default();
     let granted =
@@ -205,14 +205,14 @@
     assert_eq!(taken, [true, true, false]);
 }
 
-/// One account at a hundred times its limit: what can't be served is refused by the daemon that it reaches, without a question.
+/// An account far above its limit is refused by the daemon that it reaches, without a request to the coordinator.
 #[test]
-fn a_flood_costs_its_keeper_a_question_for_each_pause_and_not_for_each_operation() {
+fn a_flood_costs_one_quota_request_per_pause_not_per_operation() {
     let start = Instant::now();
     let rule = WindowRule { window: Duration::from_secs(1), overage: 0.0, slack: 0.0 };
     let budget = rule.budget(&RateLimit { rate_per_s: 10.0, burst: 10.0 });
     let (mut ledger, mut held_quota) = (Ledger::default(), HeldQuota::default());
-    let (mut questions, mut ran, mut refused) = (0, 0, 0);
+    let (mut requests, mut ran, mut refused) = (0, 0, 0);
     for tick in 0..10_000 {
         let now = start + ms(tick);
         held_quota.note_demand(now);
@@ -220,7 +220,7 @@
             TakeResult::Allowed { .. } => ran += 1,
             TakeResult::AtLimit { .. } => refused += 1,
             TakeResult::RequestQuota => {
-                questions += 1;
+                requests += 1;
                 let (unused, wanted) = held_quota.request_amounts(1, now);
                 let wanted = QuotaRequest { host: Name::from("h"), unused, wanted };
                 let state = ElectionState::Coordinator { term: 1, since: start };
@@ -240,22 +240,22 @@
         }
     }
     assert!((85..=115).contains(&ran), "{ran}");
-    assert!(questions < 300, "{questions}");
+    assert!(requests < 300, "{requests}");
     assert!(refused > 9_000, "{refused}");
 }
 
-/// The pattern: a partition ends, and a third of the daemons ask for votes at once, each with some of them.
+/// After a partition many daemons campaign at once, each with some votes.
 #[test]
-fn of_the_candidates_that_hear_each_other_the_first_in_order_stays() {
+fn of_competing_candidates_the_first_in_order_stays() {
     let stays = |own: usize| (0..25).all(|other| !should_yield(Some(own), Some(other)));
     assert_eq!((0..25).filter(|own| stays(*own)).collect::<Vec<_>>(), [0]);
     assert!(should_yield(None, Some(70)));
     assert!(!should_yield(Some(70), None));
 }
 
-/// The pattern: a candidate has nearly enough votes as one that comes before it in the order returns to the campaign.
+/// A candidate with nearly enough votes must not yield to one with a better position.
 #[test]
-fn a_candidate_with_many_votes_is_known_until_they_end() {
+fn many_votes_are_recognized_until_they_expire() {
     let now = Instant::now();
     let times = ElectionTimes { vote_duration: ms(600), counted_for: ms(570), window: ms(5_000) };
     let mut candidacy = Candidacy::new(times, 1);
