--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -1,8 +1,8 @@
-//! Limits over many seeded orders of events: daemons that lend, use, are cut off, freeze and start again.
+//! Model test: daemons grant and use quota, are partitioned, freeze and restart, in many seeded event sequences.
 //!
-//! No window may hold more operations of an account than the limit's bound. Rules that are broken on purpose show that the
-//! model would notice. It has no network and no clock: time passes in steps, and each daemon is a voter, a candidate when it
-//! has heard of no keeper, and a holder whose callers ask for far more than the limit.
+//! No window may hold more operations of an account than the limit's bound. Deliberately broken rules show that the
+//! model detects violations. There is no network or clock: time advances in steps. Each daemon is a voter, a
+//! candidate while it knows no coordinator, and a holder of quota whose callers request far more than the limit.
 
 use std::{
     collections::VecDeque,
@@ -20,10 +20,10 @@
 const STEPS: u64 = 360;
 const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 const DAEMONS: usize = 5;
-/// Orders of events that are run.
-const ORDERS: u64 = 20_000;
-/// Orders within which a broken rule must show.
-const ORDERS_OF_BROKEN: u64 = 12_000;
+/// Number of event sequences.
+const SEQUENCES: u64 = 20_000;
+/// Number of event sequences within which a broken rule must be detected.
+const BROKEN_RULE_SEQUENCES: u64 = 12_000;
 
 const RULE: WindowRule = WindowRule { window: Duration::from_secs(2), overage: 0.1, slack: 5.0 };
 const TIMES: ElectionTimes = ElectionTimes {
@@ -32,17 +32,17 @@
     window: Duration::from_secs(2),
 };
 
-/// A rule that is broken on purpose.
+/// A rule that is broken deliberately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
+enum BrokenRule {
     Nothing,
-    /// A candidate lends as if it had a quorum.
+    /// A candidate grants quota as if it had a quorum.
     GrantsWithoutQuorum,
-    /// A keeper of a part of the members lends the whole rate.
+    /// A partial coordinator grants the whole rate.
     GrantsFullRateInPart,
-    /// What was lent counts as ended for the keeper at once, and its holder uses it for as long as it is there.
+    /// The coordinator treats a grant as expired at once, while its holder uses it without a time limit.
     UsesExpiredQuota,
-    /// A keeper saves up a whole window's operations, and lends them however many are out.
+    /// A coordinator saves up the operations of a whole window, and grants them regardless of outstanding grants.
     SavesFullWindow,
 }
 
@@ -55,7 +55,7 @@
     held: Vec<(u32, Instant)>,
     coordinator_seen_at: Instant,
     campaign_delay: Duration,
-    /// On which side of a partition it stands.
+    /// The daemon's side in a partition.
     side: u8,
     frozen_until: Instant,
 }
@@ -66,17 +66,17 @@
     daemons: Vec<Daemon>,
     used: VecDeque<Instant>,
     incarnations: u64,
-    broken: Broken,
+    broken_rule: BrokenRule,
     limit: RateLimit,
-    /// One in so many steps a daemon's callers use what is lent: rarely, so that it lies for a while, or so often that a keeper
-    /// lends all that it may.
+    /// Callers use the held quota in one of this many steps: rarely, so that it is held for a while, or so often that
+    /// a coordinator grants all it may.
     use_interval: u32,
-    /// The more, the longer what goes wrong lasts.
+    /// The larger, the longer faults last.
     fault_interval: u32,
 }
 
 impl World {
-    fn new(seed: u64, broken: Broken) -> World {
+    fn new(seed: u64, broken_rule: BrokenRule) -> World {
         let mut random = SmallRng::seed_from_u64(seed);
         let now = Instant::now();
         let limit = RateLimit {
@@ -91,7 +91,7 @@
             daemons: Vec::new(),
             used: VecDeque::new(),
             incarnations: 0,
-            broken,
+            broken_rule,
             limit,
             use_interval,
             fault_interval,
@@ -123,7 +123,7 @@
         self.daemons.iter().map(|daemon| daemon.host.clone()).collect()
     }
 
-    /// Something goes wrong, or right again.
+    /// Injects a fault or ends one, at random.
     fn inject_fault(&mut self) {
         let one = self.random.random_range(0..DAEMONS);
         match self.random.random_range(0..self.fault_interval) {
@@ -177,7 +177,7 @@
                 voter.candidacy = None;
             }
             let ballot = Ballot { host: voter.host.clone(), asked_at: now, vote };
-            // An answer may be lost; the voter is bound all the same.
+            // The vote may be lost on its way, but the voter is bound.
             let is_lost = self.random.random_range(0..8) == 0;
             if let Some(candidacy) = self.daemons[number].candidacy.as_mut().filter(|_| !is_lost) {
                 candidacy.count(ballot);
@@ -199,7 +199,7 @@
             return;
         };
         let mut budget: Budget = RULE.budget(&self.limit);
-        if self.broken == Broken::SavesFullWindow {
+        if self.broken_rule == BrokenRule::SavesFullWindow {
             budget.burst = self.limit.rate_per_s * RULE.window.as_secs_f64();
             budget.outstanding = budget.burst;
         }
@@ -210,22 +210,23 @@
             .map(|(count, _)| count)
             .sum();
         let wanted = QuotaRequest { host: self.daemons[requester].host.clone(), unused, wanted: 9 };
-        let broken = self.broken;
+        let broken_rule = self.broken_rule;
         let daemon = &mut self.daemons[coordinator];
         let state = daemon
             .candidacy
             .as_ref()
             .map_or(ElectionState::None, |candidacy| candidacy.state(DAEMONS, now));
-        let state = match (broken, state) {
-            (Broken::GrantsWithoutQuorum, ElectionState::Candidate { term, .. }) => {
+        let state = match (broken_rule, state) {
+            (BrokenRule::GrantsWithoutQuorum, ElectionState::Candidate { term, .. }) => {
                 ElectionState::Coordinator { term, since: now - STEP }
             }
-            (Broken::GrantsFullRateInPart, ElectionState::Partial { term, since, .. }) => {
+            (BrokenRule::GrantsFullRateInPart, ElectionState::Partial { term, since, .. }) => {
                 ElectionState::Coordinator { term, since }
             }
             (_, state) => state,
         };
-        let lifetime = if broken == Broken::UsesExpiredQuota { STEP / 2 } else { GRANT_LIFETIME };
+        let lifetime =
+            if broken_rule == BrokenRule::UsesExpiredQuota { STEP / 2 } else { GRANT_LIFETIME };
         let account = Name::from("account");
         let grant = daemon.ledger.grant(&account, &budget, &wanted, state, lifetime, now);
         if let Grant::Granted(count) = grant {
@@ -236,7 +237,7 @@
 
     fn use_held(&mut self, number: usize) {
         let now = self.now;
-        let is_bounded = self.broken != Broken::UsesExpiredQuota;
+        let is_bounded = self.broken_rule != BrokenRule::UsesExpiredQuota;
         if self.random.random_range(0..self.use_interval) != 0 {
             return;
         }
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Whether the last window holds too much.
+    /// Whether the last window exceeds the bound.
     fn exceeds(&mut self) -> bool {
         while self.used.front().is_some_and(|at| self.now.duration_since(*at) >= RULE.window) {
             self.used.pop_front();
@@ -256,7 +257,7 @@
         self.used.len() as f64 > RULE.bound(&self.limit)
     }
 
-    /// Runs one order of events; `true` if a window held too much.
+    /// Runs one event sequence; `true` if a window exceeds the bound.
     fn run(&mut self) -> bool {
         for step in 0..STEPS {
             self.now += STEP;
@@ -280,22 +281,22 @@
 }
 
 #[test]
-fn no_window_holds_more_than_its_bound_in_any_order() {
-    for seed in 0..ORDERS {
-        assert!(!World::new(seed, Broken::Nothing).run(), "seed {seed}");
+fn no_window_exceeds_its_bound() {
+    for seed in 0..SEQUENCES {
+        assert!(!World::new(seed, BrokenRule::Nothing).run(), "seed {seed}");
     }
 }
 
 #[test]
-fn rules_that_are_broken_on_purpose_are_noticed() {
+fn broken_rules_are_detected() {
     let all = [
-        Broken::GrantsWithoutQuorum,
-        Broken::GrantsFullRateInPart,
-        Broken::UsesExpiredQuota,
-        Broken::SavesFullWindow,
+        BrokenRule::GrantsWithoutQuorum,
+        BrokenRule::GrantsFullRateInPart,
+        BrokenRule::UsesExpiredQuota,
+        BrokenRule::SavesFullWindow,
     ];
-    for broken in all {
-        let noticed = (0..ORDERS_OF_BROKEN).any(|seed| World::new(seed, broken).run());
-        assert!(noticed, "{broken:?}");
+    for broken_rule in all {
+        let detected = (0..BROKEN_RULE_SEQUENCES).any(|seed| World::new(seed, broken_rule).run());
+        assert!(detected, "{broken_rule:?}");
     }
 }
