--- a/crates/overload/src/account_retry_budget.rs
+++ b/crates/overload/src/account_retry_budget.rs
@@ -1,35 +1,35 @@
-//! How often operations are tried again, over all hops.
+//! Retry budgets of client accounts.
 //!
-//! Entry, owner and detour could each try again what the one before them tried again, and three tries at three hops are 27. So only
-//! the entry tries again, what it sends says how often it was tried, and tries that follow a refusal for want of room are paid for by
-//! successes, as the retry quota of the AWS SDKs and Finagle's retry budget have it.
+//! Retries at several hops multiply: three attempts at each of three hops are 27. So only the daemon that received a
+//! statement retries it, and the statement carries its number of attempts. Retries after a refusal for lack of
+//! capacity spend tokens that successes earn, as in the retry quota of the AWS SDKs and Finagle's retry budget.
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::rank::{RANKS, Rank};
 
-/// Hundredths of a try that a success pays for: under lasting overload every tenth operation may be tried again.
+/// Tokens earned by a success: under sustained overload one of ten operations may be retried.
 const TOKENS_PER_SUCCESS: u32 = 10;
-/// Hundredths of a try that one try costs.
+/// Tokens spent by a retry.
 const TOKENS_PER_RETRY: u32 = 100;
-/// Tries saved up at most by an account at a rank, which serve a short disturbance after a calm time.
+/// Maximum number of tokens of an account at a rank.
 const MAX_TOKENS: u32 = 5 * TOKENS_PER_RETRY;
-/// How often an operation is sent at the most, over all hops. Each further one finds the same servers in the same trouble.
+/// Maximum number of attempts of an operation, over all hops.
 const MAX_ATTEMPTS: u32 = 3;
-/// Accounts that are remembered; beyond that the saved tries of all begin anew.
+/// Number of accounts beyond which all budgets are reset.
 const MAX_ACCOUNTS: usize = 4_096;
 
-/// Why an operation is to be sent again.
+/// Why an operation is to be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryCause {
-    /// The path failed, and the operation was not run: another path may be free.
+    /// The path failed before the operation was run; another path may work.
     Path,
-    /// There was no room for it: another try takes room from others.
+    /// There was no capacity; a retry takes capacity from other operations.
     NoRoom,
 }
 
 impl RetryCause {
-    /// Returns the word used in metrics.
+    /// Returns the text used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryCause::Path => "path",
@@ -38,20 +38,20 @@
     }
 }
 
-/// Tries that are left to accounts, by rank.
+/// The remaining tokens of each account, by rank.
 #[derive(Clone, Debug, Default)]
 pub struct AccountRetryBudget {
     tokens: HashMap<Arc<str>, [u32; RANKS]>,
 }
 
 impl AccountRetryBudget {
-    /// Counts an operation that was served.
+    /// Records a successful operation.
     pub fn on_success(&mut self, account: &Arc<str>, rank: Rank) {
         let tokens = self.tokens_of(account, rank);
         *tokens = (*tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
-    /// Whether an operation that has been sent `sent` times may be sent once more.
+    /// Whether an operation that has been sent `sent` times may be sent again. Spends the tokens for it.
     pub fn may_retry(
         &mut self,
         account: &Arc<str>,
