--- a/crates/overload/src/circuit.rs
+++ b/crates/overload/src/circuit.rs
@@ -1,69 +1,69 @@
-//! Whether a path is used: closed while it works, open once it fails, and few tries until it works for certain.
+//! Circuit breaker of a path: closed while the path works, open after it failed, and half-open while it is probed.
 //!
-//! A path is one hop: from a daemon to the owner of a server's connections, from an owner to a server, or the server itself.
-//! Each hop has a circuit of its own, and a failure is charged to the hop that shows it.
+//! A path is one hop: from a daemon to the owner of a server's connections, or from an owner to a server. Each hop
+//! has its own circuit breaker, and a failure counts for the hop that reports it.
 
 use std::time::{Duration, Instant};
 
-/// How long an open circuit lets nothing pass, at first; the next try is refused within a round trip if nothing has changed.
+/// How long the circuit stays open the first time.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
-/// The longest that it lets nothing pass: a path that is back is in use again before callers have used up their retries.
+/// Maximum time that the circuit stays open. A path that works again is used before callers run out of retries.
 const MAX_OPEN_TIME: Duration = Duration::from_millis(800);
-/// A circuit that stayed closed for so long begins with the first pause again; one that opens sooner goes on with the next.
+/// A circuit that was closed for this long starts again with the minimum open time; otherwise the open time doubles.
 const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(5);
-/// Outcomes that are looked at together.
+/// Number of latest outcomes that are evaluated.
 const WINDOW: u32 = 16;
-/// So many of them must be bad, so that a few losses in a row that concern single requests set nothing aside.
+/// Minimum number of failures that opens the circuit, so that a few failures of single requests don't.
 const MIN_FAILURES: u32 = 4;
-/// The part of them that must be bad, in percent: above it, every other request or more is lost there.
+/// Minimum share of failures that opens the circuit, in percent.
 const FAILURE_PERCENT: u32 = 40;
-/// Outcomes with nothing after them for so long say nothing about the present.
+/// The outcomes are dropped after this time without another one.
 const WINDOW_EXPIRES_AFTER: Duration = Duration::from_secs(2);
-/// Time between two tries of a circuit that begins to close; it halves with each that succeeds.
+/// Interval between the first two probes of a half-open circuit. It halves with each successful probe.
 const FIRST_PROBE_INTERVAL: Duration = Duration::from_millis(80);
-/// Tries that must succeed before it is closed.
+/// Successful probes after which the circuit is closed.
 const PROBES_TO_CLOSE: u32 = 4;
 
-/// What became of a request on a path.
+/// The outcome of a request on a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathOutcome {
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// No answer came, or one that says that the server failed: a sign among others.
+    /// There was no answer, or one that says that the server failed.
     Failed,
-    /// The hop's end says that it goes no further: a proof for now.
+    /// The end of the hop can't reach the next one. Opens the circuit at once.
     Refused,
 }
 
-/// What an outcome changed.
+/// A change of the circuit's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitChange {
-    /// The circuit was closed and is open now.
+    /// The circuit was closed and has opened.
     Opened,
-    /// It was not closed and is now.
+    /// The circuit has closed.
     Closed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Closed,
-    /// Nothing passes before this.
+    /// No request passes before this time.
     Open {
         until: Instant,
     },
-    /// One passes at a time and the next one not before this, whatever has become of it: a try that is never heard of again
-    /// holds up nobody.
+    /// The next probe passes at this time, even if the last one has no outcome yet, so that a lost probe does not
+    /// block the path.
     HalfOpen {
         next_at: Instant,
         succeeded: u32,
     },
 }
 
-/// The circuit of one path.
+/// The circuit breaker of one path.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     state: State,
-    /// The latest outcomes, the last one in the lowest bit, which is set if it was bad.
+    /// The latest outcomes as bits, the last one in the lowest bit; 1 for a failure.
     recent: u32,
     count: u32,
     last_at: Option<Instant>,
@@ -85,7 +85,7 @@
 }
 
 impl CircuitBreaker {
-    /// Whether a request may take the path now. Where one does, [`CircuitBreaker::on_request`] has to be told.
+    /// Whether a request may use the path now. If one does, call [`CircuitBreaker::on_request`].
     pub fn allows_request(&self, now: Instant) -> bool {
         match self.state {
             State::Closed => true,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Whether everything may take the path.
+    /// Whether the circuit is closed, so that all requests may use the path.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Notes that a request takes the path.
+    /// Records that a request uses the path.
     pub fn on_request(&mut self, now: Instant) {
         self.state = match self.state {
             State::Closed => State::Closed,
@@ -112,7 +112,7 @@
         };
     }
 
-    /// Notes what became of a request on the path.
+    /// Records the outcome of a request on the path.
     pub fn on_outcome(&mut self, outcome: PathOutcome, now: Instant) -> Option<CircuitChange> {
         match (self.state, outcome) {
             (State::Closed, PathOutcome::Refused) => Some(self.open(now)),
@@ -120,7 +120,8 @@
                 self.record(outcome == PathOutcome::Failed, now);
                 self.exceeds_threshold().then(|| self.open(now))
             }
-            // It was sent before the circuit opened. One that comes later still counts as a try; the next ones put it right.
+            // The request was sent before the circuit opened. An outcome that arrives after the next probe has passed
+            // counts as that probe's.
             (State::Open { .. }, _) => None,
             (State::HalfOpen { next_at, succeeded }, PathOutcome::Answered) => {
                 let succeeded = succeeded + 1;
