--- a/crates/overload/src/concurrency.rs
+++ b/crates/overload/src/concurrency.rs
@@ -1,33 +1,34 @@
-//! How many statements are kept inside a server at a time.
+//! Limits how many statements are inside a server at a time.
 
 use std::time::Duration;
 
 use crate::rank::{RANKS, Rank};
 
-/// One more statement is kept inside for so many slots: an answer and the next statement need a round trip, in which a slot
-/// would stand empty.
+/// Slots per extra statement beyond the slots: without extra statements, a slot is idle for the round trip between an
+/// answer and the next statement.
 const SLOTS_PER_SPARE: u32 = 4;
-/// Each finished statement moves an average by one part in so many.
+/// Weight of a new sample in the moving average of service times.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
-/// The least average is forgotten by this part with each finished statement, so that it follows a server whose work has
-/// become heavier for good.
+/// Relative increase of the minimum average with each finished statement, so that it follows a server whose
+/// statements have become slower permanently.
 const MINIMUM_DRIFT: f64 = 0.001;
-/// Statements take so many times their least average once they queue inside the server.
+/// Statements queue inside the server if their average time exceeds the minimum average by this factor.
 const QUEUEING_RATIO: f64 = 2.0;
-/// Below so many times there is room inside for one more.
+/// Another statement may be admitted if the average time is below the minimum average times this factor.
 const HEADROOM_RATIO: f64 = 1.5;
 
-/// The times of one rank's statements, which differ in work from those of others.
+/// Service times of one rank. Ranks differ in the work of their statements.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceTimes {
     average_us: f64,
     min_us: f64,
 }
 
-/// A limit that follows the answering time, as gradient limits do: what queues inside a server waits where no order counts.
+/// A gradient limit that follows the service time. Statements that queue inside the server would not be ordered by
+/// priority.
 ///
-/// It never falls below the daemon's part of the slots that the server says it has, since a statement that is slow by itself
-/// looks like one that queues.
+/// The limit never falls below the daemon's share of the server's slots, since a slow statement looks the same as a
+/// queued one.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     slots: u32,
@@ -38,7 +39,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Makes one for a server that runs `slots` statements at a time, whose callers are spread over `owners` queues.
+    /// Creates the limit for a server with this number of slots, whose callers are distributed over `owners` queues.
     pub(crate) fn new(slots: u32, owners: u32) -> ConcurrencyLimit {
         let mut limit = ConcurrencyLimit {
             slots: 0,
@@ -51,7 +52,6 @@
         limit
     }
 
-    /// Takes over the slots and over how many queues its callers are spread.
     pub(crate) fn set(&mut self, slots: u32, owners: u32) {
         let slots = slots.max(1);
         if self.slots != slots {
@@ -61,17 +61,15 @@
         self.min_limit = slots.div_ceil(owners.max(1));
     }
 
-    /// Returns the limit.
     pub(crate) fn get(&self) -> u32 {
         self.limit.max(self.min_limit)
     }
 
-    /// Returns the server's slots.
     pub(crate) fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Returns how long a statement of a rank takes on average; that of any rank where none of it was seen.
+    /// Returns the average service time of a rank, or the mean of the other ranks if it has no samples.
     pub(crate) fn expected_us(&self, rank: Rank) -> u64 {
         let own = self.times[rank.index()].average_us;
         if own > 0.0 {
@@ -82,7 +80,7 @@
         if count == 0 { 0 } else { (sum / f64::from(count)) as u64 }
     }
 
-    /// Notes how long a statement took.
+    /// Records the service time of a finished statement.
     pub(crate) fn on_finished(&mut self, rank: Rank, took: Duration) {
         let took_us = took.as_micros() as f64;
         let times = &mut self.times[rank.index()];
