--- a/crates/overload/src/connection_grant.rs
+++ b/crates/overload/src/connection_grant.rs
@@ -1,28 +1,28 @@
-//! How many connections a server grants a daemon at present, as its refusals show it.
+//! Estimate of how many connections a server grants a daemon, based on the connections that it refused.
 
 use std::time::{Duration, Instant};
 
-/// How long a refusal counts: connections that daemons left behind when they died are counted by the server for some
-/// seconds, and each try meanwhile costs a statement its time.
+/// How long a refusal is taken into account. A server counts the connections of a dead daemon for some seconds, and
+/// each attempt to open another one delays a statement.
 const REFUSAL_TTL: Duration = Duration::from_millis(1_000);
 
-/// What to do after a server refused a connection for there being too many.
+/// What to do after a server refused a connection because there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterRefusal {
-    /// Those that are held are what is granted: one may be ended for each that is opened.
+    /// Close an idle connection for each one that is to be opened.
     Replace,
-    /// None is held: try again after a pause.
+    /// No connection is held; retry after a pause.
     Pause,
 }
 
-/// What a server grants at present.
+/// The number of connections that a server grants at present.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionGrant {
     refused: Option<(u32, Instant)>,
 }
 
 impl ConnectionGrant {
-    /// Notes that a server refused one more connection than the `held` ones.
+    /// Records that the server refused another connection while `held` were open.
     pub fn on_refused(&mut self, held: u32, now: Instant) -> AfterRefusal {
         if held == 0 {
             return AfterRefusal::Pause;
@@ -31,7 +31,7 @@
         AfterRefusal::Replace
     }
 
-    /// Returns how many of `limit` connections there may be at a time; one at the least.
+    /// Returns the maximum number of connections, at most `limit` and at least 1.
     pub fn max_connections(&self, limit: u32, now: Instant) -> u32 {
         let granted = match self.refused {
             Some((held, until)) if now < until => held.min(limit),
