--- a/crates/overload/src/decaying.rs
+++ b/crates/overload/src/decaying.rs
@@ -1,4 +1,4 @@
-//! What accounts did lately, where the past counts less and less.
+//! Sums per account that decay exponentially.
 
 use std::{
     collections::HashMap,
@@ -7,9 +7,9 @@
 
 use model::Name;
 
-/// Accounts that are remembered before those that have faded are forgotten.
+/// Number of accounts above which negligible sums are dropped.
 const MAX_ACCOUNTS: usize = 1_024;
-/// A sum below this part of what was added last, to any account, has faded.
+/// Sums below this share of the last added amount, of any account, are negligible.
 const NEGLIGIBLE_SHARE: f64 = 0.01;
 
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
     at: Instant,
 }
 
-/// A sum for each account that halves with time.
+/// One exponentially decaying sum for each account.
 #[derive(Debug)]
 pub(crate) struct DecayingSums {
     half_life: Duration,
@@ -26,12 +26,11 @@
 }
 
 impl DecayingSums {
-    /// Makes sums of which half is left after so long.
     pub(crate) fn new(half_life: Duration) -> DecayingSums {
         DecayingSums { half_life, sums: HashMap::new() }
     }
 
-    /// Adds to an account's sum and returns it.
+    /// Adds to an account's sum and returns the new sum.
     pub(crate) fn add(&mut self, account: &str, added: f64, now: Instant) -> f64 {
         let amount = self.get(account, now) + added;
         self.sums.insert(Name::from(account), Sum { amount, at: now });
@@ -43,12 +42,12 @@
         amount
     }
 
-    /// Returns what is left of an account's sum.
+    /// Returns the current value of an account's sum.
     pub(crate) fn get(&self, account: &str, now: Instant) -> f64 {
         self.sums.get(account).map_or(0.0, |sum| sum.left(self.half_life, now))
     }
 
-    /// Returns the mean of the accounts that have at least `least`.
+    /// Returns the mean of all sums above `minimum`.
     pub(crate) fn mean_above(&self, minimum: f64, now: Instant) -> f64 {
         let left = self.sums.values().map(|sum| sum.left(self.half_life, now));
         let counted = left.filter(|amount| *amount > minimum);
