--- a/crates/overload/src/fair_queue.rs
+++ b/crates/overload/src/fair_queue.rs
@@ -1,17 +1,17 @@
-//! Whose turn it is among those that compete, by the work that was done for each.
+//! Fair queueing among the accounts that compete for a server.
 
 use std::collections::HashMap;
 
 use model::Name;
 
-/// Accounts that are remembered before those with nothing outstanding are forgotten.
+/// Number of accounts above which those without outstanding work are dropped.
 const MAX_ACCOUNTS: usize = 1_024;
 
-/// Start-time fair queueing (Goyal, Vin and Cheng, 1996): each statement is stamped with the work that its account has asked
-/// for so far, and the smallest stamp goes first.
+/// Start-time fair queueing (Goyal, Vin and Cheng, 1996): each statement is tagged with the work that its account has
+/// requested so far, and the smallest tag goes first.
 ///
-/// It gives what deficit round robin gives, a share of the work rather than of the statements, and needs no quantum: an
-/// account that asks rarely is stamped with the present, and passes those that asked for much.
+/// Like deficit round robin it shares work rather than statements, but it needs no quantum. An account that sends few
+/// statements is tagged with the virtual time and goes before accounts that requested much.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     virtual_time_us: u64,
@@ -19,7 +19,7 @@
 }
 
 impl FairQueue {
-    /// Stamps a statement that is expected to take `cost_us`.
+    /// Returns the start tag of a statement with this expected cost.
     pub(crate) fn start_tag(&mut self, account: &Name, cost_us: u64) -> u64 {
         let requested_us = self.requested_us.get(account).copied().unwrap_or(0);
         let start_tag = requested_us.max(self.virtual_time_us);
@@ -31,13 +31,13 @@
         start_tag
     }
 
-    /// Notes that a statement with this stamp begins.
+    /// Advances the virtual time when a statement with this tag begins.
     pub(crate) fn on_begin(&mut self, start_tag: u64) {
         self.virtual_time_us = self.virtual_time_us.max(start_tag);
     }
 
-    /// Charges what a statement took beyond what was expected, or gives back what it took less. What is expected may
-    /// have changed a little since the stamp.
+    /// Corrects an account's requested work by the difference between the actual and the expected cost. The expected
+    /// cost may have changed since the statement was tagged.
     pub(crate) fn settle(&mut self, account: &Name, expected_us: u64, took_us: u64) {
         if let Some(requested_us) = self.requested_us.get_mut(account) {
             *requested_us = (*requested_us + took_us).saturating_sub(expected_us);
