--- a/crates/overload/src/hold.rs
+++ b/crates/overload/src/hold.rs
@@ -1,8 +1,8 @@
-//! Whether a statement waits for something that is known to come, such as the next primary, and for how long.
+//! Decides whether a statement is held until the end of an outage, such as a change of primary.
 //!
-//! A caller has few tries. One that is refused while its server is about to be back spends a try on nothing; one that is held
-//! although nothing comes loses time in which another daemon could answer it. So a statement waits only while the end, as
-//! earlier outages suggest it, lies within what its caller bears, and is else refused at once.
+//! A statement that is refused shortly before the end of an outage wastes one of its caller's few retries; one that
+//! is held in vain loses time in which another daemon could answer it. So a statement is held only if the outage is
+//! expected, by the lengths of earlier ones, to end within the statement's limits.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,43 +11,43 @@
 
 use crate::rank::Rank;
 
-/// Outages of a kind that are remembered: enough for a median, few enough to follow a change of conditions.
+/// Number of past outages remembered per kind: enough for a median, and few enough to follow changes.
 const HISTORY_LENGTH: usize = 16;
-/// The part of a route's time that a statement may wait while something is under way that ends by itself. Under half, so that a
-/// caller whose own deadline is near can still be served after a refusal.
+/// Maximum hold time, as a share of the timeout, while the primary is being replaced. Below one half, so that a
+/// caller can still retry before its deadline.
 const IN_PROGRESS_TIMEOUT_SHARE: f64 = 0.45;
-/// The part of its latency target that a statement waits for what may come or not: its caller can still be answered within the
-/// target elsewhere.
+/// Maximum hold time, as a share of the latency target, while the end of the outage is uncertain. Another daemon can
+/// then still answer within the target.
 const UNCERTAIN_TARGET_SHARE: f64 = 0.25;
-/// The same as a part of its route's time, for routes with a target that is no shorter than that.
+/// The same as a share of the timeout; the shorter of the two applies.
 const UNCERTAIN_TIMEOUT_SHARE: f64 = 0.1;
-/// How long an outage may go unobserved before its end: one that ended later by that much tells nothing of its length.
+/// Maximum time since the last observation of an outage for its end to be known precisely.
 const MAX_UNOBSERVED: Duration = Duration::from_millis(250);
-/// How long an outage may go unobserved until the next one that is found counts as another one: callers of a daemon ask for most
-/// groups more often than that.
+/// Time without observations after which a further outage of the same kind counts as a new one.
 const SAME_OUTAGE_WITHIN: Duration = Duration::from_secs(2);
-/// The shortest time after which an estimate is looked at again.
+/// Minimum wait before the estimate is checked again.
 const MIN_WAIT: Duration = Duration::from_millis(20);
-/// Over how much of their latency target those are released that waited; the rest is for the servers to answer in.
+/// The release of held statements is spread over this share of the latency target; the rest is left for the servers
+/// to answer.
 const RELEASE_TARGET_SHARE: f64 = 0.25;
 
-/// Why a statement can't go on.
+/// Why a statement can't run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// A primary that works is being replaced.
+    /// A working primary is being replaced.
     PlannedChange,
-    /// A primary that failed is being replaced.
+    /// A failed primary is being replaced.
     Failover,
-    /// The right to use the primary ended here and could not be renewed.
+    /// This daemon's lease on the primary has lapsed and was not renewed.
     LapsedLease,
-    /// The primary does not answer here, and nobody has begun to replace it.
+    /// The primary does not answer this daemon, and is not being replaced.
     Unreachable,
 }
 
 impl Outage {
     const COUNT: usize = 4;
 
-    /// Returns the word used in logs.
+    /// Returns the text used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outage::PlannedChange => "planned_change",
@@ -57,9 +57,8 @@
         }
     }
 
-    /// How long one takes, as far as can be said before any was seen: the steps of a change are some round trips to the store
-    /// and to the servers, and a promotion; a lapsed right is mostly renewed with the next reading.
-    fn default_length(self) -> Duration {
+    /// Returns the typical length, which counts like one recorded outage.
+    fn typical_length(self) -> Duration {
         Duration::from_millis(match self {
             Outage::PlannedChange => 800,
             Outage::Failover => 2_000,
@@ -68,20 +67,20 @@
         })
     }
 
-    /// Whether somebody works on its end, so that waiting has a prospect at this daemon.
+    /// Whether the primary is being replaced, so that the outage ends by itself.
     fn is_in_progress(self) -> bool {
         matches!(self, Outage::PlannedChange | Outage::Failover)
     }
 }
 
-/// How long outages took, by kind.
+/// The lengths of past outages, by kind.
 #[derive(Clone, Debug, Default)]
 pub struct OutageHistory {
     lengths: [VecDeque<Duration>; Outage::COUNT],
 }
 
 impl OutageHistory {
-    /// Counts an outage that has ended.
+    /// Records the length of an outage that has ended.
     pub fn record(&mut self, outage: Outage, length: Duration) {
         let lengths = &mut self.lengths[outage as usize];
         if lengths.len() == HISTORY_LENGTH {
@@ -90,12 +89,12 @@
         lengths.push_back(length);
     }
 
-    /// Returns how much longer an outage is expected to last: the median of those that took longer than this one has so far, or
-    /// as long again where none did.
+    /// Returns the expected remaining time of an outage: the median of the past ones that lasted longer than it has
+    /// so far, or its elapsed time if there are none.
     pub fn remaining(&self, outage: Outage, elapsed: Duration) -> Duration {
         let seen = self.lengths[outage as usize].iter().copied();
         let mut longer: Vec<Duration> =
-            seen.chain([outage.default_length()]).filter(|length| *length > elapsed).collect();
+            seen.chain([outage.typical_length()]).filter(|length| *length > elapsed).collect();
         longer.sort_unstable();
         match longer.get(longer.len() / 2) {
             Some(length) => *length - elapsed,
@@ -104,68 +103,69 @@
     }
 }
 
-/// An outage that is under way, as one daemon sees it in one group.
+/// An ongoing outage of one group, as seen by this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OngoingOutage {
-    /// What is missing.
+    /// The kind of the outage.
     pub outage: Outage,
-    /// Since when.
+    /// When the outage began.
     pub began_at: Instant,
     observed_at: Instant,
 }
 
 impl OngoingOutage {
-    /// One that began at `began_at` and was found at `now`.
+    /// Creates an outage that began at `began_at` and was detected at `now`.
     pub fn new(outage: Outage, began_at: Instant, now: Instant) -> OngoingOutage {
         OngoingOutage { outage, began_at: began_at.min(now), observed_at: now }
     }
 
-    /// Notes that it still lasts.
+    /// Records that the outage is still ongoing.
     pub fn observe(&mut self, now: Instant) {
         self.observed_at = now;
     }
 
-    /// Whether what is found now is still the same one.
+    /// Whether an outage detected now is this one.
     pub fn is_same(&self, outage: Outage, now: Instant) -> bool {
         let unobserved = now.saturating_duration_since(self.observed_at);
         self.outage == outage && unobserved < SAME_OUTAGE_WITHIN
     }
 
-    /// Returns how long it has lasted.
+    /// Returns the elapsed time.
     pub fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.began_at)
     }
 
-    /// Returns how long it took if it ended at `now`; `None` if nobody looked for so long that it may have ended before.
+    /// Returns the length of the outage if it ended at `now`; `None` if it may have ended before, since it was not
+    /// observed for too long.
     pub fn length(&self, now: Instant) -> Option<Duration> {
         let unobserved = now.saturating_duration_since(self.observed_at);
         (unobserved <= MAX_UNOBSERVED).then(|| self.elapsed(now))
     }
 }
 
-/// What a statement bears.
+/// The limits that determine how long a statement may be held.
 #[derive(Clone, Copy, Debug)]
 pub struct HoldLimits {
-    /// When it arrived.
+    /// When the statement arrived.
     pub arrived: Instant,
-    /// The latency that its route aims at.
+    /// The route's latency target.
     pub target: Duration,
-    /// How long its answer is of use.
+    /// The route's timeout.
     pub timeout: Duration,
 }
 
 impl HoldLimits {
-    /// Returns until when the statement may be sent once more after a path failed: another one may be free at once.
+    /// Returns the time until which the statement may be retried after a path failed.
     pub fn retry_deadline(&self) -> Instant {
         self.arrived + self.timeout.mul_f64(IN_PROGRESS_TIMEOUT_SHARE)
     }
 
-    /// Returns until when the statement may wait for its turn, once the outage ended at `now`.
+    /// Returns the latest time at which the statement is released if the outage ended at `now`.
     pub fn release_deadline(&self, outage: Outage, now: Instant) -> Instant {
         self.hold_deadline(outage).min(now + self.target.mul_f64(RELEASE_TARGET_SHARE))
     }
 
-    /// Returns until when the statement may wait for the end of an outage.
+    /// Returns the time until which the statement may wait for the end of an outage.
     pub fn hold_deadline(&self, outage: Outage) -> Instant {
         let max_wait = match outage.is_in_progress() {
             true => self.timeout.mul_f64(IN_PROGRESS_TIMEOUT_SHARE),
@@ -178,22 +178,23 @@
     }
 }
 
-/// What to do with a statement that can't go on.
+/// What to do with a statement that can't run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldDecision {
-    /// Wait, and ask again at this time if nothing has come.
+    /// Wait, and decide again at this time if the outage is still ongoing.
     Wait {
-        /// When the outage is expected to be over.
+        /// The expected end of the outage.
         until: Instant,
     },
-    /// Refuse it now.
+    /// Refuse the statement now.
     Refuse {
-        /// How much longer the outage is expected to last.
+        /// The expected remaining time of the outage.
         remaining: Duration,
     },
 }
 
-/// Decides whether a statement waits for the end of an outage. `backlog` is how long those take that waited before it.
+/// Decides whether a statement waits for the end of an outage. `backlog` is the time that the statements queued
+/// before it need.
 pub fn decide(
     history: &OutageHistory,
     ongoing: &OngoingOutage,
@@ -209,19 +210,19 @@
     HoldDecision::Wait { until: (now + remaining.max(MIN_WAIT)).min(deadline) }
 }
 
-/// A place in a [`HoldQueue`].
+/// Identifies a statement in a [`HoldQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     rank: Rank,
     number: u64,
 }
 
-/// Statements of one group that wait for the same thing, the most urgent first. When it comes they go one after the other, as
-/// fast as the servers answer, so that the most urgent ones don't meet a queue of all others.
+/// The statements of one group that wait for the end of an outage, the most urgent first. They are released one after
+/// the other, at the rate at which the servers answer, so that urgent statements don't queue behind all others.
 #[derive(Clone, Debug, Default)]
 pub struct HoldQueue {
     next_number: u64,
-    /// Who waits, and when those go that may go.
+    /// The waiting statements and their release times, if set.
     waiting: BTreeMap<Ticket, Option<Instant>>,
 }
 
@@ -234,44 +235,44 @@
         ticket
     }
 
-    /// Takes a statement out, whether it goes on or not.
+    /// Removes a statement.
     pub fn remove(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting statements.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no statement waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns how many wait that go before a statement.
+    /// Returns the number of statements ahead of a statement.
     pub fn ahead_of(&self, ticket: Ticket) -> usize {
         self.waiting.range(..ticket).count()
     }
 
-    /// Returns when a statement goes, now that what all wait for has come. All that wait at this time get their turns with the
-    /// first that asks, `pace` apart; none goes later than at `latest`.
+    /// Returns when a statement is released after the end of the outage. Sets the release times of all waiting
+    /// statements that have none, `interval` apart. The result is not later than `latest` unless that has passed.
     pub fn release_time(
         &mut self,
         ticket: Ticket,
-        pace: Duration,
+        interval: Duration,
         latest: Instant,
         now: Instant,
     ) -> Instant {
-        let mut turn = now;
+        let mut release_at = now;
         for at in self.waiting.values_mut().filter(|at| at.is_none()) {
-            *at = Some(turn);
-            turn += pace;
+            *at = Some(release_at);
+            release_at += interval;
         }
         self.waiting.get(&ticket).copied().flatten().unwrap_or(now).min(latest).max(now)
     }
 
-    /// What all wait for has gone again: who still waits has no turn any more.
+    /// Clears the release times, because the group has an outage again.
     pub fn clear_release_times(&mut self) {
         self.waiting.values_mut().for_each(|at| *at = None);
     }
