--- a/crates/overload/src/layout.rs
+++ b/crates/overload/src/layout.rs
@@ -1,21 +1,21 @@
-//! How far another availability zone is, as the operators laid the fleet out.
+//! The distance between availability zones.
 
 use std::collections::HashMap;
 
 use model::Name;
 
-/// Where a server stands, seen from a daemon.
+/// The distance of a server from a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
-    /// In the daemon's own availability zone.
+    /// In the daemon's availability zone.
     SameZone,
-    /// In another zone of its region.
+    /// In another zone of the daemon's region.
     SameRegion,
-    /// In another region, whose link all traffic shares.
+    /// In another region; all traffic shares the link to it.
     OtherRegion,
 }
 
-/// The zones with their regions, seen from one of them.
+/// The regions of all zones, as seen from one zone.
 #[derive(Clone, Debug)]
 pub struct Layout {
     zone: Name,
@@ -23,17 +23,17 @@
 }
 
 impl Layout {
-    /// Makes the layout that a daemon in `zone` sees; zones that are not listed count as of its own region.
+    /// Creates the layout for a daemon in `zone`. Zones that are not listed count as part of its region.
     pub fn new(zone: Name, region_by_zone: HashMap<Name, Name>) -> Layout {
         Layout { zone, region_by_zone }
     }
 
-    /// Returns the daemon's own zone.
+    /// Returns the daemon's zone.
     pub fn zone(&self) -> &Name {
         &self.zone
     }
 
-    /// Says how far a zone is.
+    /// Returns the distance of a zone.
     pub fn reach(&self, zone: &str) -> Reach {
         if *self.zone == *zone {
             return Reach::SameZone;
