--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,9 +1,8 @@
-//! What a daemon decides when callers ask for more than the servers can do, or when servers misbehave.
+//! Overload control: decides which requests run, wait or are refused when demand exceeds capacity or servers fail.
 //!
-//! Each decision is a type without input, output or clock, so that it runs under any load in a test: the engines feed it
-//! with events and times and carry out what it returns. None of it is authority: how fresh a read must be, who leads and how
-//! much an account may ask keep their own proofs, and a wrong estimate here costs time, never a promise.
-//! `docs/design/hard-load.md` says who decides what and where the state lives.
+//! Every decision is a type without I/O or a clock: callers pass in events and times and act on the result. Wrong
+//! estimates cost time but never correctness; read freshness, leadership and account limits are enforced elsewhere.
+//! See `docs/design/hard-load.md` for which component decides what.
 
 pub mod account_retry_budget;
 mod circuit;
