--- a/crates/overload/src/load_report.rs
+++ b/crates/overload/src/load_report.rs
@@ -1,36 +1,36 @@
-//! What the owner of a server's connections tells of the load there, and what that is worth later.
+//! Load reports of the owner of a server's connections.
 
 use std::time::{Duration, Instant};
 
 use crate::rank::{RANKS, Rank};
 
-/// After this long a report's waits count for half: queues drain and fill within a few service times.
+/// Half-life of the reported waits: queues drain and fill within a few service times.
 const HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// The load of one server, as the owner of its connections sees it. It travels with the answers that the owner gives anyhow.
+/// The load of one server, as seen by the owner of its connections. It is sent with the owner's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// How long a statement of each rank would wait if it arrived now.
+    /// Expected wait of a statement that arrives now, by rank.
     pub waits: [Duration; RANKS],
-    /// Statements that the server runs at the moment.
+    /// Statements that the server runs now.
     pub running: u32,
-    /// Statements that it is to run at a time.
+    /// Maximum number of statements that the server should run at a time.
     pub slots: u32,
-    /// How long it takes for one.
+    /// Average service time of a statement.
     pub service: Duration,
 }
 
-/// A report with the time at which it was heard.
+/// A report and when it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgedReport {
-    /// What was told.
+    /// The report.
     pub report: LoadReport,
-    /// When it was heard.
+    /// When the report was received.
     pub received_at: Instant,
 }
 
 impl AgedReport {
-    /// Returns how long a statement is expected to wait: what was told, by half less for each [`HALF_LIFE`] since.
+    /// Returns the expected wait of a statement: the reported wait, halved for each [`HALF_LIFE`] since.
     pub fn expected_wait(&self, rank: Rank, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.received_at);
         let halvings = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
