--- a/crates/overload/src/reuse.rs
+++ b/crates/overload/src/reuse.rs
@@ -1,7 +1,8 @@
-//! Which connection at rest is ended when another account needs one, by how soon it is likely to be used again.
+//! Chooses which idle connection to close when another account needs one.
 //!
-//! A connection works for one account, and opening one takes a slot of the server for the length of a handshake. One that is
-//! ended and soon needed again costs that slot twice; see `docs/design/hard-load.md`, "Connections that accounts compete for".
+//! A connection serves one account, and opening one occupies a slot of the server for the handshake. So the
+//! connection that is least likely to be used again is closed; see `docs/design/hard-load.md`, "Connections that
+//! accounts compete for".
 
 use std::{
     collections::HashMap,
@@ -10,19 +11,20 @@
 
 use crate::decaying::DecayingSums;
 
-/// What an account asked counts for half after so long: some times longer than the rest between two statements of a small
-/// account, and short enough to follow a change of who is busy.
+/// Half-life of recorded uses: longer than the interval between two statements of a small account, and short enough
+/// to follow changes of load.
 const HALF_LIFE: Duration = Duration::from_secs(20);
-/// A connection at rest.
+
+/// An idle connection.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleConnection<'a> {
-    /// For whom it works.
+    /// The account that it serves.
     pub account: &'a str,
-    /// Since when it has rested.
+    /// Since when it has been idle.
     pub idle_since: Instant,
 }
 
-/// How often each account has used connections to one server lately.
+/// How often each account used connections to one server recently.
 #[derive(Debug)]
 pub struct ReuseHistory {
     uses: DecayingSums,
@@ -35,16 +37,15 @@
 }
 
 impl ReuseHistory {
-    /// Notes that a statement of an account began.
+    /// Records that a statement of an account began.
     pub fn on_used(&mut self, account: &str, now: Instant) {
         self.uses.add(account, 1.0, now);
     }
 
-    /// Chooses which connection to end: the least likely to be used again.
+    /// Returns the index of the connection that is least likely to be used again; `None` if there is none.
     ///
-    /// Of several of one account only one is likely to be used as often as the account asks, and the next only while that
-    /// one is in use. So accounts with more than one give theirs first, and no small account loses its only one to a hot one that
-    /// has many.
+    /// Accounts with several connections lose theirs first, so that a busy account does not take the only connection
+    /// of a small one.
     pub fn least_likely_reused(&self, idle: &[IdleConnection<'_>], now: Instant) -> Option<usize> {
         let mut held: HashMap<&str, u32> = HashMap::new();
         for connection in idle {
