--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -1,7 +1,8 @@
-//! The statements that wait for one server, and which of them goes next.
+//! The queue of statements for one server.
 //!
-//! A server runs as many statements at a time as it has slots. More inside it wait where no priority, account or deadline
-//! counts, so they wait here. `docs/design/hard-load.md`, "One queue for a server", says what was weighed.
+//! A server runs as many statements at a time as it has slots. Statements beyond that would queue inside the server
+//! without regard to priority, account or deadline, so they wait here. See `docs/design/hard-load.md`, "One queue for
+//! a server", for the alternatives.
 
 use std::{
     collections::HashMap,
@@ -18,46 +19,47 @@
     rank::{RANKS, Rank},
 };
 
-/// Statements that may wait for one server; a bound on memory, since whatever can't begin in time is refused before.
+/// Maximum number of waiting statements. Bounds memory; statements that can't start in time are refused anyway.
 const MAX_WAITING: usize = 256;
-/// One begin in so many goes to whoever has waited longest, whatever its rank or account, so that everybody gets on.
+/// One of this many statements to start is the one that has waited longest, regardless of rank and account, to
+/// prevent starvation.
 const OLDEST_FIRST_INTERVAL: u32 = 32;
-/// Open transactions leave one part in so many of the connections to statements that are over at once.
+/// Open transactions leave this fraction (1/n) of the connections to single statements.
 const RESERVED_DIVISOR: u32 = 4;
-/// One account's open transactions have one part in so many of the connections at the most, since they hold them while their
-/// callers rest.
+/// Open transactions of one account use at most this fraction (1/n) of the connections, since they occupy them while
+/// their callers are idle.
 const ACCOUNT_TRANSACTIONS_DIVISOR: u32 = 4;
 
-/// Statements that tell how much of the server more urgent ones take.
+/// Number of recently started statements from which the share of more urgent work is estimated.
 const STARTED_WINDOW: f64 = 64.0;
-/// Whoever waits gets on by at least a tenth of the server, by the estimate.
+/// Maximum share of the server that more urgent statements are assumed to take from a waiting one.
 const MAX_OVERTAKEN_SHARE: f64 = 0.9;
 
-/// Names a statement that waits.
+/// Identifies a waiting statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// What a statement needs beside a slot.
+/// What a statement needs in addition to a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// A connection, which it gives back with the slot.
+    /// A connection, which is released together with the slot.
     Alone,
-    /// A connection that it keeps until its transaction is over.
+    /// A connection, which is kept until the end of the transaction.
     Opens,
-    /// Nothing: its transaction has a connection.
+    /// Nothing, since its transaction has a connection.
     Continues,
 }
 
-/// A statement that wants to run.
+/// A statement to be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// How urgent it is.
+    /// The statement's rank.
     pub rank: Rank,
-    /// The client account, which takes turns with others; empty where there are none.
+    /// The client account for fair queueing; empty if accounts are not distinguished.
     pub account: Name,
-    /// What it needs.
+    /// What the statement needs in addition to a slot.
     pub stage: Stage,
-    /// Until when it may wait.
+    /// The time until which the statement may wait.
     pub until: Instant,
 }
 
@@ -67,52 +69,52 @@
     }
 }
 
-/// What becomes of a statement that arrives.
+/// The result of offering a statement to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// It begins now.
+    /// The statement starts now.
     Begin,
-    /// It waits.
+    /// The statement waits.
     Queued {
-        /// By which it is named.
+        /// Identifies the waiting statement.
         ticket: Ticket,
-        /// A less urgent one that can't wait any more for its sake: to be refused, as not run.
+        /// A less urgent statement that was removed to make space. It was not run and is to be refused.
         displaced: Option<Ticket>,
     },
-    /// It is refused, as not run: it would not begin in time.
+    /// The statement is refused because it would not start in time. It was not run.
     Refused {
-        /// After how long there would be a slot for it, if nothing else came; when a connection is given back is not known.
+        /// Expected time until a slot is free. Does not consider when a connection is released.
         retry_after: Duration,
     },
 }
 
-/// What follows when a slot or a connection has become free.
+/// The next event after a slot or a connection has been released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// This one begins; ask again.
+    /// This statement starts. Call again.
     Begin(Ticket, Request),
-    /// This one has waited for as long as it may: to be refused, as not run. Ask again.
+    /// This statement has reached its deadline. It was not run and is to be refused. Call again.
     Expired(Ticket),
-    /// Nobody can begin.
+    /// No waiting statement can start.
     Nothing,
 }
 
-/// What one daemon may use of a server.
+/// The capacity of a server that one daemon may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Statements that the server runs at a time; 0 if that is not known.
+    /// Statements that the server runs at a time; 0 if unknown.
     pub slots: u32,
-    /// Connections that this daemon may have.
+    /// Maximum number of connections of this daemon.
     pub connections: u32,
-    /// Daemons that have such a queue for the same server.
+    /// Number of daemons with a queue for this server.
     pub owners: u32,
 }
 
-/// In which order statements begin: the smallest goes first.
+/// The order in which statements start, the smallest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Order {
     step: usize,
-    /// Whether it belongs to no open transaction: those go first.
+    /// Whether the statement does not belong to an open transaction. Those of open transactions go first.
     is_new: bool,
     start_tag: u64,
     until: Instant,
@@ -126,7 +128,7 @@
     cost_us: u64,
 }
 
-/// The queue of one server at a daemon that has connections to it.
+/// The queue of one server at a daemon with connections to it.
 #[derive(Debug)]
 pub struct WorkQueue {
     limit: ConcurrencyLimit,
@@ -134,20 +136,20 @@
     running: u32,
     connections_in_use: u32,
     transactions: HashMap<Name, u32>,
-    /// Whose turn it is, within each rank.
+    /// Order of the accounts within each rank.
     fair_queues: [FairQueue; RANKS],
     demand: Demand,
     waiters: Vec<Waiter>,
     next_ticket: u64,
     started: u32,
-    /// The work that began lately, in microseconds, by the step of its [`Order`].
+    /// Recently started work in microseconds, by [`Order::step`].
     started_us: [f64; RANKS],
-    /// When a statement last began or ended.
+    /// When a statement last started or finished.
     last_progress_at: Option<Instant>,
 }
 
 impl WorkQueue {
-    /// Makes an empty one.
+    /// Creates an empty queue.
     pub fn new(capacity: Capacity) -> WorkQueue {
         WorkQueue {
             limit: ConcurrencyLimit::new(known_slots(capacity), capacity.owners),
@@ -165,13 +167,13 @@
         }
     }
 
-    /// Takes over what may be used of the server. What has begun goes on.
+    /// Sets the capacity. Running statements are not affected.
     pub fn set_capacity(&mut self, capacity: Capacity) {
         self.limit.set(known_slots(capacity), capacity.owners);
         self.connections = capacity.connections.max(1);
     }
 
-    /// Takes a statement that arrives. Nothing waits while what it needs is free.
+    /// Adds a statement. A statement never waits while what it needs is free.
     pub fn offer(&mut self, request: Request, now: Instant) -> OfferResult {
         let cost_us = self.limit.expected_us(request.rank);
         let order = self.order_of(&request, cost_us, now);
@@ -198,10 +200,10 @@
         OfferResult::Queued { ticket, displaced }
     }
 
-    /// Says who begins, or who has waited too long.
+    /// Returns the statement that starts next, or one that has reached its deadline.
     pub fn next(&mut self, now: Instant) -> Next {
-        if let Some(late) = self.waiters.iter().position(|waiter| waiter.request.until <= now) {
-            let waiter = self.remove(late);
+        if let Some(expired) = self.waiters.iter().position(|waiter| waiter.request.until <= now) {
+            let waiter = self.remove(expired);
             return Next::Expired(waiter.order.ticket);
         }
         let Some(index) = self.choose() else { return Next::Nothing };
@@ -210,13 +212,13 @@
         Next::Begin(waiter.order.ticket, waiter.request)
     }
 
-    /// Takes out a statement that nobody waits for any more; `false` if it does not wait here.
+    /// Removes a waiting statement; `false` if it does not wait here.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         let place = self.waiters.iter().position(|waiter| waiter.order.ticket == ticket);
         place.map(|index| self.remove(index)).is_some()
     }
 
-    /// Notes that a statement has left its slot, and how long it had it if it was answered.
+    /// Records that a statement has released its slot. `took` is its service time if it was answered.
     pub fn on_finished(&mut self, request: &Request, took: Option<Duration>, now: Instant) {
         self.running = self.running.saturating_sub(1);
         self.last_progress_at = Some(now);
@@ -230,7 +232,7 @@
         self.limit.on_finished(request.rank, took);
     }
 
-    /// Notes that a statement or its transaction has given its connection back.
+    /// Records that a statement or its transaction has released its connection.
     pub fn on_released(&mut self, request: &Request) {
         if request.stage == Stage::Continues {
             return;
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Returns after how long a statement of a rank would begin if it went behind all that are as urgent.
+    /// Returns the expected wait of a new statement of a rank.
     pub fn expected_wait(&self, rank: Rank, now: Instant) -> Duration {
         if self.waiters.is_empty() && self.running < self.limit.get() {
             return Duration::ZERO;
@@ -255,7 +257,7 @@
         self.drain_time(ahead.map(|waiter| waiter.cost_us).sum(), now)
     }
 
-    /// Returns the load, for those that choose among servers.
+    /// Returns the load report for daemons that choose a server.
     pub fn report(&self, now: Instant) -> LoadReport {
         let mut waits = [Duration::ZERO; RANKS];
         for rank in Rank::ALL {
@@ -269,24 +271,24 @@
         }
     }
 
-    /// Returns how many statements wait.
+    /// Returns the number of waiting statements.
     pub fn waiting(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Returns how many statements run.
+    /// Returns the number of running statements.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns how many statements are kept inside the server at a time.
+    /// Returns the maximum number of statements inside the server at a time.
     pub fn limit(&self) -> u32 {
         self.limit.get()
     }
 
-    /// A statement of an open transaction goes before what would open one, and counts as one step more urgent: it frees a
-    /// connection, and what the transaction holds inside the server. Those of an account that asks for much of the server
-    /// count as one step less urgent, so that its urgent ones don't take the place of others' less urgent ones.
+    /// Computes the position of a statement. Statements of an open transaction count as one step more urgent, since
+    /// they free a connection and the transaction's locks. Those of a heavy account count as one step less urgent, so
+    /// that they don't displace less urgent statements of others.
     fn order_of(&mut self, request: &Request, cost_us: u64, now: Instant) -> Order {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -317,13 +319,13 @@
         }
     }
 
-    /// Whether one more transaction leaves enough connections to others.
+    /// Whether another transaction leaves enough connections to others.
     fn may_open_transaction(&self, request: &Request) -> bool {
         let open: u32 = self.transactions.values().sum();
         let own = self.transactions.get(&request.account).copied().unwrap_or(0);
-        let left = self.connections / RESERVED_DIVISOR;
-        let most_of_one = self.connections.div_ceil(ACCOUNT_TRANSACTIONS_DIVISOR);
-        open < self.connections - left && (!request.has_account() || own < most_of_one)
+        let reserved = self.connections / RESERVED_DIVISOR;
+        let max_per_account = self.connections.div_ceil(ACCOUNT_TRANSACTIONS_DIVISOR);
+        open < self.connections - reserved && (!request.has_account() || own < max_per_account)
     }
 
     fn can_any_waiter_begin(&self) -> bool {
@@ -337,7 +339,7 @@
             return able.min_by_key(|(_, waiter)| waiter.order.ticket).map(|(index, _)| index);
         }
         let (_, first) = able.clone().min_by_key(|(_, waiter)| waiter.order)?;
-        // The turn is the account's; of its own statements the one whose time ends first has it.
+        // Fair queueing selects the account; of its statements, the one with the earliest deadline goes first.
         let own = able.filter(|(_, waiter)| {
             waiter.request.account == first.request.account
                 && (waiter.order.step, waiter.order.is_new)
@@ -371,14 +373,14 @@
         OfferResult::Refused { retry_after: wait.max(Duration::from_millis(1)) }
     }
 
-    /// Returns the last in order, if it goes behind the newcomer and belongs to no open transaction.
+    /// Returns the last waiting statement if it goes after the new one and does not belong to an open transaction.
     fn last_behind(&self, newcomer: &Waiter) -> Option<usize> {
         let places = self.waiters.iter().enumerate();
         let (index, last) = places.max_by_key(|(_, waiter)| waiter.order)?;
         (last.order.is_new && last.order > newcomer.order).then_some(index)
     }
 
-    /// Whether the last in order has to make room: there are too many, or it would not begin in time any more.
+    /// Whether the last statement is to be removed: there are too many, or it would not start in time any more.
     fn must_be_displaced(&self, last: usize, now: Instant) -> bool {
         let all_us: u64 = self.waiters.iter().map(|waiter| waiter.cost_us).sum();
         let last = &self.waiters[last];
@@ -392,7 +394,7 @@
         waiter
     }
 
-    /// Returns which part of what began lately went before a step: who waits in that is overtaken by as much.
+    /// Returns the share of recently started work that went before a step.
     fn overtaken_share(&self, step: usize) -> f64 {
         let all: f64 = self.started_us.iter().sum();
         let before: f64 = self.started_us[..step].iter().sum();
@@ -404,15 +406,15 @@
         fair_queue.settle(&waiter.request.account, waiter.cost_us, 0);
     }
 
-    /// Returns after how long so much work is done and one more slot is free. A server in which nothing has moved for some
-    /// time is taken to need as long again: it may hang.
+    /// Returns the time until this work is done and one more slot is free. If nothing has started or finished for
+    /// longer than a service time, the server may hang, and that time is added.
     fn drain_time(&self, work_us: u64, now: Instant) -> Duration {
         let concurrency = self.limit.slots().min(self.limit.get()).min(self.connections);
         let slots = u64::from(concurrency.max(1));
         let mean = Duration::from_micros(self.mean_us());
-        let still =
+        let idle_for =
             self.last_progress_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let stalled = still.saturating_sub(mean);
+        let stalled = idle_for.saturating_sub(mean);
         Duration::from_micros(work_us / slots) + mean / slots as u32 + stalled
     }
 
@@ -422,7 +424,7 @@
     }
 }
 
-/// A server that doesn't say how much it runs at a time may run what there are connections for.
+/// Returns the server's slots, or the number of connections if the slots are unknown.
 fn known_slots(capacity: Capacity) -> u32 {
     if capacity.slots == 0 { capacity.connections } else { capacity.slots }
 }
