--- a/crates/overload/tests/account_retry_budget.rs
+++ b/crates/overload/tests/account_retry_budget.rs
@@ -1,4 +1,4 @@
-//! Tries over all hops: that they don't multiply an overload.
+//! Tests that retries don't multiply an overload.
 
 use std::sync::Arc;
 
@@ -7,10 +7,9 @@
     account_retry_budget::{AccountRetryBudget, RetryCause},
 };
 
-/// Load pattern: callers ask for twice what the servers can do, for long; every second statement finds no room, at first and when it
-/// is tried again.
+/// Sustained demand at twice the capacity: every second attempt is refused.
 #[test]
-fn at_two_times_overload_at_most_a_tenth_is_tried_again() {
+fn under_double_load_at_most_a_tenth_is_retried() {
     let mut budget = AccountRetryBudget::default();
     let accounts: Vec<Arc<str>> = (0..20).map(|it| Arc::from(format!("account-{it}"))).collect();
     let (mut operations, mut sent, mut served) = (0_u32, 0_u32, 0_u32);
@@ -18,40 +17,43 @@
         for account in &accounts {
             let rank = Rank::ALL[round as usize % 3];
             operations += 1;
-            let mut tried = 0;
+            let mut attempts = 0;
             loop {
-                tried += 1;
+                attempts += 1;
                 sent += 1;
                 if sent % 2 == 0 {
                     served += 1;
                     budget.on_success(account, rank);
                     break;
                 }
-                if !budget.may_retry(account, rank, tried, RetryCause::NoRoom) {
+                if !budget.may_retry(account, rank, attempts, RetryCause::NoRoom) {
                     break;
                 }
             }
         }
     }
-    let again = sent - operations;
-    assert!(again * 10 <= operations + operations / 10, "{again} of {operations} were tried again");
+    let retries = sent - operations;
+    assert!(retries * 10 <= operations + operations / 10, "{retries} of {operations} were retried");
     assert!(served * 10 >= operations * 5);
 }
 
-/// Load pattern: one account sends many times its usual, and is refused; another one is not to pay for its tries.
+/// An account that sends far more than usual must not spend the retries of others.
 #[test]
-fn an_account_spends_only_its_own_tries() {
+fn an_account_spends_only_its_own_tokens() {
     let mut budget = AccountRetryBudget::default();
     let (hot, small): (Arc<str>, Arc<str>) = (Arc::from("hot"), Arc::from("small"));
     let rank = Rank::ALL[0];
     while budget.may_retry(&hot, rank, 1, RetryCause::NoRoom) {}
     assert!(budget.may_retry(&small, rank, 1, RetryCause::NoRoom));
-    assert!(budget.may_retry(&hot, Rank::ALL[1], 1, RetryCause::NoRoom), "ranks are apart too");
+    assert!(
+        budget.may_retry(&hot, Rank::ALL[1], 1, RetryCause::NoRoom),
+        "each rank has its own tokens"
+    );
 }
 
-/// Load pattern: a path fails for all at once. Each statement is tried once more on another path, whatever was saved.
+/// A path failure affects all statements at once; each may be retried on another path without tokens.
 #[test]
-fn a_failed_path_is_left_once_for_free() {
+fn one_retry_after_a_path_failure_costs_no_tokens() {
     let mut budget = AccountRetryBudget::default();
     let account: Arc<str> = Arc::from("account");
     let rank = Rank::ALL[1];
