--- a/crates/overload/tests/circuit.rs
+++ b/crates/overload/tests/circuit.rs
@@ -1,4 +1,4 @@
-//! Circuits under servers and paths that misbehave, without network.
+//! Tests of circuit breakers for failing servers and paths.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 
 const STEP: Duration = Duration::from_millis(5);
 
-/// Asks every few milliseconds for a while; returns how many passed, of so many.
-fn drive(
+/// Sends a request every step while the circuit allows it; returns the number of requests sent.
+fn send_requests(
     circuit: &mut CircuitBreaker,
     now: &mut Instant,
     steps: usize,
@@ -25,19 +25,18 @@
     passed
 }
 
-/// The pattern: an owner that answers its link while its server is out of its reach; without a circuit each request of seven
-/// seconds is handed over in vain.
+/// An owner that answers while its server is unreachable must not get every request.
 #[test]
-fn a_path_that_refuses_sees_few_tries() {
+fn a_refusing_path_gets_few_requests() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     assert_eq!(circuit.on_outcome(PathOutcome::Refused, now), Some(CircuitChange::Opened));
-    let passed = drive(&mut circuit, &mut now, 1_400, |_| PathOutcome::Refused);
+    let passed = send_requests(&mut circuit, &mut now, 1_400, |_| PathOutcome::Refused);
     assert!((5..=15).contains(&passed), "{passed} of 1,400 were tried");
 }
 
-/// The pattern: one server of three hangs on half of its requests while its status check is good.
+/// A server that hangs on half of its requests, although its status check succeeds, must be avoided.
 #[test]
-fn a_server_that_hangs_on_half_of_its_requests_is_set_aside_within_some_tens() {
+fn a_server_that_hangs_on_half_of_its_requests_is_avoided() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     let mut before = 0;
     while circuit.is_closed() {
@@ -47,15 +46,15 @@
         before += 1;
         assert!(before <= 30, "it is still used after {before} requests");
     }
-    let passed = drive(&mut circuit, &mut now, 400, |step| {
+    let passed = send_requests(&mut circuit, &mut now, 400, |step| {
         [PathOutcome::Answered, PathOutcome::Failed][step % 2]
     });
     assert!(passed < 60, "{passed} of 400 passed");
 }
 
-/// The pattern: answers that are lost on their way, a few in a hundred; none of them says anything of the path.
+/// Single lost answers must not open the circuit.
 #[test]
-fn a_few_losses_set_nothing_aside() {
+fn a_few_failures_do_not_open_the_circuit() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     for step in 0..1_000 {
         now += STEP;
@@ -64,9 +63,9 @@
     }
 }
 
-/// The pattern: three daemons' requests are lost at one moment, and the next one is answered.
+/// Rare failures must not add up over time.
 #[test]
-fn losses_of_long_ago_do_not_add_up() {
+fn old_failures_do_not_add_up() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     for _ in 0..20 {
         now += Duration::from_secs(2);
@@ -74,12 +73,12 @@
     }
 }
 
-/// The pattern: a server comes back with a cold cache; all of its callers at once would throw it down again.
+/// A server that restarts with a cold cache must not get all requests at once.
 #[test]
-fn a_path_that_is_back_is_used_by_few_first_and_by_all_within_half_a_second() {
+fn a_recovered_path_is_probed_first_and_fully_used_within_half_a_second() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     circuit.on_outcome(PathOutcome::Refused, now);
-    drive(&mut circuit, &mut now, 200, |_| PathOutcome::Refused);
+    send_requests(&mut circuit, &mut now, 200, |_| PathOutcome::Refused);
     while !circuit.allows_request(now) {
         now += STEP;
     }
@@ -97,22 +96,22 @@
     assert!(now - begun < Duration::from_millis(500));
 }
 
-/// The pattern: a server goes down and up by turns, each for a few hundred milliseconds; it is tried less and less often.
+/// A server that fails and recovers repeatedly is probed less often each time.
 #[test]
-fn a_path_that_flaps_is_set_aside_for_longer_each_time() {
+fn a_flapping_path_is_probed_less_often_each_time() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     let mut lost = Vec::new();
     for _ in 0..6 {
-        let down = drive(&mut circuit, &mut now, 100, |_| PathOutcome::Refused);
-        drive(&mut circuit, &mut now, 100, |_| PathOutcome::Answered);
+        let down = send_requests(&mut circuit, &mut now, 100, |_| PathOutcome::Refused);
+        send_requests(&mut circuit, &mut now, 100, |_| PathOutcome::Answered);
         lost.push(down);
     }
     assert!(lost.iter().sum::<usize>() <= 15, "lost {lost:?}");
 }
 
-/// The pattern: a try whose asker has gone away, and of which nothing is ever heard again.
+/// A probe without an outcome must not block the path.
 #[test]
-fn a_try_without_an_outcome_holds_up_nobody() {
+fn a_probe_without_an_outcome_does_not_block_the_path() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     circuit.on_outcome(PathOutcome::Refused, now);
     now += Duration::from_millis(100);
@@ -122,7 +121,7 @@
 }
 
 #[test]
-fn what_was_sent_before_it_opened_changes_nothing() {
+fn outcomes_of_requests_sent_before_it_opened_are_ignored() {
     let (mut circuit, now) = (CircuitBreaker::default(), Instant::now());
     circuit.on_outcome(PathOutcome::Refused, now);
     assert_eq!(circuit.on_outcome(PathOutcome::Answered, now), None);
