--- a/crates/overload/tests/connection_grant.rs
+++ b/crates/overload/tests/connection_grant.rs
@@ -1,13 +1,12 @@
-//! How many connections a server grants, while it counts those that dead daemons left behind.
+//! Tests of the estimate of granted connections.
 
 use std::time::{Duration, Instant};
 
 use overload::{AfterRefusal, ConnectionGrant};
 
-/// A server that still counts 30 of 50 connections for a daemon's former life: the new one opens none in vain, and tries
-/// for more once those may have ended.
+/// A server that still counts the connections of a daemon's former incarnation must not be asked again in vain.
 #[test]
-fn an_owner_opens_none_beyond_what_was_refused_for_a_second() {
+fn no_connection_beyond_the_refused_number_is_opened_for_a_second() {
     let now = Instant::now();
     let mut granted = ConnectionGrant::default();
     assert_eq!(granted.max_connections(50, now), 50);
@@ -16,14 +15,14 @@
         granted.max_connections(50, now + Duration::from_millis(ms))
     };
     assert_eq!([0, 999, 1_000].map(|ms| at(&granted, ms)), [20, 20, 50]);
-    // Several were being opened at a time: the last refusal tells what is left.
+    // With several concurrent attempts, the last refusal counts.
     assert_eq!(granted.on_refused(18, now), AfterRefusal::Replace);
     assert_eq!(at(&granted, 1), 18);
-    assert_eq!(granted.max_connections(10, now), 10, "never beyond the daemon's own part");
+    assert_eq!(granted.max_connections(10, now), 10, "never more than the daemon's own limit");
 }
 
 #[test]
-fn an_owner_that_holds_none_tries_again_after_a_pause() {
+fn without_connections_the_next_attempt_follows_a_pause() {
     let now = Instant::now();
     let mut granted = ConnectionGrant::default();
     assert_eq!(granted.on_refused(0, now), AfterRefusal::Pause);
