--- a/crates/overload/tests/hold.rs
+++ b/crates/overload/tests/hold.rs
@@ -1,4 +1,4 @@
-//! Waiting for what is known to come: a change of primary, a right that lapsed, a server that does not answer.
+//! Tests of holding statements during an outage of the primary.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
     Duration::from_millis(ms)
 }
 
-/// A server's slots and how long it takes for a statement, as one entry that has it for itself sees it.
-const PACE: Duration = Duration::from_micros(20_000 / 6);
+/// Interval between two answers of a server with six slots that takes 20 ms for a statement.
+const SERVICE_INTERVAL: Duration = Duration::from_micros(20_000 / 6);
 
-/// A kind of statement: its rank, its latency target and its route's time.
+/// Kinds of statements: rank, latency target and timeout.
 const KINDS: [(usize, Duration, Duration); 3] =
     [(0, ms(200), ms(1_000)), (1, ms(400), ms(1_000)), (2, ms(1_500), ms(3_000))];
 
@@ -32,8 +32,8 @@
     rank: Rank,
     limits: HoldLimits,
     ticket: Option<Ticket>,
-    /// From which time on it comes back, if it was refused.
-    returns_at: Option<Instant>,
+    /// When the caller retries, if the statement was refused.
+    retries_at: Option<Instant>,
 }
 
 /// 600 statements of three kinds that arrive evenly while a change takes 0.6 s.
@@ -50,24 +50,24 @@
         let limits = HoldLimits { arrived: now, target, timeout };
         let ongoing = OngoingOutage::new(Outage::PlannedChange, t0, now);
         let ticket = queue.enqueue(rank);
-        let backlog = PACE * queue.ahead_of(ticket) as u32;
+        let backlog = SERVICE_INTERVAL * queue.ahead_of(ticket) as u32;
         match decide(history, &ongoing, &limits, backlog, now) {
             HoldDecision::Wait { .. } => {
-                Arrival { rank, limits, ticket: Some(ticket), returns_at: None }
+                Arrival { rank, limits, ticket: Some(ticket), retries_at: None }
             }
             HoldDecision::Refuse { remaining } => {
                 queue.remove(ticket);
-                let told = RetryDelay { target, timeout }.for_wait(remaining, rng.random());
-                Arrival { rank, limits, ticket: None, returns_at: Some(now + told) }
+                let delay = RetryDelay { target, timeout }.for_wait(remaining, rng.random());
+                Arrival { rank, limits, ticket: None, retries_at: Some(now + delay) }
             }
         }
     };
     (0..600).map(arrive).collect()
 }
 
-/// Load pattern: 1,000 statements a second meet a change of primary that takes 0.6 s.
+/// 1,000 statements per second during a change of primary that takes 0.6 s.
 #[test]
-fn those_whose_time_bears_it_wait_and_go_by_rank() {
+fn statements_with_enough_time_are_held_and_released_by_rank() {
     let t0 = Instant::now();
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
     let mut queue = HoldQueue::default();
@@ -76,47 +76,47 @@
 
     let held: Vec<&Arrival> = arrivals.iter().filter(|it| it.ticket.is_some()).collect();
     assert!(held.len() >= 100, "only {} waited", held.len());
-    let mut turns: Vec<(Instant, Rank)> = Vec::new();
+    let mut releases: Vec<(Instant, Rank)> = Vec::new();
     for arrival in &held {
         let ticket = arrival.ticket.expect("it waits");
         let latest = arrival.limits.release_deadline(Outage::PlannedChange, over_at);
-        let turn = queue.release_time(ticket, PACE, latest, over_at);
-        assert!(turn <= arrival.limits.arrived + arrival.limits.timeout / 2);
-        assert!(turn >= over_at);
-        turns.push((turn, arrival.rank));
+        let release_at = queue.release_time(ticket, SERVICE_INTERVAL, latest, over_at);
+        assert!(release_at <= arrival.limits.arrived + arrival.limits.timeout / 2);
+        assert!(release_at >= over_at);
+        releases.push((release_at, arrival.rank));
     }
-    let last_urgent = turns.iter().filter(|it| it.1 == Rank::ALL[0]).map(|it| it.0).max();
-    let first_least = turns.iter().filter(|it| it.1 == Rank::ALL[2]).map(|it| it.0).min();
-    assert!(last_urgent <= first_least, "a less urgent statement goes before an urgent one");
-    let at_once = turns.iter().filter(|it| it.0 == over_at).count();
-    assert!(at_once <= 1, "{at_once} go at once");
+    let last_urgent = releases.iter().filter(|it| it.1 == Rank::ALL[0]).map(|it| it.0).max();
+    let first_least = releases.iter().filter(|it| it.1 == Rank::ALL[2]).map(|it| it.0).min();
+    assert!(last_urgent <= first_least, "a less urgent statement is released before an urgent one");
+    let at_once = releases.iter().filter(|it| it.0 == over_at).count();
+    assert!(at_once <= 1, "{at_once} are released at once");
 }
 
-/// Load pattern: the same; here those that can't wait so long.
+/// The statements of the same load whose limits don't allow waiting.
 #[test]
-fn those_that_cannot_wait_are_told_the_end_and_do_not_return_together() {
+fn refused_statements_are_retried_after_the_end_and_not_all_at_once() {
     let t0 = Instant::now();
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
     let arrivals = arrive_during_change(&history, &mut HoldQueue::default(), t0);
     let over_at = t0 + ms(600);
-    let mut returns: Vec<Duration> = Vec::new();
+    let mut retries: Vec<Duration> = Vec::new();
     for arrival in &arrivals {
-        let Some(at) = arrival.returns_at else { continue };
-        assert!(at >= over_at, "told to come back before the end");
-        returns.push(at - over_at);
+        let Some(at) = arrival.retries_at else { continue };
+        assert!(at >= over_at, "told to retry before the end");
+        retries.push(at - over_at);
     }
-    assert!(returns.len() >= 100, "only {} were refused", returns.len());
+    assert!(retries.len() >= 100, "only {} were refused", retries.len());
     let most = (0..40).map(|tenth| {
         let (from, to) = (ms(10 * tenth), ms(10 * (tenth + 1)));
-        returns.iter().filter(|at| **at >= from && **at < to).count()
+        retries.iter().filter(|at| **at >= from && **at < to).count()
     });
     let most = most.max().expect("there are spans");
-    assert!(most * 4 <= returns.len(), "{most} of {} return within 10 ms", returns.len());
+    assert!(most * 4 <= retries.len(), "{most} of {} retry within 10 ms", retries.len());
 }
 
-/// Load pattern: a change that takes ten times as long as those before it.
+/// An outage that lasts ten times as long as the earlier ones must not exceed the limits of held statements.
 #[test]
-fn nobody_is_held_for_longer_than_it_bears() {
+fn no_statement_is_held_beyond_its_limits() {
     let t0 = Instant::now();
     let history = history_of(Outage::Failover, &[ms(400); 8]);
     for (_, target, timeout) in KINDS {
@@ -131,7 +131,7 @@
                 Duration::ZERO,
                 now,
             ) {
-                assert!(until > now, "a wait that ends at once");
+                assert!(until > now, "the wait ends at once");
                 now = until;
                 if now >= limits.hold_deadline(Outage::Failover) {
                     break;
@@ -139,7 +139,7 @@
             }
             assert!(now <= arrived + timeout / 2, "held for {:?}", now - arrived);
         }
-        // Once it has lasted far longer than any before, nobody begins to wait.
+        // After more than the length of all earlier outages, no statement starts to wait.
         let late = t0 + ms(2_500);
         let limits = HoldLimits { arrived: late, target, timeout };
         let ongoing = OngoingOutage::new(Outage::Failover, t0, late);
@@ -148,10 +148,9 @@
     }
 }
 
-/// Load pattern: a split of the fleet for seven seconds. The daemons on the side that can't prove who leads refuse at once after
-/// the first moments, so that callers have time to be served on the other side.
+/// During a partition, daemons that can't renew their lease must refuse early, so that callers can retry elsewhere.
 #[test]
-fn a_right_that_stays_away_is_not_waited_for() {
+fn no_statement_is_held_during_a_long_lapse_of_the_lease() {
     let t0 = Instant::now();
     let history = history_of(Outage::LapsedLease, &[ms(40), ms(60), ms(80), ms(80), ms(90)]);
     let held_ms = |arrives_ms: u64| {
@@ -168,14 +167,14 @@
             }
         }
     };
-    assert!(held_ms(0) > 0, "a right that is mostly back within 0.1 s is waited for");
+    assert!(held_ms(0) > 0, "a lease that is usually renewed within 0.1 s is waited for");
     for arrives_ms in (1_000..7_000).step_by(100) {
         assert_eq!(held_ms(arrives_ms), 0);
     }
 }
 
 #[test]
-fn the_longer_it_lasts_the_longer_it_is_expected_to_last() {
+fn the_expected_remaining_time_grows_with_the_elapsed_time() {
     let history = history_of(Outage::Failover, &[ms(500), ms(500), ms(600), ms(4_000)]);
     assert_eq!(history.remaining(Outage::Failover, Duration::ZERO), ms(600));
     assert_eq!(history.remaining(Outage::Failover, ms(550)), ms(1_450));
@@ -184,7 +183,7 @@
 }
 
 #[test]
-fn an_end_that_nobody_saw_tells_no_length() {
+fn an_unobserved_end_gives_no_length() {
     let t0 = Instant::now();
     let mut ongoing = OngoingOutage::new(Outage::LapsedLease, t0, t0 + ms(10));
     ongoing.observe(t0 + ms(400));
@@ -192,9 +191,9 @@
     assert_eq!(ongoing.length(t0 + ms(900)), None);
 }
 
-/// A group that is rarely asked for: what failed there long ago and was never seen to end is not what fails now.
+/// In a rarely used group, an old outage whose end was not observed must not count as the current one.
 #[test]
-fn an_outage_that_nobody_looked_at_for_long_is_forgotten() {
+fn an_outage_that_was_not_observed_for_long_is_forgotten() {
     let t0 = Instant::now();
     let mut ongoing = OngoingOutage::new(Outage::Unreachable, t0, t0);
     ongoing.observe(t0 + ms(1_000));
@@ -203,9 +202,9 @@
     assert!(!ongoing.is_same(Outage::Failover, t0 + ms(1_100)));
 }
 
-/// A change that is called off: what waited for its end has no turn any more, and gets a new one with the next end.
+/// After a cancelled change, waiting statements must not keep their former release times.
 #[test]
-fn turns_end_with_what_they_were_given_for() {
+fn release_times_are_cleared_when_the_change_is_cancelled() {
     let t0 = Instant::now();
     let mut queue = HoldQueue::default();
     let (first, second) = (queue.enqueue(Rank::ALL[1]), queue.enqueue(Rank::ALL[1]));
