--- a/crates/overload/tests/layout.rs
+++ b/crates/overload/tests/layout.rs
@@ -1,4 +1,4 @@
-//! How far zones are.
+//! Tests of the distance between zones.
 
 use std::collections::HashMap;
 
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn a_zone_is_near_in_its_region_or_far() {
+fn the_distance_of_a_zone_depends_on_its_region() {
     let two = layout(&[("east-1", "east"), ("east-2", "east"), ("west-1", "west")]);
     assert_eq!(two.reach("east-1"), Reach::SameZone);
     assert_eq!(two.reach("east-2"), Reach::SameRegion);
     assert_eq!(two.reach("west-1"), Reach::OtherRegion);
-    // A zone that came after the settings were written.
+    // A zone that is not listed.
     assert_eq!(two.reach("north-1"), Reach::SameRegion);
     assert_eq!(layout(&[]).reach("west-1"), Reach::SameRegion);
 }
