--- a/crates/overload/tests/load_report.rs
+++ b/crates/overload/tests/load_report.rs
@@ -1,11 +1,11 @@
-//! Load reports: what they say later.
+//! Tests of the decay of load reports.
 
 use std::time::{Duration, Instant};
 
 use overload::{AgedReport, LoadReport, RANKS, Rank};
 
 #[test]
-fn a_report_counts_for_half_after_200_ms() {
+fn reported_waits_halve_every_200_ms() {
     let received_at = Instant::now();
     let report = LoadReport {
         waits: [Duration::from_millis(80); RANKS],
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn priorities_beyond_the_last_rank_count_as_the_last() {
+fn priorities_beyond_the_last_rank_map_to_it() {
     assert_eq!(Rank::of_priority(0), Rank::ALL[0]);
     assert_eq!(Rank::of_priority(200), Rank::ALL[RANKS - 1]);
 }
