--- a/crates/overload/tests/reuse.rs
+++ b/crates/overload/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! Which connection is ended when accounts compete for a server's connections.
+//! Tests of which connection is closed when accounts compete for connections.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_small_account_keeps_its_only_connection_while_a_hot_one_has_several() {
+fn a_small_account_keeps_its_only_connection_while_a_busy_one_has_several() {
     let start = Instant::now();
     let mut reuse = ReuseHistory::default();
     for it in 0..200 {
@@ -17,33 +17,33 @@
     }
     reuse.on_used("small", start);
     let now = start + MS * 300;
-    let resting = [("small", 0), ("hot", 250), ("hot", 290), ("hot", 299)];
-    let resting =
-        resting.map(|(account, at)| IdleConnection { account, idle_since: start + MS * at });
-    assert_eq!(reuse.least_likely_reused(&resting, now), Some(1));
+    let idle_connections = [("small", 0), ("hot", 250), ("hot", 290), ("hot", 299)];
+    let idle_connections = idle_connections
+        .map(|(account, at)| IdleConnection { account, idle_since: start + MS * at });
+    assert_eq!(reuse.least_likely_reused(&idle_connections, now), Some(1));
     assert_eq!(reuse.least_likely_reused(&[], now), None);
 }
 
 #[test]
-fn of_single_connections_the_one_goes_that_is_used_least() {
+fn of_single_connections_the_least_used_is_closed() {
     let start = Instant::now();
     let mut reuse = ReuseHistory::default();
     for it in 0..10 {
         reuse.on_used("often", start + MS * (100 * it));
     }
     reuse.on_used("seldom", start + MS * 990);
-    let resting = [
+    let idle_connections = [
         IdleConnection { account: "often", idle_since: start + MS * 900 },
         IdleConnection { account: "seldom", idle_since: start + MS * 995 },
     ];
-    assert_eq!(reuse.least_likely_reused(&resting, start + MS * 1_000), Some(1));
-    // Who asked much, but long ago, counts as little as who never did.
+    assert_eq!(reuse.least_likely_reused(&idle_connections, start + MS * 1_000), Some(1));
+    // Uses of long ago don't count.
     let later = start + Duration::from_secs(120);
-    assert!(reuse.least_likely_reused(&resting, later).is_some());
+    assert!(reuse.least_likely_reused(&idle_connections, later).is_some());
 }
 
-/// What a server's connections do for accounts, a few of them large: how many statements need a new one.
-fn opened(
+/// Returns how many connections are opened for a skewed load with more accounts than connections.
+fn count_opened(
     choose: impl Fn(&ReuseHistory, &[IdleConnection<'_>], Instant) -> usize,
     seed: u64,
 ) -> u32 {
@@ -72,11 +72,11 @@
             None => {
                 count += 1;
                 if idle.len() == CONNECTIONS {
-                    let resting: Vec<IdleConnection<'_>> = idle
+                    let idle_connections: Vec<IdleConnection<'_>> = idle
                         .iter()
                         .map(|(name, since)| IdleConnection { account: name, idle_since: *since })
                         .collect();
-                    let index = choose(&reuse, &resting, now);
+                    let index = choose(&reuse, &idle_connections, now);
                     idle.remove(index);
                 }
             }
@@ -86,20 +86,24 @@
     count
 }
 
-/// 84 accounts, a few of them large, and room for 50 connections: fewer are opened than where the one that rested longest
-/// goes, and little more than by who knows what each account will ask.
+/// Opens fewer connections than closing the longest idle one, and little more than closing the one of the smallest
+/// account.
 #[test]
-fn accounts_that_compete_open_few_more_connections_than_by_foresight() {
-    let by_reuse =
-        opened(|reuse, resting, now| reuse.least_likely_reused(resting, now).unwrap_or(0), 21);
-    let by_rest = opened(|_, _, _| 0, 21);
+fn competing_accounts_open_few_more_connections_than_with_known_demand() {
+    let by_reuse = count_opened(
+        |reuse, idle_connections, now| {
+            reuse.least_likely_reused(idle_connections, now).unwrap_or(0)
+        },
+        21,
+    );
+    let by_idle_time = count_opened(|_, _, _| 0, 21);
     // Accounts are numbered from the largest to the smallest.
     let number = |it: &IdleConnection<'_>| it.account[1..].parse::<usize>().expect("a number");
-    let foresight = |_: &ReuseHistory, resting: &[IdleConnection<'_>], _| {
-        let numbered = resting.iter().enumerate();
+    let known_demand = |_: &ReuseHistory, idle_connections: &[IdleConnection<'_>], _| {
+        let numbered = idle_connections.iter().enumerate();
         numbered.max_by_key(|(_, it)| number(it)).map_or(0, |(index, _)| index)
     };
-    let by_foresight = opened(foresight, 21);
-    assert!(by_reuse < by_rest, "{by_reuse} of {by_rest}");
-    assert!(by_reuse * 5 <= by_foresight * 6, "{by_reuse} of {by_foresight}");
+    let by_known_demand = count_opened(known_demand, 21);
+    assert!(by_reuse < by_idle_time, "{by_reuse} of {by_idle_time}");
+    assert!(by_reuse * 5 <= by_known_demand * 6, "{by_reuse} of {by_known_demand}");
 }
