--- a/crates/overload/tests/work_queue.rs
+++ b/crates/overload/tests/work_queue.rs
@@ -1,7 +1,7 @@
-//! The queue in front of a server: who begins, who is refused, and what each rank and account has of the server under load.
+//! Tests of the queue in front of a server: which statements start, and what each rank and account gets under load.
 //!
-//! Loads run against a simulated server of six slots, with random arrivals from fixed seeds. Thresholds are what callers need:
-//! nine tenths of what a server can do is still done at any load, and who isn't the cause of a load doesn't feel it.
+//! Loads run against a simulated server with random arrivals from fixed seeds. Required are nine tenths of the
+//! possible throughput under any load, and no effect on accounts that did not cause the load.
 
 use std::{
     collections::{BTreeMap, BinaryHeap, HashMap},
@@ -15,8 +15,8 @@
 
 const SLOTS: u32 = 6;
 const CAPACITY: Capacity = Capacity { slots: SLOTS, connections: 50, owners: 1 };
-/// How much of what was asked for in time must be answered for callers not to notice.
-const UNNOTICED: f64 = 0.97;
+/// Minimum share of served statements for a load to be unaffected.
+const MIN_UNAFFECTED_SHARE: f64 = 0.97;
 
 fn request(rank: usize, account: &str, stage: Stage, until: Instant) -> Request {
     Request { rank: Rank::ALL[rank], account: Name::from(account), stage, until }
@@ -26,7 +26,7 @@
     request(rank, account, Stage::Alone, until)
 }
 
-/// A queue whose every slot is taken, by statements that take 20 ms.
+/// A queue with all slots taken by statements of 20 ms.
 fn busy_queue(now: Instant) -> WorkQueue {
     let mut queue = WorkQueue::new(CAPACITY);
     let first = alone(1, "first", now + Duration::from_secs(9));
@@ -44,21 +44,21 @@
 fn wait(queue: &mut WorkQueue, request: Request, now: Instant) -> Ticket {
     match queue.offer(request, now) {
         OfferResult::Queued { ticket, .. } => ticket,
-        other => panic!("it waits: {other:?}"),
+        other => panic!("expected it to wait: {other:?}"),
     }
 }
 
-/// Ends a statement that runs, and says who begins instead.
+/// Finishes a running statement and returns the one that starts next.
 fn next_of(queue: &mut WorkQueue, now: Instant) -> Ticket {
     queue.on_finished(&alone(1, "first", now), None, now);
     match queue.next(now) {
         Next::Begin(ticket, _) => ticket,
-        other => panic!("one begins: {other:?}"),
+        other => panic!("expected one to start: {other:?}"),
     }
 }
 
 #[test]
-fn the_more_urgent_begin_first_and_open_transactions_before_new_ones() {
+fn urgent_statements_start_first_and_open_transactions_before_new_ones() {
     let now = Instant::now();
     let until = now + Duration::from_secs(5);
     let mut queue = busy_queue(now);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn of_an_account_s_statements_the_one_whose_time_ends_first_has_its_turn() {
+fn of_one_account_the_earliest_deadline_goes_first() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
     let relaxed = wait(&mut queue, alone(1, "a", now + Duration::from_secs(5)), now);
@@ -81,23 +81,23 @@
 }
 
 #[test]
-fn what_can_t_begin_in_time_is_refused_on_arrival_with_the_time_in_which_the_queue_drains() {
+fn a_statement_that_cannot_start_in_time_is_refused_with_the_drain_time() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
     for account in 0..60 {
         wait(&mut queue, alone(1, &account.to_string(), now + Duration::from_secs(5)), now);
     }
-    // Sixty statements of 20 ms in six slots go before the second one of any of their accounts.
+    // 60 statements of 20 ms in six slots start before the second one of any account.
     let soon = now + Duration::from_millis(100);
     let OfferResult::Refused { retry_after } = queue.offer(alone(1, "0", soon), now) else {
-        panic!("it can't begin in time");
+        panic!("it can't start in time");
     };
     assert!((180..=230).contains(&retry_after.as_millis()), "{retry_after:?}");
     wait(&mut queue, alone(0, "urgent", soon), now);
 }
 
 #[test]
-fn a_full_queue_lets_a_more_urgent_statement_displace_the_last_one() {
+fn a_more_urgent_statement_displaces_the_last_one_of_a_full_queue() {
     let now = Instant::now();
     let until = now + Duration::from_secs(60);
     let mut queue = busy_queue(now);
@@ -112,14 +112,14 @@
     }
     assert!(refused > 0, "the queue has a bound");
     let OfferResult::Queued { displaced, .. } = queue.offer(alone(0, "urgent", until), now) else {
-        panic!("the more urgent one has capacity");
+        panic!("the more urgent one must be queued");
     };
     assert_eq!(displaced, last);
-    assert!(!queue.withdraw(last.expect("some wait")), "it does not wait any more");
+    assert!(!queue.withdraw(last.expect("some wait")), "it must not wait any more");
 }
 
 #[test]
-fn who_has_left_or_waited_too_long_never_begins() {
+fn withdrawn_and_expired_statements_never_start() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
     let gone = wait(&mut queue, alone(1, "a", now + Duration::from_secs(1)), now);
@@ -132,9 +132,9 @@
     assert_eq!(queue.next(then), Next::Nothing);
 }
 
-/// 120 transactions that rest while their callers think: others still find a connection, and no account has more than its part.
+/// Transactions of idle callers must not occupy all connections, nor one account most of them.
 #[test]
-fn resting_transactions_leave_connections_to_others() {
+fn idle_transactions_leave_connections_to_others() {
     let now = Instant::now();
     let until = now + Duration::from_secs(5);
     let mut queue = WorkQueue::new(CAPACITY);
@@ -155,9 +155,9 @@
     }
 }
 
-/// A server in which nothing moves any more: soon whoever comes is refused at once, and nobody else waits in vain.
+/// While a server hangs, new statements must be refused on arrival.
 #[test]
-fn a_server_that_hangs_refuses_on_arrival_once_nothing_has_moved() {
+fn a_hanging_server_refuses_on_arrival() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
     wait(&mut queue, alone(1, "a", now + Duration::from_millis(140)), now);
@@ -166,22 +166,22 @@
     assert!(matches!(offered, OfferResult::Refused { .. }), "{offered:?}");
 }
 
-/// A kind of statement, as one server of a group meets it.
+/// A kind of statement and its load on one server.
 #[derive(Clone, Debug)]
 struct Load {
     rank: usize,
     accounts: Vec<Name>,
-    /// Statements a second.
+    /// Statements per second.
     rate: f64,
     work: Duration,
     may_wait: Duration,
 }
 
-/// What became of one kind's or account's statements.
+/// What happened to the statements of one rank or account.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
-    asked: u32,
-    begun: u32,
+    offered: u32,
+    started: u32,
     expired: u32,
     work: Duration,
     longest_wait: Duration,
@@ -189,7 +189,7 @@
 
 impl Served {
     fn share(&self) -> f64 {
-        f64::from(self.begun) / f64::from(self.asked.max(1))
+        f64::from(self.started) / f64::from(self.offered.max(1))
     }
 }
 
@@ -210,21 +210,22 @@
     }
 }
 
-/// The usual callers: few and urgent, many, and slow ones that can wait; `times` is their work as a part of the slots.
-fn usual(times: f64) -> Vec<Load> {
+/// A typical mix: few urgent statements, many normal ones, and slow ones with long deadlines. `load_factor` is the
+/// total work relative to the slots.
+fn typical_load(load_factor: f64) -> Vec<Load> {
     let accounts: Vec<Name> = (0..20).map(|it| Name::from(format!("a{it}").as_str())).collect();
     let load = |rank, part: f64, work_ms: u64, may_wait_ms| Load {
         rank,
         accounts: accounts.clone(),
-        rate: part * times * f64::from(SLOTS) * 1_000.0 / work_ms as f64,
+        rate: part * load_factor * f64::from(SLOTS) * 1_000.0 / work_ms as f64,
         work: Duration::from_millis(work_ms),
         may_wait: Duration::from_millis(may_wait_ms),
     };
     vec![load(0, 0.1, 10, 70), load(1, 0.55, 30, 140), load(2, 0.35, 50, 500)]
 }
 
-/// Plays loads against a server whose every statement takes `slower` times its work.
-fn play(loads: &[Load], lasts: Duration, slower: f64, seed: u64) -> Outcome {
+/// Runs loads against a server that takes `slowdown` times the work of each statement.
+fn simulate(loads: &[Load], duration: Duration, slowdown: f64, seed: u64) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut arrivals: Vec<(Duration, Request, Duration)> = Vec::new();
@@ -232,11 +233,11 @@
         let mut at = Duration::ZERO;
         loop {
             at += Duration::from_secs_f64(-rng.random_range(1e-9_f64..1.0).ln() / load.rate);
-            if at >= lasts {
+            if at >= duration {
                 break;
             }
             let account = &load.accounts[rng.random_range(0..load.accounts.len())];
-            let work = load.work.mul_f64(rng.random_range(0.5..1.5) * slower);
+            let work = load.work.mul_f64(rng.random_range(0.5..1.5) * slowdown);
             arrivals.push((at, alone(load.rank, account, start + at + load.may_wait), work));
         }
     }
@@ -246,15 +247,15 @@
         server.run_until(start + at);
         server.arrive(request, work, start + at);
     }
-    server.run_until(start + lasts + Duration::from_secs(10));
+    server.run_until(start + duration + Duration::from_secs(10));
     server.outcome
 }
 
-/// A server of [`SLOTS`] slots behind a queue; what is inside beyond the slots waits there for the first free one.
+/// A server with [`SLOTS`] slots behind a queue. Statements beyond the slots wait inside it for the first free one.
 struct Server {
     queue: WorkQueue,
     waiting: HashMap<Ticket, (Request, Duration, Instant)>,
-    /// When each slot is free.
+    /// When each slot becomes free.
     slots: Vec<Instant>,
     ends: BinaryHeap<std::cmp::Reverse<(Instant, usize)>>,
     inside: Vec<(Request, Instant)>,
@@ -274,7 +275,7 @@
     }
 
     fn arrive(&mut self, request: Request, work: Duration, now: Instant) {
-        self.outcome.note(&request, |served| served.asked += 1);
+        self.outcome.note(&request, |served| served.offered += 1);
         match self.queue.offer(request.clone(), now) {
             OfferResult::Begin => self.begin(request, work, now, now),
             OfferResult::Queued { ticket, displaced } => {
@@ -291,7 +292,7 @@
         *slot = begins + work;
         self.ends.push(std::cmp::Reverse((*slot, self.inside.len())));
         self.outcome.note(&request, |served| {
-            served.begun += 1;
+            served.started += 1;
             served.work += work;
             served.longest_wait = served.longest_wait.max(begins - since);
         });
@@ -327,73 +328,73 @@
     }
 }
 
-const LASTS: Duration = Duration::from_secs(20);
+const DURATION: Duration = Duration::from_secs(20);
 
-/// 1, 1.5, 2 and 4 times what the slots bear: as much is done at each, and the most urgent don't notice.
+/// From 1 to 4 times the load that fits the slots, throughput stays the same and the most urgent rank is unaffected.
 #[test]
-fn goodput_stays_at_its_best_when_more_is_asked_than_the_slots_bear() {
-    let at = |times| play(&usual(times), LASTS, 1.0, 11);
+fn throughput_stays_at_its_maximum_under_overload() {
+    let at = |load_factor| simulate(&typical_load(load_factor), DURATION, 1.0, 11);
     let outcomes = [1.0, 1.5, 2.0, 4.0].map(at);
     let done = outcomes.iter().map(Outcome::work);
     let best = done.clone().max().expect("there are four");
     for (outcome, done) in outcomes.iter().zip(done) {
         assert!(done >= best.mul_f64(0.9), "{done:?} of {best:?}");
-        assert!(outcome.by_rank[&0].share() >= UNNOTICED, "{outcome:?}");
+        assert!(outcome.by_rank[&0].share() >= MIN_UNAFFECTED_SHARE, "{outcome:?}");
     }
-    // At twice the load the two more urgent ranks ask for 1.3 times the slots.
+    // With 1.5 times the load, the two more urgent ranks just fit the slots.
     assert!(outcomes[1].by_rank[&1].share() >= 0.9, "{:?}", outcomes[1].by_rank);
 }
 
-/// A burst of the least urgent kind at 2.3 times its usual: it pays for itself.
+/// A burst of the least urgent rank must not affect the other ranks.
 #[test]
-fn a_burst_of_the_least_urgent_leaves_the_others_as_they_were() {
-    let mut loads = usual(0.8);
-    let before = play(&loads, LASTS, 1.0, 12);
+fn a_burst_of_the_least_urgent_rank_does_not_affect_the_others() {
+    let mut loads = typical_load(0.8);
+    let before = simulate(&loads, DURATION, 1.0, 12);
     loads[2].rate *= 2.3;
-    let after = play(&loads, LASTS, 1.0, 12);
+    let after = simulate(&loads, DURATION, 1.0, 12);
     for rank in [0, 1] {
         let (before, after) = (before.by_rank[&rank].share(), after.by_rank[&rank].share());
-        assert!(after >= before * UNNOTICED, "{rank}: {after} after {before}");
+        assert!(after >= before * MIN_UNAFFECTED_SHARE, "{rank}: {after} after {before}");
     }
 }
 
-/// One account at 7.5 times its usual, which is more than the slots bear: the others don't notice.
+/// An account that requests more than the slots must not affect the other accounts.
 #[test]
-fn a_hot_account_leaves_the_others_as_they_were() {
-    let mut loads = usual(0.8);
-    for load in usual(0.8) {
+fn a_busy_account_does_not_affect_the_others() {
+    let mut loads = typical_load(0.8);
+    for load in typical_load(0.8) {
         let hot = vec![Name::from("hot")];
         loads.push(Load { accounts: hot, rate: load.rate * 7.5 / 20.0, ..load });
     }
-    let outcome = play(&loads, LASTS, 1.0, 13);
+    let outcome = simulate(&loads, DURATION, 1.0, 13);
     for (account, served) in &outcome.by_account {
         let is_hot = &**account == "hot";
-        assert!(is_hot || served.share() >= UNNOTICED, "{account}: {served:?}");
+        assert!(is_hot || served.share() >= MIN_UNAFFECTED_SHARE, "{account}: {served:?}");
     }
-    assert!(outcome.work() >= (LASTS * SLOTS).mul_f64(0.9), "{:?}", outcome.work());
+    assert!(outcome.work() >= (DURATION * SLOTS).mul_f64(0.9), "{:?}", outcome.work());
 }
 
-/// A server that is six times slower than the others: what it can't do is refused on arrival, so that its callers have time
-/// to go elsewhere, instead of waiting for as long as they may.
+/// A slow server must refuse statements on arrival, rather than let them wait until their deadline, so that callers
+/// have time to retry elsewhere.
 #[test]
-fn a_slow_server_refuses_on_arrival_instead_of_letting_wait() {
-    let outcome = play(&usual(0.5), LASTS, 6.0, 14);
+fn a_slow_server_refuses_on_arrival() {
+    let outcome = simulate(&typical_load(0.5), DURATION, 6.0, 14);
     let shares = [0, 1, 2].map(|rank| outcome.by_rank[&rank].share());
     assert!(shares.is_sorted_by(|urgent, other| urgent > other), "{:?}", outcome.by_rank);
-    let not_begun = outcome.by_rank.values().map(|it| it.asked - it.begun).sum::<u32>();
-    let waited_in_vain = outcome.by_rank.values().map(|it| it.expired).sum::<u32>();
-    assert!(waited_in_vain <= not_begun / 5, "{:?}", outcome.by_rank);
+    let not_started = outcome.by_rank.values().map(|it| it.offered - it.started).sum::<u32>();
+    let expired = outcome.by_rank.values().map(|it| it.expired).sum::<u32>();
+    assert!(expired <= not_started / 5, "{:?}", outcome.by_rank);
 }
 
-/// More urgent work than the slots bear, for long: the least urgent still get on.
+/// Sustained overload by urgent work must not starve the least urgent rank.
 #[test]
-fn nobody_who_waits_long_enough_is_starved() {
-    let mut loads = usual(1.0);
+fn the_least_urgent_rank_is_not_starved() {
+    let mut loads = typical_load(1.0);
     loads[1].rate *= 3.0;
     loads[2].may_wait = Duration::from_secs(5);
-    let outcome = play(&loads, LASTS, 1.0, 15);
+    let outcome = simulate(&loads, DURATION, 1.0, 15);
     assert!(outcome.by_rank[&2].share() > 0.1, "{:?}", outcome.by_rank);
-    assert!(outcome.by_rank[&0].share() >= UNNOTICED, "{:?}", outcome.by_rank);
+    assert!(outcome.by_rank[&0].share() >= MIN_UNAFFECTED_SHARE, "{:?}", outcome.by_rank);
 }
 
 #[derive(Clone, Debug)]
@@ -420,10 +421,10 @@
 }
 
 proptest! {
-    /// Nothing is refused or kept waiting while a slot and a connection are free, and never more is inside than fits.
+    /// No statement waits or is refused while a slot and a connection are free, and limits are never exceeded.
     #[test]
     fn the_queue_keeps_the_server_busy(steps in steps()) {
-        // As many connections as statements inside, so that either may be what is short.
+        // As many connections as statements inside, so that either may be exhausted first.
         let capacity = Capacity { slots: 4, connections: 4, owners: 1 };
         let mut queue = WorkQueue::new(capacity);
         let mut now = Instant::now();
