--- a/crates/proxy/src/relay/limit_messages.rs
+++ b/crates/proxy/src/relay/limit_messages.rs
@@ -20,7 +20,7 @@
     pub is_coordinator: bool,
     /// Whether the candidate has stopped granting quota and releases its voters.
     #[prost(bool, tag = "4")]
-    pub ends: bool,
+    pub resigns: bool,
 }
 
 /// The answer to a vote request, see [`limits::Vote`].
@@ -72,7 +72,7 @@
             host: host.to_string(),
             incarnation: *incarnation,
             is_coordinator: *is_coordinator,
-            ends: *resigns,
+            resigns: *resigns,
         }
     }
 }
@@ -85,7 +85,7 @@
             host,
             incarnation: self.incarnation,
             is_coordinator: self.is_coordinator,
-            resigns: self.ends,
+            resigns: self.resigns,
         }
     }
 }
@@ -107,13 +107,13 @@
 
 impl QuotaRequestMessage {
     /// Creates the message for a quota request.
-    pub fn of(wanted: &QuotaRequest) -> QuotaRequestMessage {
-        let QuotaRequest { host, unused, wanted } = wanted;
+    pub fn of(request: &QuotaRequest) -> QuotaRequestMessage {
+        let QuotaRequest { host, unused, wanted } = request;
         QuotaRequestMessage { host: host.to_string(), unused: *unused, wanted: *wanted }
     }
 
     /// Converts the message to a quota request.
-    pub fn wanted(&self) -> QuotaRequest {
+    pub fn request(&self) -> QuotaRequest {
         let host = Name::from(self.host.as_str());
         QuotaRequest { host, unused: self.unused, wanted: self.wanted }
     }
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -146,7 +146,7 @@
         Some(RelayTask::RequestQuota(message)) => {
             let account = Name::from(request.account.as_str());
             Some(RelayOutcome::QuotaGranted(
-                engine.answer_quota_request(&account, &message.wanted()),
+                engine.answer_quota_request(&account, &message.request()),
             ))
         }
         Some(RelayTask::Release(_)) => {
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -201,10 +201,10 @@
     async fn request_grant(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
-        let wanted = QuotaRequest { host: self.settings.host.clone(), unused, wanted };
+        let quota_request = QuotaRequest { host: self.settings.host.clone(), unused, wanted };
         let coordinator = self.limits.coordinator(now);
         if coordinator.as_ref() == Some(&self.settings.host) {
-            return self.grant_quota(account, &wanted);
+            return self.grant_quota(account, &quota_request);
         }
         let Some(target) = coordinator.or_else(|| self.limits.random_voter(&self.settings.host))
         else {
@@ -215,7 +215,7 @@
         let link = self.relays.member_link(address, now);
         let request = RelayRequest {
             account: account.to_string(),
-            task: Some(RelayTask::RequestQuota(QuotaRequestMessage::of(&wanted))),
+            task: Some(RelayTask::RequestQuota(QuotaRequestMessage::of(&quota_request))),
             ..RelayRequest::default()
         };
         let Ok(RelayOutcome::QuotaGranted(granted)) = link.call(request, now + GRANT_TIMEOUT).await
@@ -236,9 +236,9 @@
     pub(crate) fn answer_quota_request(
         &self,
         account: &Name,
-        wanted: &QuotaRequest,
+        quota_request: &QuotaRequest,
     ) -> QuotaGrantMessage {
-        let grant = self.grant_quota(account, wanted);
+        let grant = self.grant_quota(account, quota_request);
         let coordinator = match grant {
             Grant::NotCoordinator => self.limits.coordinator(Instant::now()),
             Grant::Granted(_) | Grant::Exhausted(_) => None,
@@ -249,7 +249,7 @@
     }
 
     /// Grants quota from an account's limit, as the coordinator or a candidate.
-    pub(crate) fn grant_quota(&self, account: &Name, wanted: &QuotaRequest) -> Grant {
+    pub(crate) fn grant_quota(&self, account: &Name, quota_request: &QuotaRequest) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
         if !view.is_member(now) {
@@ -260,6 +260,6 @@
         let Some(limit) = known.and_then(|account| account.limit) else {
             return Grant::NotCoordinator;
         };
-        self.limits.grant(account, &limit, wanted, now)
+        self.limits.grant(account, &limit, quota_request, now)
     }
 }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -128,12 +128,12 @@
         &self,
         account: &Name,
         limit: &RateLimit,
-        wanted: &QuotaRequest,
+        quota_request: &QuotaRequest,
         now: Instant,
     ) -> Grant {
         let budget = self.rule.budget(limit);
         let state = self.election_state(now);
-        self.ledger.borrow_mut().grant(account, &budget, wanted, state, GRANT_LIFETIME, now)
+        self.ledger.borrow_mut().grant(account, &budget, quota_request, state, GRANT_LIFETIME, now)
     }
 
     fn election_state(&self, now: Instant) -> ElectionState {
