--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -366,11 +366,11 @@
     }
 
     /// Creates, updates or removes the server's own queue.
-    pub(crate) fn set_queue(&mut self, room: Option<Capacity>) {
-        match (&self.queue, room) {
-            (Some(queue), Some(room)) => queue.set_capacity(room),
-            (None, Some(room)) => {
-                self.queue = Some(ServerQueue::new(self.entry.server.clone(), room))
+    pub(crate) fn set_queue(&mut self, capacity: Option<Capacity>) {
+        match (&self.queue, capacity) {
+            (Some(queue), Some(capacity)) => queue.set_capacity(capacity),
+            (None, Some(capacity)) => {
+                self.queue = Some(ServerQueue::new(self.entry.server.clone(), capacity))
             }
             (_, None) => self.queue = None,
         }
