--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,4 +1,4 @@
-//! What the load balancer and operators read over HTTP: whether the daemon takes callers, and metrics.
+//! The HTTP servers of a daemon: readiness checks for the load balancer and metrics for operators.
 
 use std::{
     convert::Infallible,
@@ -16,124 +16,128 @@
     sync::watch,
 };
 
-use crate::{control::control_view::ControlView, events::ProxyMetrics};
+use crate::{control::control_view::ControlView, metrics::ProxyMetrics};
 
-/// How long a peer may take to send a request's head.
-const HEADER_WITHIN: Duration = Duration::from_secs(5);
-/// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// The pause between two attempts to listen on an address that is still taken.
-const BIND_PAUSE: Duration = Duration::from_secs(1);
+/// The time within which a client must send the headers of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The delay between attempts to listen on an address that is in use.
+const BIND_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What the HTTP thread needs.
-pub struct HttpPart {
-    /// Where the load balancer asks.
+pub struct HttpParts {
+    /// The listener for the load balancer's readiness checks.
     pub ready_listener: std::net::TcpListener,
-    /// Where operators read metrics.
+    /// The address for requests of metrics; `None` to serve no metrics.
     pub metrics_listen: Option<SocketAddr>,
-    /// What is believed now.
-    pub beliefs: watch::Receiver<Arc<ControlView>>,
-    /// When the stop began.
+    /// The current control view.
+    pub control_view: watch::Receiver<Arc<ControlView>>,
+    /// When the stop began; `None` before it.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// What is counted.
+    /// The metrics to serve.
     pub metrics: ProxyMetrics,
 }
 
 #[derive(Clone)]
 struct Shared {
-    beliefs: watch::Receiver<Arc<ControlView>>,
+    control_view: watch::Receiver<Arc<ControlView>>,
     stopping: watch::Receiver<Option<Instant>>,
     metrics: ProxyMetrics,
 }
 
-/// Serves until the daemon's process ends.
-pub async fn serve_http(part: HttpPart) {
-    let shared = Shared { beliefs: part.beliefs, stopping: part.stopping, metrics: part.metrics };
-    if let Some(address) = part.metrics_listen {
+/// Serves until the control thread has stopped.
+pub async fn serve_http(parts: HttpParts) {
+    let shared = Shared {
+        control_view: parts.control_view,
+        stopping: parts.stopping,
+        metrics: parts.metrics,
+    };
+    if let Some(address) = parts.metrics_listen {
         tokio::task::spawn_local(listen_for_metrics(address, shared.clone()));
     }
-    let mut beliefs = shared.beliefs.clone();
+    let mut control_view = shared.control_view.clone();
     let serving = async {
-        match TcpListener::from_std(part.ready_listener) {
-            Ok(listener) => accept(listener, shared, answer_ready).await,
+        match TcpListener::from_std(parts.ready_listener) {
+            Ok(listener) => serve_listener(listener, shared, respond_ready).await,
             Err(error) => log::error!(
                 event = "listen_failed", why = error.to_string().as_str();
-                "can't answer the load balancer"
+                "failed to listen for readiness checks"
             ),
         }
     };
     tokio::select! {
         () = serving => {}
-        // The control thread drops the beliefs when it has stopped, last of all.
-        () = async { while beliefs.changed().await.is_ok() {} } => {}
+        // The control thread drops its sender as its last step.
+        () = async { while control_view.changed().await.is_ok() {} } => {}
     }
 }
 
-type Answer = fn(&Shared) -> (StatusCode, String);
+type Responder = fn(&Shared) -> (StatusCode, String);
 
-fn answer_ready(shared: &Shared) -> (StatusCode, String) {
+fn respond_ready(shared: &Shared) -> (StatusCode, String) {
     if shared.stopping.borrow().is_some() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping".to_owned());
     }
-    if shared.beliefs.borrow().is_ready() {
+    if shared.control_view.borrow().is_ready() {
         (StatusCode::OK, "ready".to_owned())
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no configuration yet".to_owned())
     }
 }
 
-fn answer_metrics(shared: &Shared) -> (StatusCode, String) {
+fn respond_metrics(shared: &Shared) -> (StatusCode, String) {
     (StatusCode::OK, shared.metrics.render())
 }
 
-/// Metrics are worth waiting for an address that a former process may still hold.
+/// Serves metrics. Retries to listen, since a previous process may still hold the address.
 async fn listen_for_metrics(address: SocketAddr, shared: Shared) {
     loop {
         match TcpListener::bind(address).await {
-            Ok(listener) => return accept(listener, shared, answer_metrics).await,
+            Ok(listener) => return serve_listener(listener, shared, respond_metrics).await,
             Err(error) => log::warn!(
                 event = "listen_failed", address = address.to_string().as_str(),
                 why = error.to_string().as_str();
-                "can't listen for readers of metrics yet"
+                "failed to listen for metrics requests; retrying"
             ),
         }
-        tokio::time::sleep(BIND_PAUSE).await;
+        tokio::time::sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-async fn accept(listener: TcpListener, shared: Shared, answer: Answer) {
+async fn serve_listener(listener: TcpListener, shared: Shared, respond: Responder) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(stream, shared.clone(), answer));
+                tokio::task::spawn_local(serve_connection(stream, shared.clone(), respond));
             }
             Err(error) => {
                 log::warn!(
                     event = "accept_failed", why = error.to_string().as_str();
-                    "an HTTP connection could not be accepted"
+                    "failed to accept an HTTP connection"
                 );
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, shared: Shared, answer: Answer) {
+async fn serve_connection(stream: TcpStream, shared: Shared, respond: Responder) {
     let service = service_fn(move |_request: Request<Incoming>| {
-        let (status, text) = answer(&shared);
+        let (status, text) = respond(&shared);
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         std::future::ready(Ok::<_, Infallible>(response))
     });
-    let served = hyper::server::conn::http1::Builder::new()
+    let result = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEADER_WITHIN)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         log::debug!(
             event = "http_connection_ended", why = error.to_string().as_str();
-            "an HTTP connection ended with an error"
+            "HTTP connection failed"
         );
     }
 }
--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -129,10 +129,8 @@
     }
 }
 
-/// Error of a request on a link that has ended.
 struct LinkEnded;
 
-/// Starts the task of a request.
 async fn start<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: RelayRequest,
@@ -148,7 +146,7 @@
         Some(RelayTask::RequestQuota(message)) => {
             let account = Name::from(request.account.as_str());
             Some(RelayOutcome::QuotaGranted(
-                engine.answer_quota_request(&account, &message.wanted()),
+                engine.answer_quota_request(&account, &message.request()),
             ))
         }
         Some(RelayTask::Release(_)) => {
@@ -228,7 +226,6 @@
     RelayOutcome::NotSent(why.number())
 }
 
-/// Runs a single statement.
 async fn run_single<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: &RelayRequest,
@@ -266,7 +263,7 @@
 ) {
     let mut connection: Option<PooledConnection<E>> = None;
     loop {
-        let rest = engine.control_view().catalog.idle_transaction;
+        let rest = engine.control_view().catalog.idle_transaction_timeout;
         let request = match rest {
             Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
                 Ok(request) => request,
@@ -389,7 +386,7 @@
         cancellation: Some(cancellation.clone()),
         principal: match &request.task {
             Some(RelayTask::Command(_)) => None,
-            _ => Some(Principal::from_told(&request.account)),
+            _ => Some(Principal::from_account_name(&request.account)),
         },
     };
     let wait_until = received_at + request.wait_limit();
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -40,7 +40,6 @@
 const NO_COORDINATOR_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum delay before a caller may retry when its account is at its limit.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Minimum interval between two log records about one account at its limit.
 const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What this daemon holds of one account's limit.
@@ -133,7 +132,7 @@
         id: &[u8],
     ) -> StatementError {
         let retry_delay_ms = self.with_jitter(wait.max(MIN_RETRY_DELAY)).as_millis() as u64 + 1;
-        self.metrics.refused.with_label_values(&["limit"]).inc();
+        self.metrics.refusals.with_label_values(&["limit"]).inc();
         log::debug!(
             event = "at_limit", id = id_text(id).as_str(), account = &*account.name,
             rate_per_s = limit.rate_per_s, retry_after_ms = retry_delay_ms;
@@ -149,7 +148,7 @@
             );
         }
         let why = "the client account is at its limit";
-        StatementError::come_back(ErrorCode::Overloaded, why, retry_delay_ms)
+        StatementError::with_retry_delay(ErrorCode::Overloaded, why, retry_delay_ms)
     }
 
     /// Requests quota in the background; one request at a time for each account.
@@ -202,10 +201,10 @@
     async fn request_grant(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
-        let wanted = QuotaRequest { host: self.settings.host.clone(), unused, wanted };
+        let quota_request = QuotaRequest { host: self.settings.host.clone(), unused, wanted };
         let coordinator = self.limits.coordinator(now);
         if coordinator.as_ref() == Some(&self.settings.host) {
-            return self.grant_quota(account, &wanted);
+            return self.grant_quota(account, &quota_request);
         }
         let Some(target) = coordinator.or_else(|| self.limits.random_voter(&self.settings.host))
         else {
@@ -216,7 +215,7 @@
         let link = self.relays.member_link(address, now);
         let request = RelayRequest {
             account: account.to_string(),
-            task: Some(RelayTask::RequestQuota(QuotaRequestMessage::of(&wanted))),
+            task: Some(RelayTask::RequestQuota(QuotaRequestMessage::of(&quota_request))),
             ..RelayRequest::default()
         };
         let Ok(RelayOutcome::QuotaGranted(granted)) = link.call(request, now + GRANT_TIMEOUT).await
@@ -237,9 +236,9 @@
     pub(crate) fn answer_quota_request(
         &self,
         account: &Name,
-        wanted: &QuotaRequest,
+        quota_request: &QuotaRequest,
     ) -> QuotaGrantMessage {
-        let grant = self.grant_quota(account, wanted);
+        let grant = self.grant_quota(account, quota_request);
         let coordinator = match grant {
             Grant::NotCoordinator => self.limits.coordinator(Instant::now()),
             Grant::Granted(_) | Grant::Exhausted(_) => None,
@@ -250,7 +249,7 @@
     }
 
     /// Grants quota from an account's limit, as the coordinator or a candidate.
-    pub(crate) fn grant_quota(&self, account: &Name, wanted: &QuotaRequest) -> Grant {
+    pub(crate) fn grant_quota(&self, account: &Name, quota_request: &QuotaRequest) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
         if !view.is_member(now) {
@@ -261,6 +260,6 @@
         let Some(limit) = known.and_then(|account| account.limit) else {
             return Grant::NotCoordinator;
         };
-        self.limits.grant(account, &limit, wanted, now)
+        self.limits.grant(account, &limit, quota_request, now)
     }
 }
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -35,7 +35,6 @@
 /// servers they can't reach.
 const TUNNEL_SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The paths to one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
     owner_circuits: HashMap<SocketAddr, CircuitBreaker>,
@@ -43,7 +42,6 @@
     is_unreachable: bool,
     /// Whether a tunneled connection was opened since then.
     has_tunnel: bool,
-    /// Whether a search for a tunnel is running.
     is_searching: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
@@ -286,7 +284,7 @@
             CircuitChange::Opened => "open",
             CircuitChange::Closed => "closed",
         };
-        self.metrics.circuits.with_label_values(&["owner_to_server", state]).inc();
+        self.metrics.circuit_changes.with_label_values(&["owner_to_server", state]).inc();
         log::info!(
             event = "circuit", hop = "owner_to_server", server = &**server,
             owner = owner.to_string().as_str(), state = state;
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -87,7 +87,6 @@
     pub(crate) no_tunnel_until: Option<Instant>,
     /// Circuit breaker on the server's results, as seen on the connections of this daemon.
     pub(crate) health: CircuitBreaker,
-    /// Which paths to the server work.
     pub(crate) paths: ServerPaths,
     /// The queue of statements for this server, if this daemon has one.
     pub(crate) queue: Option<Rc<ServerQueue>>,
@@ -190,21 +189,19 @@
         let idle = self.idle.iter().take(of_first);
         let idle: Vec<IdleConnection<'_>> = idle
             .map(|(since, idle)| IdleConnection {
-                account: idle.principal.told(),
+                account: idle.principal.account_name(),
                 idle_since: *since,
             })
             .collect();
         reuse.least_likely_reused(&idle, now)
     }
 
-    /// Records that a connection is used for a principal.
     pub(crate) fn note_use(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
-            reuse.on_used(principal.told(), Instant::now());
+            reuse.on_used(principal.account_name(), Instant::now());
         }
     }
 
-    /// Sets whether accounts compete for the connections to this server.
     pub(crate) fn set_competing(&mut self, is_competing: bool) {
         match is_competing {
             true => drop(self.reuse.get_or_insert_default()),
@@ -272,7 +269,6 @@
         }
     }
 
-    /// Returns how many connections there may be now.
     fn max_connections_at(&self, now: Instant) -> u32 {
         self.granted.max_connections(self.limit + self.overflow, now)
     }
@@ -327,7 +323,6 @@
         self.paths.is_unreachable() && !has_tunnel
     }
 
-    /// Whether it lagged recently.
     pub(crate) fn has_lagged(&self, now: Instant) -> bool {
         self.lagging_until.is_some_and(|until| now < until + RECENT_LAG_WINDOW)
     }
@@ -359,7 +354,6 @@
         }
     }
 
-    /// Whether a connection may be opened now.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
         self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
@@ -372,11 +366,11 @@
     }
 
     /// Creates, updates or removes the server's own queue.
-    pub(crate) fn set_queue(&mut self, room: Option<Capacity>) {
-        match (&self.queue, room) {
-            (Some(queue), Some(room)) => queue.set_capacity(room),
-            (None, Some(room)) => {
-                self.queue = Some(ServerQueue::new(self.entry.server.clone(), room))
+    pub(crate) fn set_queue(&mut self, capacity: Option<Capacity>) {
+        match (&self.queue, capacity) {
+            (Some(queue), Some(capacity)) => queue.set_capacity(capacity),
+            (None, Some(capacity)) => {
+                self.queue = Some(ServerQueue::new(self.entry.server.clone(), capacity))
             }
             (_, None) => self.queue = None,
         }
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -196,14 +196,14 @@
         }
         let Some(queued) = queued else { return now };
         let outage = ongoing.map_or(Outage::Failover, |ongoing| ongoing.outage);
-        self.metrics.held.with_label_values(&[outage.as_str(), "released"]).inc();
+        self.metrics.statements_held.with_label_values(&[outage.as_str(), "released"]).inc();
         let interval = self.service_interval_at(group, server);
         queued.resume_at(interval, job.hold_limits().release_deadline(outage, now), now)
     }
 
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
     pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
-        let account = Name::from(job.principal.told());
+        let account = Name::from(job.principal.account_name());
         self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
             self.end_outage(group, &job.route.service, Instant::now());
@@ -293,7 +293,7 @@
         let forecast = OutageForecast { outage: ongoing.outage, elapsed, remaining };
         let retry_delay =
             forecast.retry_delay(job.retry_delay(), &history, self.settings.primary_lease);
-        self.metrics.held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
+        self.metrics.statements_held.with_label_values(&[ongoing.outage.as_str(), "refused"]).inc();
         Refusal { retry_delay, outage: Some(ongoing.outage), remaining, ..refusal }
     }
 
@@ -358,11 +358,11 @@
             Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => RetryCause::NoRoom,
             Some(_) | None => RetryCause::Path,
         };
-        let account = Name::from(job.principal.told());
+        let account = Name::from(job.principal.account_name());
         let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
         let may = retry_budget.may_retry(&account, job.rank(), attempts.sent, cause);
         if !may {
-            self.metrics.tries_denied.with_label_values(&[cause.as_str()]).inc();
+            self.metrics.attempts_denied.with_label_values(&[cause.as_str()]).inc();
         }
         !may
     }
