--- a/crates/overload/src/layout.rs
+++ b/crates/overload/src/zone_layout.rs
@@ -6,7 +6,7 @@
 
 /// The distance of a server from a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum ZoneDistance {
     /// In the daemon's availability zone.
     SameZone,
     /// In another zone of the daemon's region.
@@ -17,15 +17,15 @@
 
 /// The regions of all zones, as seen from one zone.
 #[derive(Clone, Debug)]
-pub struct Layout {
+pub struct ZoneLayout {
     zone: Name,
     region_by_zone: HashMap<Name, Name>,
 }
 
-impl Layout {
+impl ZoneLayout {
     /// Creates the layout for a daemon in `zone`. Zones that are not listed count as part of its region.
-    pub fn new(zone: Name, region_by_zone: HashMap<Name, Name>) -> Layout {
-        Layout { zone, region_by_zone }
+    pub fn new(zone: Name, region_by_zone: HashMap<Name, Name>) -> ZoneLayout {
+        ZoneLayout { zone, region_by_zone }
     }
 
     /// Returns the daemon's zone.
@@ -34,14 +34,14 @@
     }
 
     /// Returns the distance of a zone.
-    pub fn reach(&self, zone: &str) -> Reach {
+    pub fn distance(&self, zone: &str) -> ZoneDistance {
         if *self.zone == *zone {
-            return Reach::SameZone;
+            return ZoneDistance::SameZone;
         }
         let regions = self.region_by_zone.get(&self.zone).zip(self.region_by_zone.get(zone));
         match regions {
-            Some((own, other)) if own != other => Reach::OtherRegion,
-            _ => Reach::SameRegion,
+            Some((own, other)) if own != other => ZoneDistance::OtherRegion,
+            _ => ZoneDistance::SameRegion,
         }
     }
 }
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use model::Name;
-use overload::Reach;
+use overload::ZoneDistance;
 use tokio::net::TcpListener;
 
 use crate::{
@@ -72,8 +72,8 @@
             .filter_map(|(host, member)| {
                 let address = member.peer_address?;
                 let availability_zone = &member.availability_zone;
-                let reach = self.settings.layout.reach(availability_zone);
-                let is_near = reach < Reach::OtherRegion || crosses_regions;
+                let distance = self.settings.layout.distance(availability_zone);
+                let is_near = distance < ZoneDistance::OtherRegion || crosses_regions;
                 let is_silent = self.requester.is_unresponsive(address, now);
                 (is_near && !is_silent).then_some(TreeMember { host, availability_zone, address })
             })
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -12,7 +12,7 @@
 
 use config::{LeadershipSettings, MetadataSettings};
 use model::Name;
-use overload::Layout;
+use overload::ZoneLayout;
 use rand::RngExt;
 use tokio::sync::{Notify, oneshot, watch};
 
@@ -73,7 +73,7 @@
     /// This daemon's availability zone.
     pub availability_zone: Name,
     /// The regions and their zones.
-    pub layout: Layout,
+    pub layout: ZoneLayout,
     /// The address for requests of other daemons; `None` if this daemon does not accept any.
     pub peer_address: Option<SocketAddr>,
     /// The settings of the store.
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -19,7 +19,7 @@
 use config::ProxySettings;
 use eyre::{OptionExt, WrapErr};
 use limits::WindowRule;
-use overload::Layout;
+use overload::ZoneLayout;
 use tokio::{net::TcpListener, runtime::Runtime, sync::watch, task::LocalSet};
 
 use crate::{
@@ -115,7 +115,7 @@
         let control_settings = ControlSettings {
             host: settings.daemon.host.clone(),
             availability_zone: settings.daemon.availability_zone.clone(),
-            layout: Layout::new(
+            layout: ZoneLayout::new(
                 settings.daemon.availability_zone.clone(),
                 settings.daemon.region_by_zone().collect(),
             ),
--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use overload::Reach;
+use overload::ZoneDistance;
 
 /// A server that may run the statement.
 #[derive(Clone, Copy, Debug)]
@@ -10,7 +10,7 @@
     /// Index of the server in the group's list.
     pub index: usize,
     /// Distance to the server.
-    pub reach: Reach,
+    pub distance: ZoneDistance,
     /// Whether it is the primary.
     pub is_primary: bool,
     /// Number of idle connections to it.
@@ -81,10 +81,10 @@
 fn cost_us(candidate: &Candidate, primary_penalty: Duration) -> u64 {
     let outstanding = 1 + u64::from(candidate.in_use);
     let mut cost = u64::from(candidate.latency_us) * outstanding + candidate.wait_us;
-    cost += micros(match candidate.reach {
-        Reach::SameZone => Duration::ZERO,
-        Reach::SameRegion => CROSS_ZONE_PENALTY,
-        Reach::OtherRegion => CROSS_ZONE_PENALTY + CROSS_REGION_PENALTY,
+    cost += micros(match candidate.distance {
+        ZoneDistance::SameZone => Duration::ZERO,
+        ZoneDistance::SameRegion => CROSS_ZONE_PENALTY,
+        ZoneDistance::OtherRegion => CROSS_ZONE_PENALTY + CROSS_REGION_PENALTY,
     });
     if candidate.is_primary {
         cost += micros(primary_penalty);
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -12,7 +12,7 @@
 use config::OverloadSettings;
 use limits::WindowRule;
 use model::Name;
-use overload::Layout;
+use overload::ZoneLayout;
 use routing::RetryBudget;
 use session::StalenessSamples;
 use tokio::sync::{Notify, watch};
@@ -98,7 +98,7 @@
 }
 
 impl<E: EndpointDialect> Group<E> {
-    fn new(layout: Rc<Layout>, relays: Rc<RelayLinks>, overload: OverloadSettings) -> Group<E> {
+    fn new(layout: Rc<ZoneLayout>, relays: Rc<RelayLinks>, overload: OverloadSettings) -> Group<E> {
         Group {
             pool: Rc::new(GroupPool::new(layout, relays, overload)),
             samples: RefCell::new(StalenessSamples::new(MAX_SAMPLES)),
@@ -171,7 +171,7 @@
     /// Origin of this daemon's monotonic clock, in which other daemons state the deadlines of their statements.
     epoch: Instant,
     /// Distances between availability zones.
-    layout: Rc<Layout>,
+    layout: Rc<ZoneLayout>,
     groups: RefCell<HashMap<Name, Rc<Group<E>>>>,
 }
 
@@ -214,7 +214,7 @@
     pub fn new(parts: EngineParts<C, E>) -> Engine<C, E> {
         let limits = Limits::new(parts.settings.window_rule);
         let zone = parts.settings.availability_zone.clone();
-        let layout = Rc::new(Layout::new(zone, parts.settings.regions.clone()));
+        let layout = Rc::new(ZoneLayout::new(zone, parts.settings.regions.clone()));
         let relays = Rc::new(RelayLinks::new(parts.settings.overload.circuits));
         Engine {
             limits,
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -13,7 +13,7 @@
 };
 
 use config::OverloadSettings;
-use overload::{Layout, Reach};
+use overload::{ZoneDistance, ZoneLayout};
 use tokio::sync::oneshot;
 
 use crate::{
@@ -57,7 +57,7 @@
 
 /// The connection pool of one service.
 pub struct GroupPool<E: EndpointDialect> {
-    layout: Rc<Layout>,
+    layout: Rc<ZoneLayout>,
     relays: Rc<RelayLinks>,
     /// Which overload decisions are enabled.
     pub(super) overload: OverloadSettings,
@@ -91,7 +91,7 @@
 impl<E: EndpointDialect> GroupPool<E> {
     /// Creates a pool without servers. `layout` says in which zone and region this daemon runs.
     pub fn new(
-        layout: Rc<Layout>,
+        layout: Rc<ZoneLayout>,
         relays: Rc<RelayLinks>,
         overload: OverloadSettings,
     ) -> GroupPool<E> {
@@ -296,7 +296,7 @@
                 let wait = self.reported_wait(&owner, &pooled.entry.server, request.rank(), now);
                 return Some(Candidate {
                     index,
-                    reach: self.layout.reach(&pooled.entry.availability_zone),
+                    distance: self.layout.distance(&pooled.entry.availability_zone),
                     is_primary: request.primary.as_ref() == Some(&pooled.entry.server),
                     // The owner has the queue, since it sees the demand of the whole zone.
                     idle: 1,
@@ -315,12 +315,11 @@
             let queue = pooled.queue.as_ref().filter(|_| may_queue);
             Some(Candidate {
                 index,
-                reach: match pooled.tunnels.is_empty() {
-                    true => self.layout.reach(&pooled.entry.availability_zone),
+                distance: match pooled.tunnels.is_empty() {
+                    true => self.layout.distance(&pooled.entry.availability_zone),
                     // A connection through another daemon is never the nearest.
-                    false => {
-                        Reach::SameRegion.max(self.layout.reach(&pooled.entry.availability_zone))
-                    }
+                    false => ZoneDistance::SameRegion
+                        .max(self.layout.distance(&pooled.entry.availability_zone)),
                 },
                 is_primary: request.primary.as_ref() == Some(&pooled.entry.server),
                 idle: pooled.idle_for(request),
--- a/crates/proxy/tests/reads.rs
+++ b/crates/proxy/tests/reads.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use model::{LogPoint, Position, StatementClass, Term, TermStart};
-use overload::Reach;
+use overload::ZoneDistance;
 use proxy::{
     catalog::ReadRule,
     serve::{
@@ -75,7 +75,7 @@
 fn candidate(index: usize) -> Candidate {
     Candidate {
         index,
-        reach: Reach::SameZone,
+        distance: ZoneDistance::SameZone,
         is_primary: false,
         idle: 1,
         in_use: 0,
@@ -90,7 +90,7 @@
 #[test]
 fn the_choice_prefers_near_idle_replicas_with_room() {
     let near = candidate(0);
-    let far = Candidate { reach: Reach::SameRegion, ..candidate(1) };
+    let far = Candidate { distance: ZoneDistance::SameRegion, ..candidate(1) };
     let primary = Candidate { is_primary: true, ..candidate(2) };
     let no_idle = Candidate { idle: 0, ..candidate(3) };
     let in_use = Candidate { idle: 0, in_use: 2, ..candidate(4) };
@@ -115,7 +115,7 @@
 #[test]
 fn with_scarce_connections_a_far_replica_is_preferred_to_a_near_primary() {
     let near_primary = Candidate { is_primary: true, ..candidate(0) };
-    let far_replica = Candidate { reach: Reach::SameRegion, ..candidate(1) };
+    let far_replica = Candidate { distance: ZoneDistance::SameRegion, ..candidate(1) };
     let near_replica = candidate(2);
     let cases = [
         ("scarce", true, vec![near_primary, far_replica], 1),
@@ -137,8 +137,10 @@
 /// region after the load has dropped.
 #[test]
 fn a_read_leaves_its_region_only_if_the_local_wait_exceeds_the_extra_latency() {
-    let local = |in_use| Candidate { reach: Reach::SameRegion, in_use, limit: 9, ..candidate(0) };
-    let remote = Candidate { reach: Reach::OtherRegion, latency_us: 44_000, ..candidate(1) };
+    let local =
+        |in_use| Candidate { distance: ZoneDistance::SameRegion, in_use, limit: 9, ..candidate(0) };
+    let remote =
+        Candidate { distance: ZoneDistance::OtherRegion, latency_us: 44_000, ..candidate(1) };
     let chosen: Vec<Choice> =
         [0, 2, 4, 6, 4, 2, 0].map(|in_use| choose(&[local(in_use), remote], true)).to_vec();
     let expected = [0, 0, 0, 1, 0, 0, 0].map(Choice::UseIdle);
@@ -150,7 +152,7 @@
 #[test]
 fn a_read_goes_where_the_sum_of_wait_and_latency_is_lowest() {
     let waits = |wait_us| Candidate { wait_us, ..candidate(0) };
-    let far = Candidate { reach: Reach::SameRegion, ..candidate(1) };
+    let far = Candidate { distance: ZoneDistance::SameRegion, ..candidate(1) };
     let chosen: Vec<Choice> =
         [0, 30_000, 90_000, 30_000].map(|wait_us| choose(&[waits(wait_us), far], true)).to_vec();
     assert_eq!(chosen, [0, 0, 1, 0].map(Choice::UseIdle));
