--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -20,7 +20,7 @@
         replay::SessionValues,
     },
     statement::{
-        Answer, EndpointOperation, ErrorCode, Outcome, PreparedShape, StatementError,
+        Answer, EndpointOperation, ErrorCode, Outcome, PreparedStatement, StatementError,
         TransactionState,
     },
 };
@@ -155,7 +155,7 @@
     pub writes: bool,
     /// The prepared text.
     #[prost(string, tag = "2")]
-    pub shape: String,
+    pub text: String,
     /// The caller's arguments.
     #[prost(bytes = "bytes", tag = "3")]
     pub arguments: Bytes,
@@ -309,10 +309,10 @@
             TaskKind::Statement(EndpointStatement::Commit) => RelayTask::Commit(true),
             TaskKind::Statement(EndpointStatement::Read(body)) => RelayTask::Read(body.clone()),
             TaskKind::Statement(EndpointStatement::Write(body)) => RelayTask::Write(body.clone()),
-            TaskKind::Statement(EndpointStatement::Execute { shape, arguments }) => {
+            TaskKind::Statement(EndpointStatement::Execute { statement, arguments }) => {
                 RelayTask::Execute(ExecuteMessage {
-                    writes: shape.class == StatementClass::Write,
-                    shape: shape.shape.to_string(),
+                    writes: statement.class == StatementClass::Write,
+                    text: statement.text.to_string(),
                     arguments: arguments.clone(),
                 })
             }
@@ -328,12 +328,12 @@
             RelayTask::Read(body) => TaskKind::Statement(EndpointStatement::Read(body.clone())),
             RelayTask::Write(body) => TaskKind::Statement(EndpointStatement::Write(body.clone())),
             RelayTask::Execute(execute) => TaskKind::Statement(EndpointStatement::Execute {
-                shape: PreparedShape {
+                statement: PreparedStatement {
                     class: match execute.writes {
                         true => StatementClass::Write,
                         false => StatementClass::Read,
                     },
-                    shape: Name::from(execute.shape.as_str()),
+                    text: Name::from(execute.text.as_str()),
                 },
                 arguments: execute.arguments.clone(),
             }),
--- a/crates/proxy/src/serve/endpoint_task.rs
+++ b/crates/proxy/src/serve/endpoint_task.rs
@@ -60,7 +60,7 @@
     ) -> Result<Answer, (Progress, ConnectionLost)> {
         let before = match &self.kind {
             TaskKind::Statement(statement) => {
-                connection.environment.prepare_for(&self.values, statement.shape())
+                connection.environment.prepare_for(&self.values, statement.prepared())
             }
             TaskKind::Begin { .. } | TaskKind::Rollback | TaskKind::Command(_) => Vec::new(),
         };
@@ -89,7 +89,7 @@
         connection.read_answer(deadline).await.map_err(sent)
     }
 
-    /// Returns the operation of the command; `None` if it executes a shape that was not prepared on the connection.
+    /// Returns the operation of the command; `None` if it executes a statement that is not prepared on the connection.
     fn operation<E>(&self, connection: &EndpointConnection<E>) -> Option<EndpointOperation> {
         Some(match &self.kind {
             TaskKind::Begin { read_only } => EndpointOperation::Begin { read_only: *read_only },
@@ -102,9 +102,9 @@
                 EndpointOperation::Write(body.clone())
             }
             TaskKind::Statement(EndpointStatement::Commit) => EndpointOperation::Commit,
-            TaskKind::Statement(EndpointStatement::Execute { shape, arguments }) => {
+            TaskKind::Statement(EndpointStatement::Execute { statement, arguments }) => {
                 EndpointOperation::Execute {
-                    number: connection.environment.number_of(shape)?,
+                    number: connection.environment.number_of(statement)?,
                     arguments: arguments.clone(),
                 }
             }
--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -16,7 +16,7 @@
         endpoint_task::{EndpointTask, TaskKind},
         replay::SessionValues,
     },
-    statement::PreparedShape,
+    statement::PreparedStatement,
 };
 
 /// Share of a statement's timeout after which it is refused if it could not be sent, also while a failed
@@ -41,8 +41,8 @@
     Write(Bytes),
     /// A prepared statement.
     Execute {
-        /// The prepared shape.
-        shape: PreparedShape,
+        /// The prepared statement.
+        statement: PreparedStatement,
         /// The caller's arguments.
         arguments: Bytes,
     },
@@ -56,14 +56,14 @@
         match self {
             EndpointStatement::Read(_) => StatementClass::Read,
             EndpointStatement::Write(_) => StatementClass::Write,
-            EndpointStatement::Execute { shape, .. } => shape.class,
+            EndpointStatement::Execute { statement, .. } => statement.class,
             EndpointStatement::Commit => StatementClass::Write,
         }
     }
 
-    pub(crate) fn shape(&self) -> Option<&PreparedShape> {
+    pub(crate) fn prepared(&self) -> Option<&PreparedStatement> {
         match self {
-            EndpointStatement::Execute { shape, .. } => Some(shape),
+            EndpointStatement::Execute { statement, .. } => Some(statement),
             _ => None,
         }
     }
--- a/crates/proxy/src/serve/replay.rs
+++ b/crates/proxy/src/serve/replay.rs
@@ -1,16 +1,16 @@
 //! Replays the values and prepared statements of a session on the connection that runs its next statement.
 //!
 //! Sessions outnumber the connections to a server, so no session is bound to one. The values on a connection
-//! must match the session exactly. Prepared statements are shared by shape and numbered per connection, so
+//! must match the session exactly. Prepared statements are shared by class and text, and numbered per connection, so
 //! that names of different sessions can't collide. See `docs/PLATFORM.md`, "Sessions".
 
 use std::collections::{BTreeMap, HashMap};
 
 use model::Name;
 
-use crate::statement::{EndpointOperation, PreparedShape};
+use crate::statement::{EndpointOperation, PreparedStatement};
 
-/// Maximum number of shapes prepared on one connection. It is reset beyond that, to bound the memory use of
+/// Maximum number of statements prepared on one connection. It is reset beyond that, to bound the memory use of
 /// the server.
 pub const MAX_PREPARED: usize = 256;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     values: SessionValues,
-    prepared: HashMap<PreparedShape, u32>,
+    prepared: HashMap<PreparedStatement, u32>,
     next_number: u32,
 }
 
@@ -36,20 +36,20 @@
         self.values.keys().all(|name| wanted.contains_key(name))
     }
 
-    /// Returns the number of a shape; `None` if it is not prepared on this connection.
-    pub fn number_of(&self, shape: &PreparedShape) -> Option<u32> {
-        self.prepared.get(shape).copied()
+    /// Returns the number of a prepared statement; `None` if it is not prepared on this connection.
+    pub fn number_of(&self, statement: &PreparedStatement) -> Option<u32> {
+        self.prepared.get(statement).copied()
     }
 
-    /// Returns the commands to send before a statement with these values and this shape, and records them as
+    /// Returns the commands to send before a statement with these values and this prepared statement, and records them as
     /// applied. The connection must be closed if any of them fails.
     pub fn prepare_for(
         &mut self,
         wanted: &SessionValues,
-        shape: Option<&PreparedShape>,
+        statement: Option<&PreparedStatement>,
     ) -> Vec<EndpointOperation> {
         let mut commands = Vec::new();
-        if !self.can_become(wanted) || self.is_full_for(shape) {
+        if !self.can_become(wanted) || self.is_full_for(statement) {
             commands.push(EndpointOperation::Reset);
             self.values.clear();
             self.prepared.clear();
@@ -60,19 +60,19 @@
                 self.values.insert(name.clone(), value.clone());
             }
         }
-        if let Some(shape) = shape
-            && !self.prepared.contains_key(shape)
+        if let Some(statement) = statement
+            && !self.prepared.contains_key(statement)
         {
             let number = self.next_number;
             self.next_number += 1;
-            commands.push(EndpointOperation::Prepare { number, shape: shape.clone() });
-            self.prepared.insert(shape.clone(), number);
+            commands.push(EndpointOperation::Prepare { number, statement: statement.clone() });
+            self.prepared.insert(statement.clone(), number);
         }
         commands
     }
 
-    fn is_full_for(&self, shape: Option<&PreparedShape>) -> bool {
-        let is_new = shape.is_some_and(|shape| !self.prepared.contains_key(shape));
+    fn is_full_for(&self, statement: Option<&PreparedStatement>) -> bool {
+        let is_new = statement.is_some_and(|statement| !self.prepared.contains_key(statement));
         is_new && self.prepared.len() >= MAX_PREPARED
     }
 }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -24,7 +24,7 @@
         transaction::Transaction,
     },
     statement::{
-        Answer, ErrorCode, Outcome, PreparedShape, Request, Statement, StatementError,
+        Answer, ErrorCode, Outcome, PreparedStatement, Request, Statement, StatementError,
         TransactionState,
     },
 };
@@ -62,7 +62,7 @@
     /// Whether the session ends after the current answer.
     is_ending: bool,
     values: SessionValues,
-    prepared: HashMap<Name, PreparedShape>,
+    prepared: HashMap<Name, PreparedStatement>,
     own_points: HashMap<Name, LogPoint>,
     transaction: Option<Transaction<E>>,
 }
@@ -269,11 +269,11 @@
                 self.values.insert(name, value);
                 self.local_success()
             }
-            Statement::Prepare { name, shape } => {
+            Statement::Prepare { name, statement } => {
                 if self.prepared.len() >= MAX_SESSION_NAMES && !self.prepared.contains_key(&name) {
                     return self.local_error(ErrorCode::TooLarge, "too many prepared names");
                 }
-                self.prepared.insert(name, shape);
+                self.prepared.insert(name, statement);
                 self.local_success()
             }
             Statement::Deallocate { name } => match self.prepared.remove(&name) {
@@ -294,10 +294,10 @@
                 self.on_endpoint_statement(id, EndpointStatement::Write(body), arrived).await
             }
             Statement::Execute { name, arguments } => match self.prepared.get(&name).cloned() {
-                Some(shape) => {
+                Some(statement) => {
                     self.on_endpoint_statement(
                         id,
-                        EndpointStatement::Execute { shape, arguments },
+                        EndpointStatement::Execute { statement, arguments },
                         arrived,
                     )
                     .await
--- a/crates/proxy/src/statement.rs
+++ b/crates/proxy/src/statement.rs
@@ -46,7 +46,7 @@
         /// The name.
         name: Name,
         /// The prepared statement.
-        shape: PreparedShape,
+        statement: PreparedStatement,
     },
     /// Runs a prepared statement.
     Execute {
@@ -64,11 +64,11 @@
 
 /// A prepared statement. Sessions that prepare the same one share it on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct PreparedShape {
+pub struct PreparedStatement {
     /// Whether it reads or writes.
     pub class: StatementClass,
     /// The statement's text.
-    pub shape: Name,
+    pub text: Name,
 }
 
 /// The transaction state of a session between two requests.
@@ -254,7 +254,7 @@
         /// The number.
         number: u32,
         /// The statement.
-        shape: PreparedShape,
+        statement: PreparedStatement,
     },
     /// Runs the statement that was prepared under a number.
     Execute {
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -15,7 +15,7 @@
         replay::SessionValues,
     },
     statement::{
-        Answer, EndpointOperation, ErrorCode, Outcome, PreparedShape, StatementError,
+        Answer, EndpointOperation, ErrorCode, Outcome, PreparedStatement, StatementError,
         TransactionState,
     },
 };
@@ -34,10 +34,10 @@
 #[test]
 fn an_owner_receives_exactly_what_the_caller_sent() {
     let body = Bytes::from_static(b"1a4  with two blanks \x01");
-    let shape = |class| PreparedShape { class, shape: Name::from("q2c") };
+    let statement = |class| PreparedStatement { class, text: Name::from("q2c") };
     let execute = |class| {
         TaskKind::Statement(EndpointStatement::Execute {
-            shape: shape(class),
+            statement: statement(class),
             arguments: Bytes::from_static(b"1a4 x"),
         })
     };
--- a/crates/proxy/tests/replay.rs
+++ b/crates/proxy/tests/replay.rs
@@ -6,15 +6,15 @@
 use proptest::prelude::*;
 use proxy::{
     serve::replay::{Environment, MAX_PREPARED, SessionValues},
-    statement::{EndpointOperation, PreparedShape},
+    statement::{EndpointOperation, PreparedStatement},
 };
 
 fn values(pairs: &[(&str, &str)]) -> SessionValues {
     pairs.iter().map(|(name, value)| (Name::from(*name), Name::from(*value))).collect()
 }
 
-fn shape(text: &str) -> PreparedShape {
-    PreparedShape { class: StatementClass::Read, shape: Name::from(text) }
+fn statement(text: &str) -> PreparedStatement {
+    PreparedStatement { class: StatementClass::Read, text: Name::from(text) }
 }
 
 fn set(name: &str, value: &str) -> EndpointOperation {
@@ -41,19 +41,19 @@
 fn a_connection_with_too_many_shapes_is_reset() {
     let mut environment = Environment::default();
     for number in 0..MAX_PREPARED {
-        let sent = environment.prepare_for(&values(&[]), Some(&shape(&format!("q{number}"))));
+        let sent = environment.prepare_for(&values(&[]), Some(&statement(&format!("q{number}"))));
         assert!(matches!(sent[..], [EndpointOperation::Prepare { .. }]));
     }
-    let sent = environment.prepare_for(&values(&[]), Some(&shape("one more")));
+    let sent = environment.prepare_for(&values(&[]), Some(&statement("one more")));
     assert!(matches!(sent[..], [EndpointOperation::Reset, EndpointOperation::Prepare { .. }]));
-    assert_eq!(environment.number_of(&shape("q0")), None);
+    assert_eq!(environment.number_of(&statement("q0")), None);
 }
 
 /// Model of the state that a server holds for a connection.
 #[derive(Default)]
 struct ServerSide {
     values: BTreeMap<Name, Name>,
-    prepared: HashMap<u32, PreparedShape>,
+    prepared: HashMap<u32, PreparedStatement>,
 }
 
 impl ServerSide {
@@ -66,9 +66,9 @@
             EndpointOperation::Set { name, value } => {
                 self.values.insert(name, value);
             }
-            EndpointOperation::Prepare { number, shape } => {
+            EndpointOperation::Prepare { number, statement } => {
                 assert!(
-                    self.prepared.insert(number, shape).is_none(),
+                    self.prepared.insert(number, statement).is_none(),
                     "number {number} was reused"
                 );
             }
@@ -87,19 +87,19 @@
     ) {
         let mut environment = Environment::default();
         let mut server = ServerSide::default();
-        for (session, wanted_shape) in statements {
+        for (session, wanted_statement) in statements {
             let wanted: SessionValues = session
                 .iter()
                 .map(|(name, value)| (Name::from(name.to_string()), Name::from(value.to_string())))
                 .collect();
-            let wanted_shape = wanted_shape.map(|number| shape(&number.to_string()));
-            for operation in environment.prepare_for(&wanted, wanted_shape.as_ref()) {
+            let wanted_statement = wanted_statement.map(|number| statement(&number.to_string()));
+            for operation in environment.prepare_for(&wanted, wanted_statement.as_ref()) {
                 server.apply(operation);
             }
             prop_assert_eq!(&server.values, &wanted);
-            if let Some(shape) = wanted_shape {
-                let number = environment.number_of(&shape).unwrap();
-                prop_assert_eq!(server.prepared.get(&number), Some(&shape));
+            if let Some(statement) = wanted_statement {
+                let number = environment.number_of(&statement).unwrap();
+                prop_assert_eq!(server.prepared.get(&number), Some(&statement));
             }
         }
     }
