--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -14,7 +14,7 @@
     /// The service whose servers hold the database.
     pub service: Name,
     /// Which reads are allowed where.
-    pub reads: ReadRule,
+    pub read_rule: ReadRule,
     /// How long one statement may take.
     pub timeout: Duration,
     /// The time within which a whole operation should complete.
@@ -65,7 +65,7 @@
 
 /// A service of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceRule {
+pub struct ServiceSettings {
     /// The number of connections that one server grants to all daemons together.
     pub connections: u32,
     /// The number of replicas that must have received a write before it is acknowledged.
@@ -80,7 +80,7 @@
     /// Routes by the database that callers name.
     pub routes: HashMap<Name, Arc<Route>>,
     /// Services by name.
-    pub services: HashMap<Name, ServiceRule>,
+    pub services: HashMap<Name, ServiceSettings>,
     /// How long a transaction may be idle before it may be ended; `None` for no limit.
     pub idle_transaction_timeout: Option<Duration>,
     /// The client accounts; `None` if the configuration has none, so that every caller is served.
--- a/crates/proxy/src/serve/error_reporting.rs
+++ b/crates/proxy/src/serve/error_reporting.rs
@@ -82,7 +82,7 @@
         let retry_after_ms = refusal.retry_delay.as_millis() as u64;
         log::info!(
             event = "refused", id = id_text(&job.id).as_str(), service = &*job.route.service,
-            reads = job.route.reads.as_str(), code = refusal.code.as_str(), why = refusal.why,
+            reads = job.route.read_rule.as_str(), code = refusal.code.as_str(), why = refusal.why,
             primary = leader.map_or("", |leader| &*leader.server),
             lead_valid = leader.is_some_and(|leader| leader.is_valid(Instant::now())),
             changing = view.is_changing(&job.route.service),
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -175,7 +175,7 @@
         let known_leader = view.leaders.get(service);
         let now = Instant::now();
         let mut min_point = self.current_min_point(group, job, class);
-        let bound = job.route.reads.bound().filter(|_| class == StatementClass::Read);
+        let bound = job.route.read_rule.bound().filter(|_| class == StatementClass::Read);
         if let Some(bound) = bound.filter(|_| min_point.is_none()) {
             self.request_sample(group, now);
             if let Some(leader) = known_leader.filter(|_| !attempts.requested_sample) {
@@ -207,7 +207,7 @@
             avoid: attempts.avoid.clone(),
             primary: known_leader.map(|leader| leader.server.clone()),
             priority: job.route.priority,
-            yields: class == StatementClass::Read && job.route.reads != ReadRule::Primary,
+            yields: class == StatementClass::Read && job.route.read_rule != ReadRule::Primary,
             opens_transaction: attempts.opens_transaction,
             is_forwarded: false,
             previous_attempts: attempts.sent,
@@ -287,7 +287,7 @@
         error: AcquireError,
     ) -> AssignError {
         if job.statement.class() == StatementClass::Read
-            && job.route.reads != ReadRule::Primary
+            && job.route.read_rule != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
             self.note_replicas_behind(group, &job.route.service, &leader.server);
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -177,7 +177,7 @@
         let history = view.leaders.get(service).map(|leader| leader.history.clone());
         let samples = group.samples.borrow();
         let history = history.unwrap_or_default();
-        placement_for(job.route.reads, class, job.own_point, &samples, &history, Instant::now())
+        placement_for(job.route.read_rule, class, job.own_point, &samples, &history, Instant::now())
             .min_point()
     }
 
@@ -414,5 +414,5 @@
 
 /// Whether only the primary can run a statement, regardless of samples of its log position.
 fn needs_primary(job: &Job<'_>) -> bool {
-    job.statement.class() == StatementClass::Write || job.route.reads == ReadRule::Primary
+    job.statement.class() == StatementClass::Write || job.route.read_rule == ReadRule::Primary
 }
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -420,7 +420,7 @@
             self.transaction = None;
         }
         let outcome = answer.error_code().map_or("success", ErrorCode::as_str);
-        let reads = job.route.reads.as_str();
+        let reads = job.route.read_rule.as_str();
         let metrics = &self.engine.metrics;
         metrics.statements.with_label_values(&[reads, outcome]).inc();
         let took = job.arrived.elapsed();
