--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -204,7 +204,7 @@
                 Ok(revision)
             }
             Ok(TransactionOutcome::Conflict)
-            | Err(MetadataError::NoAnswer(_) | MetadataError::Unfinished) => {
+            | Err(MetadataError::NoAnswer(_) | MetadataError::IncompleteAnswer) => {
                 // The answer to an earlier attempt may have been lost, so the stored value decides.
                 let read = self.store.get(&key, self.read_timeout()).await;
                 self.count_call("get", &read);
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -119,9 +119,9 @@
     /// loading the store instead would congest the link further.
     fn can_resume_watch(&self, error: &MetadataError) -> bool {
         let must_reload = match error {
-            MetadataError::NotDone(_) | MetadataError::NoAnswer(_) | MetadataError::Unfinished => {
-                false
-            }
+            MetadataError::NotDone(_)
+            | MetadataError::NoAnswer(_)
+            | MetadataError::IncompleteAnswer => false,
             MetadataError::HistoryGone
             | MetadataError::EraChanged(_)
             | MetadataError::Malformed(_) => true,
@@ -209,7 +209,9 @@
                 self.publish();
                 Ok(())
             }
-            Err(error @ (MetadataError::NotDone(_) | MetadataError::Unfinished)) => Err(error),
+            Err(error @ (MetadataError::NotDone(_) | MetadataError::IncompleteAnswer)) => {
+                Err(error)
+            }
             // The link is probably congested, and loading the whole store would make that worse.
             Err(error @ MetadataError::NoAnswer(_)) if self.is_fleet_large() => Err(error),
             Ok(()) | Err(_) => self.load_from_store().await,
--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -127,7 +127,7 @@
     NoAnswer(String),
     /// An answer began but was not complete in time: the network is slow, but the store is reachable. A write may have
     /// been applied.
-    Unfinished,
+    IncompleteAnswer,
     /// The store no longer has the history that a watch asked for.
     HistoryGone,
     /// The call is based on another era of the store than its answer, or than earlier answers. A write may have been
@@ -142,7 +142,9 @@
         match self {
             MetadataError::NotDone(why) => write!(f, "the store did not run the call: {why}"),
             MetadataError::NoAnswer(why) => write!(f, "no answer from the store: {why}"),
-            MetadataError::Unfinished => f.write_str("the store's answer was not complete in time"),
+            MetadataError::IncompleteAnswer => {
+                f.write_str("the store's answer was not complete in time")
+            }
             MetadataError::HistoryGone => {
                 f.write_str("the store no longer has the requested history")
             }
