--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -78,12 +78,12 @@
     let rules = &in_force.configuration.failover;
     // An answer from before the primary fell silent says nothing of it now.
     let lately = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
-    let board = group.board.read();
-    let reachable = board.primary.is_some_and(|primary| {
-        let asked_at = board.servers[primary.index()].asked_at;
-        board.answers(primary) && asked_at.is_some_and(|at| at.elapsed() < lately)
+    let view = group.view.read();
+    let reachable = view.primary.is_some_and(|primary| {
+        let asked_at = view.servers[primary.index()].asked_at;
+        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < lately)
     });
-    ViewAnswer { reachable, term: board.term.0 }
+    ViewAnswer { reachable, term: view.term.0 }
 }
 
 /// Asks a group's servers at once, since another owner says that one of them leads a new term.
@@ -91,7 +91,7 @@
     let id = GroupId::new(notice.service.as_str(), notice.group.as_str());
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return };
-    if group.board.read().term.0 >= notice.term {
+    if group.view.read().term.0 >= notice.term {
         return;
     }
     ask_all(&group).await;
@@ -107,11 +107,11 @@
     let Some(group) = group else { return HoldAnswer { running: 0 } };
     if request.hold_ms == 0 {
         ask_all(&group).await;
-        group.board.write().held_until = None;
+        group.view.write().held_until = None;
         group.changed.notify_waiters();
     } else {
         let until = Instant::now() + Duration::from_millis(request.hold_ms);
-        group.board.write().held_until = Some(until);
+        group.view.write().held_until = Some(until);
     }
     let running = group.writing.load(std::sync::atomic::Ordering::Acquire);
     HoldAnswer { running }
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -14,10 +14,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    board::GroupBoard,
     context::Context,
     endpoint_connection::{AnswerSink, CancelKey, JobAnswer, Proof, RunError, RunOptions},
     group_state::{GroupOptionsInForce, GroupState, WritingGuard},
+    group_view::GroupView,
     pool::PooledConnection,
 };
 
@@ -159,11 +159,11 @@
         *self.running.lock() = None;
         outcome.map_err(|error| match error {
             RunError::NotSent(error) => {
-                self.group.note_failure(server);
+                self.group.record_failure(server);
                 Refusal::not_run(RefusalReason::Unreachable, error.to_string())
             }
             RunError::Lost(error) => {
-                self.group.note_failure(server);
+                self.group.record_failure(server);
                 Refusal::may_have_run(RefusalReason::AnswerLost, error.to_string())
             }
             RunError::TooLarge => Refusal::may_have_run(
@@ -204,15 +204,15 @@
 
     /// Ends when another server leads in a newer term.
     pub(crate) async fn replaced(&self, server: ServerId) {
-        self.until(|board| board.primary.is_some_and(|primary| primary != server)).await;
+        self.until(|view| view.primary.is_some_and(|primary| primary != server)).await;
     }
 
     /// Ends when a server has been silent for as long as it takes to be suspected.
     pub(crate) async fn silent(&self, server: ServerId) {
         let suspect_after =
             Duration::from_millis(self.in_force.configuration.failover.suspect_after_ms);
-        self.until(|board| {
-            let silent = board.silent_for(server, Instant::now());
+        self.until(|view| {
+            let silent = view.silent_for(server, Instant::now());
             silent.is_some_and(|silent| silent >= suspect_after)
         })
         .await;
@@ -228,10 +228,10 @@
 
     /// Waits until the board fulfils a condition. It is looked at now and then, too, since a silence
     /// grows without being told of.
-    pub(crate) async fn until(&self, condition: impl Fn(&GroupBoard) -> bool) {
+    pub(crate) async fn until(&self, condition: impl Fn(&GroupView) -> bool) {
         loop {
             let changed = self.group.changed.notified();
-            if condition(&self.group.board.read()) {
+            if condition(&self.group.view.read()) {
                 return;
             }
             let _ = tokio::time::timeout(CONDITION_LOOK, changed).await;
--- a/crates/daemon/src/failover_duty.rs
+++ b/crates/daemon/src/failover_duty.rs
@@ -138,7 +138,7 @@
             })
             .map(|(index, _)| ServerId::from_index(index))
             .collect();
-        let primary = self.group.board.read().primary;
+        let primary = self.group.view.read().primary;
         let (preferred, failed) = match reason {
             DriveReason::Failure => (None, primary),
             DriveReason::Switch { target } => {
@@ -155,9 +155,9 @@
     }
 
     fn highest_term(&self) -> Term {
-        let board = self.group.board.read();
-        let promised = board.statuses().map(|(_, status)| status.promised_term).max();
-        board.term.max(promised.unwrap_or_default())
+        let view = self.group.view.read();
+        let promised = view.statuses().map(|(_, status)| status.promised_term).max();
+        view.term.max(promised.unwrap_or_default())
     }
 
     async fn carry_out(&mut self, step: FailoverStep) -> FailoverEvent {
@@ -210,7 +210,7 @@
     /// Whether nobody is at work on a record: its change is over, or it has stood still for long.
     fn has_stalled(&mut self, record: &LeadershipRecord) -> bool {
         let over =
-            record.stage != RecordStage::Claimed && self.group.board.read().term >= record.term;
+            record.stage != RecordStage::Claimed && self.group.view.read().term >= record.term;
         if over {
             return true;
         }
--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -19,9 +19,9 @@
 use wire::EndpointAddress;
 
 use crate::{
-    board::GroupBoard,
     context::Context,
     control_link::{ControlLink, LinkError, StatusAnswer},
+    group_view::GroupView,
     pool::ServerPool,
     read_index::ReadIndex,
 };
@@ -38,7 +38,7 @@
 pub(crate) struct GroupState {
     pub(crate) id: GroupId,
     pub(crate) in_force: ArcSwap<GroupOptionsInForce>,
-    pub(crate) board: RwLock<GroupBoard>,
+    pub(crate) view: RwLock<GroupView>,
     /// Told when the primary or the term changes.
     pub(crate) changed: Notify,
     pub(crate) links: Vec<ControlLink>,
@@ -120,7 +120,7 @@
         let group = Arc::new(GroupState {
             id: in_force.group.id.clone(),
             in_force: ArcSwap::from_pointee(in_force),
-            board: RwLock::new(GroupBoard::new(servers, now)),
+            view: RwLock::new(GroupView::new(servers, now)),
             changed: Notify::new(),
             links,
             pools,
@@ -166,33 +166,33 @@
 
     fn note(&self, server: ServerId, answer: &Result<StatusAnswer, LinkError>) {
         match answer {
-            Ok(answer) => self.note_status(server, answer.status.clone(), answer.asked_at),
-            Err(_) => self.board.write().note_silence(server, Instant::now()),
+            Ok(answer) => self.record_status(server, answer.status.clone(), answer.asked_at),
+            Err(_) => self.view.write().record_silence(server, Instant::now()),
         }
     }
 
     /// Notes a status, wherever it came from.
-    pub(crate) fn note_status(
+    pub(crate) fn record_status(
         &self,
         server: ServerId,
         status: Arc<ServerStatus>,
         asked_at: Instant,
     ) {
-        if self.board.write().note_status(server, status, asked_at) {
+        if self.view.write().record_status(server, status, asked_at) {
             self.changed.notify_waiters();
         }
     }
 
     /// Notes the status that came with a job, unless it tells nothing new.
-    pub(crate) fn note_proof(&self, server: ServerId, status: &ServerStatus) {
-        if !self.board.read().is_old_news(server, status) {
-            self.note_status(server, Arc::new(status.clone()), Instant::now());
+    pub(crate) fn record_job_status(&self, server: ServerId, status: &ServerStatus) {
+        if !self.view.read().is_already_known(server, status) {
+            self.record_status(server, Arc::new(status.clone()), Instant::now());
         }
     }
 
     /// Notes that a server failed a request by not answering.
-    pub(crate) fn note_failure(&self, server: ServerId) {
-        self.board.write().note_silence(server, Instant::now());
+    pub(crate) fn record_failure(&self, server: ServerId) {
+        self.view.write().record_silence(server, Instant::now());
     }
 
     /// Returns a number that changes from call to call.
@@ -203,7 +203,7 @@
     /// Lists the servers as the choice for a read needs them.
     pub(crate) fn candidates(&self, context: &Context) -> Vec<Candidate> {
         let in_force = self.in_force.load();
-        let board = self.board.read();
+        let view = self.view.read();
         let own_zone = &context.settings.daemon.availability_zone;
         in_force
             .group
@@ -214,10 +214,10 @@
                 let id = ServerId::from_index(index);
                 Candidate {
                     server: id,
-                    usable: board.answers(id)
+                    usable: view.is_responding(id)
                         && context.may_get_new_work(&server.address, &in_force.configuration),
-                    primary: board.primary == Some(id),
-                    applied: board.applied(id),
+                    primary: view.primary == Some(id),
+                    applied: view.applied(id),
                     in_flight: self.pools[index].in_flight(),
                     slots: in_force.group.options.slots,
                     latency_us: self.pools[index].latency().get_us(),
--- a/crates/daemon/src/board.rs
+++ b/crates/daemon/src/group_view.rs
@@ -10,11 +10,11 @@
 use session::{StalenessSamples, TermHistory};
 
 /// Samples of the primary's position that are kept for each group.
-const SAMPLES: usize = 256;
+const MAX_SAMPLES: usize = 256;
 
 /// What is known of one server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ServerKnowledge {
+pub(crate) struct ObservedServer {
     /// Its last status.
     pub(crate) status: Option<Arc<ServerStatus>>,
     /// When that was asked for.
@@ -25,8 +25,8 @@
 
 /// What is known of a group.
 #[derive(Debug)]
-pub(crate) struct GroupBoard {
-    pub(crate) servers: Vec<ServerKnowledge>,
+pub(crate) struct GroupView {
+    pub(crate) servers: Vec<ObservedServer>,
     pub(crate) history: TermHistory,
     pub(crate) samples: StalenessSamples,
     pub(crate) primary: Option<ServerId>,
@@ -36,12 +36,12 @@
     pub(crate) watched_since: Instant,
 }
 
-impl GroupBoard {
-    pub(crate) fn new(servers: usize, now: Instant) -> GroupBoard {
-        GroupBoard {
-            servers: vec![ServerKnowledge::default(); servers],
+impl GroupView {
+    pub(crate) fn new(servers: usize, now: Instant) -> GroupView {
+        GroupView {
+            servers: vec![ObservedServer::default(); servers],
             history: TermHistory::default(),
-            samples: StalenessSamples::new(SAMPLES),
+            samples: StalenessSamples::new(MAX_SAMPLES),
             primary: None,
             term: Term::default(),
             held_until: None,
@@ -50,25 +50,25 @@
     }
 
     /// Notes a status. Returns whether the group's primary or term changed with it.
-    pub(crate) fn note_status(
+    pub(crate) fn record_status(
         &mut self,
         server: ServerId,
         status: Arc<ServerStatus>,
         asked_at: Instant,
     ) -> bool {
         let known = &mut self.servers[server.index()];
-        if known.asked_at.is_some_and(|noted| noted > asked_at) {
+        if known.asked_at.is_some_and(|known_at| known_at > asked_at) {
             return false;
         }
         self.history.replace_if_newer(&TermHistory::new(status.term_starts.clone()));
         known.status = Some(status);
         known.asked_at = Some(asked_at);
         known.silent_since = None;
-        self.choose_primary()
+        self.update_primary()
     }
 
     /// Whether a status tells nothing that is not known, so that it need not be noted.
-    pub(crate) fn is_old_news(&self, server: ServerId, status: &ServerStatus) -> bool {
+    pub(crate) fn is_already_known(&self, server: ServerId, status: &ServerStatus) -> bool {
         let known = &self.servers[server.index()];
         known.silent_since.is_none()
             && known.status.as_ref().is_some_and(|known| {
@@ -81,7 +81,7 @@
     }
 
     /// Notes that a server did not answer.
-    pub(crate) fn note_silence(&mut self, server: ServerId, now: Instant) {
+    pub(crate) fn record_silence(&mut self, server: ServerId, now: Instant) {
         let known = &mut self.servers[server.index()];
         if known.silent_since.is_none() {
             known.silent_since = Some(known.asked_at.unwrap_or(self.watched_since).min(now));
@@ -92,7 +92,7 @@
     ///
     /// A claim to lead counts for nothing once a majority is sealed above its term: no write there
     /// could be acknowledged, so none is sent.
-    fn choose_primary(&mut self) -> bool {
+    fn update_primary(&mut self) -> bool {
         let before = (self.primary, self.term);
         let leading = self
             .servers
@@ -124,7 +124,7 @@
     }
 
     /// Whether a server answered when it was last asked.
-    pub(crate) fn answers(&self, server: ServerId) -> bool {
+    pub(crate) fn is_responding(&self, server: ServerId) -> bool {
         let known = &self.servers[server.index()];
         known.silent_since.is_none() && known.status.is_some()
     }
@@ -140,7 +140,7 @@
         let in_term = |status: &ServerStatus| status.promised_term == self.term;
         let answering = self
             .statuses()
-            .filter(|(server, status)| self.answers(*server) && in_term(status))
+            .filter(|(server, status)| self.is_responding(*server) && in_term(status))
             .count();
         let mut positions: Vec<Position> = self
             .statuses()
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,7 +5,6 @@
 //! store), `operator` (HTTP) and `trace` (spans). `docs/ARCHITECTURE.md` shows how they are joined.
 
 mod apply;
-mod board;
 mod caller_log_in;
 mod caller_session;
 mod caller_settings;
@@ -22,6 +21,7 @@
 mod failover_duty;
 mod gossip;
 mod group_state;
+mod group_view;
 mod operator;
 mod peers;
 mod pool;
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -63,7 +63,7 @@
 }
 
 async fn round(group: &Arc<GroupState>) -> Result<LogPoint, NoIndex> {
-    let primary = group.board.read().primary.ok_or(NoIndex::NoPrimary)?;
+    let primary = group.view.read().primary.ok_or(NoIndex::NoPrimary)?;
     let answer = group.ask(primary).await.map_err(|_| NoIndex::NoPrimary)?;
     let point = answer.status.held();
     let question = EvidenceQuestion {
@@ -77,6 +77,6 @@
     if evidence != Evidence::Sufficient {
         return Err(NoIndex::NotConfirmed);
     }
-    group.board.write().samples.add(answer.asked_at, point);
+    group.view.write().samples.add(answer.asked_at, point);
     Ok(point)
 }
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -88,7 +88,7 @@
     async fn read_requirement(&self) -> Result<ReadRequirement, Refusal> {
         let session = self.seen();
         if let Some(staleness) = self.staleness() {
-            let freshness = self.group.board.read().samples.point_for(staleness, Instant::now());
+            let freshness = self.group.view.read().samples.point_for(staleness, Instant::now());
             if let Some(freshness) = freshness {
                 return Ok(ReadRequirement { session, freshness: Some(freshness) });
             }
@@ -136,7 +136,7 @@
     fn route(&self, requirement: ReadRequirement, avoid: Option<ServerId>) -> ReadRoute {
         let candidates = self.group.candidates(self.context);
         let freshness =
-            requirement.freshness.map(|point| self.group.board.read().history.clamp(point));
+            requirement.freshness.map(|point| self.group.view.read().history.clamp(point));
         let point = requirement.session.max(freshness).unwrap_or_default();
         let primary_only = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
@@ -172,12 +172,12 @@
         let mut connection = match acquired {
             Ok(connection) => connection,
             Err(refusal) if refusal.reason == RefusalReason::Unreachable => {
-                self.group.note_failure(server);
+                self.group.record_failure(server);
                 return Ok(ReadAttempt::Failed(server, refusal));
             }
             Err(refusal) => return Err(refusal),
         };
-        let known = self.group.board.read().history.clone();
+        let known = self.group.view.read().history.clone();
         let mut shown = ReadCheck::Behind;
         let prove = |status: &ServerStatus| {
             shown = check_read(requirement, status, &known);
@@ -198,7 +198,7 @@
         let elapsed = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
         pool.latency().add(elapsed);
         if let Some(status) = &answer.status {
-            self.group.note_proof(server, status);
+            self.group.record_job_status(server, status);
         }
         if answer.rejected {
             return self.rejected(server, shown, connection, &answer);
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -53,7 +53,7 @@
             let mut connection = match acquired {
                 Ok(connection) => connection,
                 Err(refusal) if refusal.reason == RefusalReason::Unreachable => {
-                    self.group.note_failure(server);
+                    self.group.record_failure(server);
                     self.wait_or_refuse(refusal).await?;
                     continue;
                 }
@@ -71,7 +71,7 @@
                 Err(refusal) => return Err(refusal),
             };
             if let Some(status) = &answer.status {
-                self.group.note_proof(server, status);
+                self.group.record_job_status(server, status);
             }
             let began_at_old = !self.job.writes
                 && answer
@@ -108,14 +108,14 @@
 
     /// Says where a write may run now; `None` while it has to wait.
     fn admit_write(&self) -> Result<Option<AdmittedWrite>, Refusal> {
-        let board = self.group.board.read();
+        let view = self.group.view.read();
         let now = Instant::now();
-        let usable = board.primary.is_some_and(|primary| {
+        let usable = view.primary.is_some_and(|primary| {
             let address = &self.in_force.group.servers[primary.index()].address;
-            board.answers(primary)
+            view.is_responding(primary)
                 && self.context.may_get_new_work(address, &self.in_force.configuration)
         });
-        let view = board.primary_view(usable, now);
+        let view = view.primary_view(usable, now);
         let options = self.options();
         let rules = WriteRules {
             acknowledge: options.acknowledge,
@@ -145,7 +145,7 @@
     /// A transaction must see its session's writes too, so the primary has to be of their term.
     async fn check_session(&self, term: Term) -> Result<(), Refusal> {
         let Some(seen) = self.seen() else { return Ok(()) };
-        let write_status = self.group.board.read().history.write_status(seen);
+        let write_status = self.group.view.read().history.write_status(seen);
         match write_status {
             WriteStatus::Kept => Ok(()),
             WriteStatus::Lost => Err(self.write_lost()),
@@ -155,7 +155,7 @@
                 for index in 0..self.group.links.len() {
                     let _ = self.group.ask(ServerId::from_index(index)).await;
                 }
-                if self.group.board.read().term >= seen.term {
+                if self.group.view.read().term >= seen.term {
                     return Ok(());
                 }
                 Err(Refusal::not_run(
--- a/crates/daemon/src/show.rs
+++ b/crates/daemon/src/show.rs
@@ -110,17 +110,17 @@
 fn show_group(context: &Context, group: &GroupState) -> ShowGroup {
     let in_force = group.in_force.load();
     let owned = context.owns(&in_force.group);
-    let board = group.board.read();
+    let view = group.view.read();
     let now = Instant::now();
     let servers = in_force.group.servers.iter().enumerate().map(|(index, server)| {
         let id = ServerId::from_index(index);
-        let status = board.servers[index].status.as_ref();
-        let age = status.and_then(|status| board.samples.age_of(status.applied(), now));
+        let status = view.servers[index].status.as_ref();
+        let age = status.and_then(|status| view.samples.age_of(status.applied(), now));
         let (connections, connection_share) = group.pools[index].open_and_share();
         ShowServer {
             server: server.name.to_string(),
             address: server.address.to_string(),
-            answers: board.answers(id),
+            answers: view.is_responding(id),
             gets_work: context.may_get_new_work(&server.address, &in_force.configuration),
             applied_position: status.map_or(0, |status| status.applied_position.0),
             held_position: status.map_or(0, |status| status.held_position.0),
@@ -131,13 +131,13 @@
         }
     });
     let primary =
-        board.primary.map(|primary| in_force.group.servers[primary.index()].name.to_string());
+        view.primary.map(|primary| in_force.group.servers[primary.index()].name.to_string());
     ShowGroup {
         group: group.id.to_string(),
         owned,
-        term: board.term.0,
+        term: view.term.0,
         primary,
-        held: board.held_until.is_some_and(|until| until > now),
+        held: view.held_until.is_some_and(|until| until > now),
         waiting: group.pools.iter().map(|pool| pool.waiting()).sum(),
         servers: servers.collect(),
     }
--- a/crates/daemon/src/switch_duty.rs
+++ b/crates/daemon/src/switch_duty.rs
@@ -60,14 +60,13 @@
 /// Chooses the server that is furthest along among those that stay.
 fn choose_target(context: &Context, group: &GroupState) -> Option<ServerId> {
     let in_force = group.in_force.load();
-    let board = group.board.read();
-    board
-        .statuses()
+    let view = group.view.read();
+    view.statuses()
         .filter(|(server, status)| {
             let address = &in_force.group.servers[server.index()].address;
-            Some(*server) != board.primary
-                && board.answers(*server)
-                && status.promised_term == board.term
+            Some(*server) != view.primary
+                && view.is_responding(*server)
+                && status.promised_term == view.term
                 && !context.leaving.read().is_leaving(address)
         })
         .max_by_key(|(_, status)| status.held())
@@ -124,7 +123,7 @@
 
 /// Whether the target holds everything that the primary has.
 async fn caught_up(group: &GroupState, target: ServerId) -> bool {
-    let Some(primary) = group.board.read().primary else { return false };
+    let Some(primary) = group.view.read().primary else { return false };
     let position = async |server: ServerId| -> Option<Position> {
         group.ask(server).await.ok().map(|answer| answer.status.held_position)
     };
--- a/crates/daemon/src/watch_duty.rs
+++ b/crates/daemon/src/watch_duty.rs
@@ -122,7 +122,7 @@
 /// Takes a sample of the primary's position at each heartbeat, with proof that it still leads.
 async fn sample_primary(context: Arc<Context>, group: Arc<GroupState>) {
     while is_held(&context, &group) {
-        if group.board.read().primary.is_some() {
+        if group.view.read().primary.is_some() {
             // The answer is noted as a sample; a failure shows in the servers' silence.
             let _ = group.read_index.get().await;
             tokio::time::sleep(heartbeat_of(&group)).await;
@@ -138,8 +138,8 @@
     while is_held(&context, &group) {
         let heartbeat = heartbeat_of(&group);
         let due = {
-            let board = group.board.read();
-            let known = &board.servers[server.index()];
+            let view = group.view.read();
+            let known = &view.servers[server.index()];
             known.silent_since.is_some()
                 || known.asked_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
         };
@@ -187,11 +187,12 @@
 }
 
 fn primary_health(group: &GroupState, rules: SuspicionRules) -> PrimaryObservation {
-    let board = group.board.read();
+    let view = group.view.read();
     let now = Instant::now();
-    let primary = board.primary;
+    let primary = view.primary;
     let others = || {
-        board.statuses().filter(|(server, _)| Some(*server) != primary && board.answers(*server))
+        view.statuses()
+            .filter(|(server, _)| Some(*server) != primary && view.is_responding(*server))
     };
     let silent_leader = |status: &ServerStatus| {
         status.role == ServerRole::Replica
@@ -199,10 +200,10 @@
                 .leader_silence_ms
                 .is_some_and(|silence| Duration::from_millis(silence) >= rules.suspect_after)
     };
-    let silent_for = primary.map(|primary| board.silent_for(primary, now).unwrap_or_default());
+    let silent_for = primary.map(|primary| view.silent_for(primary, now).unwrap_or_default());
     PrimaryObservation {
         silent_for,
-        watched_for: now.saturating_duration_since(board.watched_since),
+        watched_for: now.saturating_duration_since(view.watched_since),
         replicas_answering: others().count().min(group.links.len() - 1),
         replicas_without_leader: others().filter(|(_, status)| silent_leader(status)).count(),
         replicas: group.links.len() - 1,
@@ -234,22 +235,22 @@
 /// Makes servers follow the primary that don't: an old primary, or one that missed the change.
 async fn restore_followers(group: &GroupState, rules: SuspicionRules) {
     let (primary, term, lost) = {
-        let board = group.board.read();
-        let Some(primary) = board.primary else { return };
-        if !board.answers(primary) {
+        let view = group.view.read();
+        let Some(primary) = view.primary else { return };
+        if !view.is_responding(primary) {
             return;
         }
-        let lost: Vec<ServerId> = board
+        let lost: Vec<ServerId> = view
             .statuses()
             .filter(|(server, status)| {
                 *server != primary
-                    && board.answers(*server)
-                    && status.promised_term <= board.term
-                    && needs_leader(status, board.term, rules)
+                    && view.is_responding(*server)
+                    && status.promised_term <= view.term
+                    && needs_leader(status, view.term, rules)
             })
             .map(|(server, _)| server)
             .collect();
-        (primary, board.term, lost)
+        (primary, view.term, lost)
     };
     let address = group.in_force.load().group.servers[primary.index()].address;
     for server in lost {
@@ -273,7 +274,7 @@
     if !in_force.configuration.leaving.switch_primary {
         return false;
     }
-    let Some(primary) = group.board.read().primary else { return false };
+    let Some(primary) = group.view.read().primary else { return false };
     let address = in_force.group.servers[primary.index()].address;
     context.leaving.read().is_leaving(&address)
 }
