--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -23,7 +23,7 @@
 use crate::{
     cancel::CancelRegistry,
     configuration_store::ConfigurationStore,
-    group_state::{GroupOptionsInForce, GroupState},
+    group_state::{GroupConfiguration, GroupState},
     peers::Peers,
 };
 
@@ -363,8 +363,8 @@
     wanted + HEADROOM
 }
 
-fn group_options(configuration: &Arc<Configuration>, id: &GroupId) -> Option<GroupOptionsInForce> {
+fn group_options(configuration: &Arc<Configuration>, id: &GroupId) -> Option<GroupConfiguration> {
     let group = configuration.groups.get(id)?.clone();
     let service = configuration.services.get(&id.service)?.clone();
-    Some(GroupOptionsInForce { group, service, configuration: configuration.clone() })
+    Some(GroupConfiguration { group, service, configuration: configuration.clone() })
 }
--- a/crates/daemon/src/control_link.rs
+++ b/crates/daemon/src/control_link.rs
@@ -15,7 +15,7 @@
 };
 
 /// Requests that may wait for the link.
-const RING_REQUESTS: usize = 1_024;
+const MAX_QUEUED_REQUESTS: usize = 1_024;
 
 /// A status with the time at which it was asked for.
 #[derive(Clone, Debug)]
@@ -26,19 +26,19 @@
 
 /// The server did not answer, or answered with an error.
 #[derive(Clone, Debug)]
-pub(crate) struct LinkError {
+pub(crate) struct ControlLinkError {
     /// The SQLSTATE, if it was the server that refused.
     pub(crate) code: Option<String>,
 }
 
-impl LinkError {
+impl ControlLinkError {
     /// Whether the server says that it is shutting down.
     pub(crate) fn is_shutting_down(&self) -> bool {
         matches!(self.code.as_deref(), Some("57P01" | "57P03"))
     }
 }
 
-type StatusReply = flume::Sender<Result<StatusAnswer, LinkError>>;
+type StatusReply = flume::Sender<Result<StatusAnswer, ControlLinkError>>;
 
 enum LinkRequest {
     /// Ask for the status; everyone who waits shares one answer.
@@ -50,48 +50,48 @@
 /// The asking end of a link.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlLink {
-    ring: flume::Sender<LinkRequest>,
+    requests: flume::Sender<LinkRequest>,
 }
 
 impl ControlLink {
     /// Starts a link on the current runtime; it ends when its last asking end is dropped.
     pub(crate) fn start(target: EndpointAddress, timeout: Duration) -> ControlLink {
-        let (ring, requests) = flume::bounded(RING_REQUESTS);
-        let link = LinkTask { target, timeout, stream: None, requests };
+        let (sender, requests) = flume::bounded(MAX_QUEUED_REQUESTS);
+        let link = ControlLinkTask { target, timeout, stream: None, requests };
         tokio::spawn(link.run());
-        ControlLink { ring }
+        ControlLink { requests: sender }
     }
 
     /// Asks for the status, sharing the query with everyone who asks before it is sent. The answer
     /// was asked for after this call began.
-    pub(crate) async fn status(&self) -> Result<StatusAnswer, LinkError> {
-        self.ask(LinkRequest::Status).await
+    pub(crate) async fn status(&self) -> Result<StatusAnswer, ControlLinkError> {
+        self.send(LinkRequest::Status).await
     }
 
     /// Runs a statement that changes the server's standing.
-    pub(crate) async fn call(&self, statement: String) -> Result<StatusAnswer, LinkError> {
-        self.ask(|reply| LinkRequest::Call(statement, reply)).await
+    pub(crate) async fn call(&self, statement: String) -> Result<StatusAnswer, ControlLinkError> {
+        self.send(|reply| LinkRequest::Call(statement, reply)).await
     }
 
-    async fn ask(
+    async fn send(
         &self,
         request: impl FnOnce(StatusReply) -> LinkRequest,
-    ) -> Result<StatusAnswer, LinkError> {
-        let closed = || LinkError { code: None };
+    ) -> Result<StatusAnswer, ControlLinkError> {
+        let closed = || ControlLinkError { code: None };
         let (reply, answer) = flume::bounded(1);
-        self.ring.send_async(request(reply)).await.map_err(|_| closed())?;
+        self.requests.send_async(request(reply)).await.map_err(|_| closed())?;
         answer.recv_async().await.map_err(|_| closed())?
     }
 }
 
-struct LinkTask {
+struct ControlLinkTask {
     target: EndpointAddress,
     timeout: Duration,
     stream: Option<EndpointStream>,
     requests: flume::Receiver<LinkRequest>,
 }
 
-impl LinkTask {
+impl ControlLinkTask {
     async fn run(mut self) {
         while let Ok(first) = self.requests.recv_async().await {
             let mut waiting = Vec::new();
@@ -119,7 +119,7 @@
     }
 
     /// Asks once. A link that failed is given up, since a late answer could be taken for another.
-    async fn query(&mut self, statement: &str) -> Result<StatusAnswer, LinkError> {
+    async fn query(&mut self, statement: &str) -> Result<StatusAnswer, ControlLinkError> {
         let asked_at = Instant::now();
         let timeout = self.timeout;
         let answer = tokio::time::timeout(timeout, self.query_now(statement)).await;
@@ -136,7 +136,7 @@
             }
         };
         log::debug!(error = error.to_string().as_str(); "a server did not answer its link");
-        Err(LinkError { code })
+        Err(ControlLinkError { code })
     }
 
     async fn query_now(&mut self, statement: &str) -> Result<ServerStatus, EndpointError> {
--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -28,7 +28,7 @@
         Body::HostListRequest(_) => Some(Body::HostListAnswer(host_list_answer(context))),
         Body::ViewRequest(request) => Some(Body::ViewAnswer(view_answer(context, &request))),
         Body::TermNotice(notice) => {
-            look_at_servers(context, &notice).await;
+            refresh_for_term(context, &notice).await;
             None
         }
         Body::HoldRequest(request) => Some(Body::HoldAnswer(hold(context, &request).await)),
@@ -87,14 +87,14 @@
 }
 
 /// Asks a group's servers at once, since another owner says that one of them leads a new term.
-async fn look_at_servers(context: &Context, notice: &TermNotice) {
+async fn refresh_for_term(context: &Context, notice: &TermNotice) {
     let id = GroupId::new(notice.service.as_str(), notice.group.as_str());
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return };
     if group.view.read().term.0 >= notice.term {
         return;
     }
-    ask_all(&group).await;
+    query_all_servers(&group).await;
 }
 
 /// Holds new transactions of a group back, or lets them go on.
@@ -106,7 +106,7 @@
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return HoldAnswer { running: 0 } };
     if request.hold_ms == 0 {
-        ask_all(&group).await;
+        query_all_servers(&group).await;
         group.view.write().held_until = None;
         group.changed.notify_waiters();
     } else {
@@ -117,8 +117,9 @@
     HoldAnswer { running }
 }
 
-async fn ask_all(group: &GroupState) {
-    let asking = (0..group.links.len()).map(|index| group.ask(ServerId::from_index(index)));
+async fn query_all_servers(group: &GroupState) {
+    let asking =
+        (0..group.links.len()).map(|index| group.query_status(ServerId::from_index(index)));
     futures::future::join_all(asking).await;
 }
 
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -16,7 +16,7 @@
 use crate::{
     context::Context,
     endpoint_connection::{AnswerSink, CancelKey, JobAnswer, Proof, RunError, RunOptions},
-    group_state::{GroupOptionsInForce, GroupState, WritingGuard},
+    group_state::{GroupConfiguration, GroupState, WritingGuard},
     group_view::GroupView,
     pool::PooledConnection,
 };
@@ -79,7 +79,7 @@
     pub(crate) group: &'a Arc<GroupState>,
     running: &'a Running,
     pub(crate) job: &'a Job,
-    pub(crate) in_force: &'a GroupOptionsInForce,
+    pub(crate) in_force: &'a GroupConfiguration,
     pub(crate) deadline: Instant,
 }
 
--- a/crates/daemon/src/failover_duty.rs
+++ b/crates/daemon/src/failover_duty.rs
@@ -170,7 +170,7 @@
                 FailoverEvent::Sealed { statuses: self.seal(term).await }
             }
             FailoverStep::Promote { server, term } => {
-                match self.group.tell(server, Dialect::promote(term)).await {
+                match self.group.run_statement(server, Dialect::promote(term)).await {
                     Ok(answer) if answer.status.leads() => {
                         self.tell_owners(term);
                         FailoverEvent::Promoted
@@ -261,13 +261,12 @@
         let step = self.group.in_force.load().configuration.failover.step_timeout_ms;
         let mut until = tokio::time::Instant::now() + Duration::from_millis(step);
         let majority = self.group.links.len() / 2 + 1;
-        let mut sealing: FuturesUnordered<_> =
-            (0..self.group.links.len())
-                .map(ServerId::from_index)
-                .map(|server| async move {
-                    (server, self.group.tell(server, Dialect::seal(term)).await)
-                })
-                .collect();
+        let mut sealing: FuturesUnordered<_> = (0..self.group.links.len())
+            .map(ServerId::from_index)
+            .map(|server| async move {
+                (server, self.group.run_statement(server, Dialect::seal(term)).await)
+            })
+            .collect();
         let mut sealed = Vec::new();
         while let Ok(Some((server, answer))) = tokio::time::timeout_at(until, sealing.next()).await
         {
@@ -308,7 +307,9 @@
                 continue;
             }
             let group = self.group.clone();
-            tokio::spawn(async move { group.tell(server, Dialect::follow(term, address)).await });
+            tokio::spawn(async move {
+                group.run_statement(server, Dialect::follow(term, address)).await
+            });
         }
     }
 }
--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     context::Context,
-    control_link::{ControlLink, LinkError, StatusAnswer},
+    control_link::{ControlLink, ControlLinkError, StatusAnswer},
     group_view::GroupView,
     pool::ServerPool,
     read_index::ReadIndex,
@@ -28,7 +28,7 @@
 
 /// The parts of the configuration that a group's work depends on.
 #[derive(Clone, Debug)]
-pub(crate) struct GroupOptionsInForce {
+pub(crate) struct GroupConfiguration {
     pub(crate) group: Arc<Group>,
     pub(crate) service: Arc<Service>,
     pub(crate) configuration: Arc<Configuration>,
@@ -37,7 +37,7 @@
 /// A group with everything that this daemon keeps for it.
 pub(crate) struct GroupState {
     pub(crate) id: GroupId,
-    pub(crate) in_force: ArcSwap<GroupOptionsInForce>,
+    pub(crate) in_force: ArcSwap<GroupConfiguration>,
     pub(crate) view: RwLock<GroupView>,
     /// Told when the primary or the term changes.
     pub(crate) changed: Notify,
@@ -47,13 +47,13 @@
     pub(crate) retries: Mutex<RetryBudget>,
     /// Writing transactions and writes that run now.
     pub(crate) writing: AtomicU32,
-    turn: AtomicU64,
+    next_sequence: AtomicU64,
     used_at: Mutex<Instant>,
 }
 
 /// What the other servers are to confirm.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EvidenceQuestion<'a> {
+pub(crate) struct EvidenceRequest<'a> {
     /// What an acknowledgement waits for.
     pub(crate) rule: Acknowledge,
     /// Where the write, or the position asked about, stands.
@@ -66,22 +66,22 @@
     pub(crate) deadline: Instant,
 }
 
-impl EvidenceQuestion<'_> {
-    fn judge(&self, answers: &[Arc<ServerStatus>], servers: usize) -> Evidence {
+impl EvidenceRequest<'_> {
+    fn assess(&self, answers: &[Arc<ServerStatus>], servers: usize) -> Evidence {
         let others: Vec<OtherServerStatus<'_>> =
             answers.iter().map(|status| OtherServerStatus { status }).collect();
         assess_evidence(self.rule, self.point, self.primary_status, &others, servers)
     }
 }
 
-/// An interval between two rounds of questions for evidence that was not there yet.
+/// An interval between two rounds of requests for evidence that was not there yet.
 const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl GroupState {
     /// Makes the group's state, with its links on the watch runtime.
     pub(crate) fn new(
         context: &Context,
-        in_force: GroupOptionsInForce,
+        in_force: GroupConfiguration,
         watch: &Handle,
     ) -> Arc<GroupState> {
         let _runtime = watch.enter();
@@ -127,7 +127,7 @@
             read_index,
             retries: Mutex::new(RetryBudget::new(retry_percent)),
             writing: AtomicU32::new(0),
-            turn: AtomicU64::new(0),
+            next_sequence: AtomicU64::new(0),
             used_at: Mutex::new(now),
         });
         tokio::spawn(crate::read_index::serve(Arc::downgrade(&group), index_requests));
@@ -145,26 +145,29 @@
     }
 
     /// Asks a server for its status and notes the answer, or the silence.
-    pub(crate) async fn ask(&self, server: ServerId) -> Result<StatusAnswer, LinkError> {
+    pub(crate) async fn query_status(
+        &self,
+        server: ServerId,
+    ) -> Result<StatusAnswer, ControlLinkError> {
         let answer = self.links[server.index()].status().await;
-        self.note(server, &answer);
+        self.record_answer(server, &answer);
         answer
     }
 
     /// Tells a server to change its standing and notes the answer.
-    pub(crate) async fn tell(
+    pub(crate) async fn run_statement(
         &self,
         server: ServerId,
         statement: String,
-    ) -> Result<StatusAnswer, LinkError> {
+    ) -> Result<StatusAnswer, ControlLinkError> {
         let answer = self.links[server.index()].call(statement).await;
         if answer.is_ok() {
-            self.note(server, &answer);
+            self.record_answer(server, &answer);
         }
         answer
     }
 
-    fn note(&self, server: ServerId, answer: &Result<StatusAnswer, LinkError>) {
+    fn record_answer(&self, server: ServerId, answer: &Result<StatusAnswer, ControlLinkError>) {
         match answer {
             Ok(answer) => self.record_status(server, answer.status.clone(), answer.asked_at),
             Err(_) => self.view.write().record_silence(server, Instant::now()),
@@ -196,8 +199,8 @@
     }
 
     /// Returns a number that changes from call to call.
-    pub(crate) fn next_turn(&self) -> u64 {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_sequence(&self) -> u64 {
+        self.next_sequence.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Lists the servers as the choice for a read needs them.
@@ -228,11 +231,11 @@
     }
 
     /// Waits until enough other servers confirm a write or a position of the primary.
-    pub(crate) async fn evidence(&self, question: EvidenceQuestion<'_>) -> Evidence {
+    pub(crate) async fn wait_for_evidence(&self, request: EvidenceRequest<'_>) -> Evidence {
         loop {
-            match self.evidence_round(&question).await {
+            match self.query_evidence(&request).await {
                 Evidence::Insufficient
-                    if self.links.len() > 1 && Instant::now() < question.deadline =>
+                    if self.links.len() > 1 && Instant::now() < request.deadline =>
                 {
                     tokio::time::sleep(EVIDENCE_INTERVAL).await;
                 }
@@ -242,23 +245,23 @@
     }
 
     /// Asks every other server once, ending as soon as the answers suffice.
-    async fn evidence_round(&self, question: &EvidenceQuestion<'_>) -> Evidence {
+    async fn query_evidence(&self, request: &EvidenceRequest<'_>) -> Evidence {
         let servers = self.links.len();
         let mut answers: Vec<Arc<ServerStatus>> = Vec::with_capacity(servers);
-        let mut asking: FuturesUnordered<_> = (0..servers)
+        let mut queries: FuturesUnordered<_> = (0..servers)
             .map(ServerId::from_index)
-            .filter(|server| *server != question.primary)
-            .map(|server| self.ask(server))
+            .filter(|server| *server != request.primary)
+            .map(|server| self.query_status(server))
             .collect();
-        let until = tokio::time::Instant::from_std(question.deadline);
-        let mut evidence = question.judge(&answers, servers);
+        let until = tokio::time::Instant::from_std(request.deadline);
+        let mut evidence = request.assess(&answers, servers);
         while evidence == Evidence::Insufficient {
-            match tokio::time::timeout_at(until, asking.next()).await {
+            match tokio::time::timeout_at(until, queries.next()).await {
                 Ok(Some(Ok(answer))) => answers.push(answer.status),
                 Ok(Some(Err(_))) => continue,
                 Ok(None) | Err(_) => return evidence,
             }
-            evidence = question.judge(&answers, servers);
+            evidence = request.assess(&answers, servers);
         }
         evidence
     }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -9,42 +9,42 @@
 use failover::Evidence;
 use model::LogPoint;
 
-use crate::group_state::{EvidenceQuestion, GroupState};
+use crate::group_state::{EvidenceRequest, GroupState};
 
 /// Requests that may wait for the next round.
-const RING_REQUESTS: usize = 4_096;
+const MAX_QUEUED_REQUESTS: usize = 4_096;
 
 /// How long one round may take.
 const ROUND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why there is no index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoIndex {
+pub(crate) enum ReadIndexError {
     /// No primary is known, or it does not answer.
     NoPrimary,
     /// Too few servers confirm that it still leads.
     NotConfirmed,
 }
 
-type IndexReply = flume::Sender<Result<LogPoint, NoIndex>>;
+type IndexReply = flume::Sender<Result<LogPoint, ReadIndexError>>;
 
 /// The asking end.
 #[derive(Debug)]
 pub(crate) struct ReadIndex {
-    ring: flume::Sender<IndexReply>,
+    requests: flume::Sender<IndexReply>,
 }
 
 impl ReadIndex {
     pub(crate) fn new() -> (ReadIndex, flume::Receiver<IndexReply>) {
-        let (ring, requests) = flume::bounded(RING_REQUESTS);
-        (ReadIndex { ring }, requests)
+        let (sender, requests) = flume::bounded(MAX_QUEUED_REQUESTS);
+        (ReadIndex { requests: sender }, requests)
     }
 
     /// Returns a point that covers everything acknowledged before the call.
-    pub(crate) async fn get(&self) -> Result<LogPoint, NoIndex> {
+    pub(crate) async fn get(&self) -> Result<LogPoint, ReadIndexError> {
         let (reply, answer) = flume::bounded(1);
-        self.ring.send_async(reply).await.map_err(|_| NoIndex::NoPrimary)?;
-        answer.recv_async().await.map_err(|_| NoIndex::NoPrimary)?
+        self.requests.send_async(reply).await.map_err(|_| ReadIndexError::NoPrimary)?;
+        answer.recv_async().await.map_err(|_| ReadIndexError::NoPrimary)?
     }
 }
 
@@ -62,20 +62,20 @@
     }
 }
 
-async fn round(group: &Arc<GroupState>) -> Result<LogPoint, NoIndex> {
-    let primary = group.view.read().primary.ok_or(NoIndex::NoPrimary)?;
-    let answer = group.ask(primary).await.map_err(|_| NoIndex::NoPrimary)?;
+async fn round(group: &Arc<GroupState>) -> Result<LogPoint, ReadIndexError> {
+    let primary = group.view.read().primary.ok_or(ReadIndexError::NoPrimary)?;
+    let answer = group.query_status(primary).await.map_err(|_| ReadIndexError::NoPrimary)?;
     let point = answer.status.held();
-    let question = EvidenceQuestion {
+    let request = EvidenceRequest {
         rule: Acknowledge::Term,
         point,
         primary,
         primary_status: &answer.status,
         deadline: Instant::now() + ROUND_TIMEOUT,
     };
-    let evidence = group.evidence(question).await;
+    let evidence = group.wait_for_evidence(request).await;
     if evidence != Evidence::Sufficient {
-        return Err(NoIndex::NotConfirmed);
+        return Err(ReadIndexError::NotConfirmed);
     }
     group.view.write().samples.add(answer.asked_at, point);
     Ok(point)
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -11,9 +11,9 @@
 use crate::{
     endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
     executor::{JobEnd, JobRun, NO_FRESH_RETRY_MS, Pinned},
-    group_state::EvidenceQuestion,
+    group_state::EvidenceRequest,
     pool::PooledConnection,
-    read_index::NoIndex,
+    read_index::ReadIndexError,
 };
 
 /// A read is tried on at most this many servers.
@@ -116,7 +116,7 @@
             );
             match index.await {
                 Ok(Ok(point)) => return Ok(point),
-                Ok(Err(NoIndex::NoPrimary | NoIndex::NotConfirmed))
+                Ok(Err(ReadIndexError::NoPrimary | ReadIndexError::NotConfirmed))
                     if Instant::now() < self.deadline =>
                 {
                     self.group.wait_for_change(self.deadline).await;
@@ -149,7 +149,7 @@
             } else {
                 self.options().read_policy
             },
-            sequence: self.group.next_turn(),
+            sequence: self.group.next_sequence(),
             avoid,
         };
         route_read(&question, &candidates)
@@ -204,14 +204,14 @@
             return self.rejected(server, shown, connection, &answer);
         }
         if confirm && let Some(status) = &answer.status {
-            let question = EvidenceQuestion {
+            let request = EvidenceRequest {
                 rule: Acknowledge::Term,
                 point: status.held(),
                 primary: server,
                 primary_status: status,
                 deadline: self.deadline,
             };
-            if self.group.evidence(question).await != Evidence::Sufficient {
+            if self.group.wait_for_evidence(request).await != Evidence::Sufficient {
                 let refusal = Refusal::not_run(
                     RefusalReason::NoFreshServer,
                     "no second server confirms that the primary still leads",
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -11,7 +11,7 @@
 use crate::{
     endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
     executor::{JobEnd, JobRun, NO_FRESH_RETRY_MS, Pinned},
-    group_state::{EvidenceQuestion, WritingGuard},
+    group_state::{EvidenceRequest, WritingGuard},
 };
 
 /// PostgreSQL's code for a write that a server refused because it does not take writes.
@@ -85,7 +85,7 @@
             }
             if self.was_refused_as_sealed(&answer) && !sink.has_begun() {
                 // The server refused the statement with proof, so it may run on the next primary.
-                let _ = self.group.ask(server).await;
+                let _ = self.group.query_status(server).await;
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
             }
@@ -153,7 +153,7 @@
             WriteStatus::UnknownTerm => {
                 // The token knows of a newer term than this daemon; the servers are asked.
                 for index in 0..self.group.links.len() {
-                    let _ = self.group.ask(ServerId::from_index(index)).await;
+                    let _ = self.group.query_status(ServerId::from_index(index)).await;
                 }
                 if self.group.view.read().term >= seen.term {
                     return Ok(());
@@ -201,14 +201,14 @@
         let write = LogPoint { term, position: status.held_position };
         let started = Instant::now();
         let wait = Duration::from_millis(self.options().acknowledge_timeout_ms);
-        let question = EvidenceQuestion {
+        let request = EvidenceRequest {
             rule,
             point: write,
             primary: server,
             primary_status: status,
             deadline: started + wait,
         };
-        let evidence = self.group.evidence(question).await;
+        let evidence = self.group.wait_for_evidence(request).await;
         let service = &*self.group.id.service;
         let seconds = started.elapsed().as_secs_f64();
         self.context.metrics.evidence_seconds.with_label_values(&[service]).observe(seconds);
--- a/crates/daemon/src/switch_duty.rs
+++ b/crates/daemon/src/switch_duty.rs
@@ -125,7 +125,7 @@
 async fn caught_up(group: &GroupState, target: ServerId) -> bool {
     let Some(primary) = group.view.read().primary else { return false };
     let position = async |server: ServerId| -> Option<Position> {
-        group.ask(server).await.ok().map(|answer| answer.status.held_position)
+        group.query_status(server).await.ok().map(|answer| answer.status.held_position)
     };
     let led = position(primary).await;
     let held = position(target).await;
--- a/crates/daemon/src/watch_duty.rs
+++ b/crates/daemon/src/watch_duty.rs
@@ -143,7 +143,7 @@
             known.silent_since.is_some()
                 || known.asked_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
         };
-        if due && group.ask(server).await.is_err_and(|error| error.is_shutting_down()) {
+        if due && group.query_status(server).await.is_err_and(|error| error.is_shutting_down()) {
             // A server that shuts down says so before the platform's list does.
             let address = group.in_force.load().group.servers[server.index()].address;
             context.leaving.write().mark_leaving(address, Instant::now());
@@ -254,7 +254,7 @@
     };
     let address = group.in_force.load().group.servers[primary.index()].address;
     for server in lost {
-        let told = group.tell(server, Dialect::follow(term, address)).await;
+        let told = group.run_statement(server, Dialect::follow(term, address)).await;
         log::info!(
             group = group.id.to_string().as_str(), server = server.0, done = told.is_ok();
             "a server was told to follow the primary"
