--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -31,7 +31,7 @@
             refresh_for_term(context, &notice).await;
             None
         }
-        Body::HoldRequest(request) => Some(Body::HoldAnswer(hold(context, &request).await)),
+        Body::HoldRequest(request) => Some(Body::HoldAnswer(set_hold(context, &request).await)),
         _ => None,
     }
 }
@@ -77,11 +77,11 @@
     let in_force = group.in_force.load();
     let rules = &in_force.configuration.failover;
     // An answer from before the primary fell silent says nothing of it now.
-    let lately = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
+    let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
     let view = group.view.read();
     let reachable = view.primary.is_some_and(|primary| {
         let asked_at = view.servers[primary.index()].asked_at;
-        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < lately)
+        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < max_age)
     });
     ViewAnswer { reachable, term: view.term.0 }
 }
@@ -101,7 +101,7 @@
 ///
 /// Before they go on, the servers are asked: a transaction that began at the old primary, because
 /// the news had not come yet, would fail.
-pub(crate) async fn hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
+pub(crate) async fn set_hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
     let id = GroupId::new(request.service.as_str(), request.group.as_str());
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return HoldAnswer { running: 0 } };
@@ -118,9 +118,9 @@
 }
 
 async fn query_all_servers(group: &GroupState) {
-    let asking =
+    let queries =
         (0..group.links.len()).map(|index| group.query_status(ServerId::from_index(index)));
-    futures::future::join_all(asking).await;
+    futures::future::join_all(queries).await;
 }
 
 /// Notes what another owner wants of the groups that it shares with this daemon.
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -23,14 +23,14 @@
 
 use crate::{
     caller_session::serve_caller,
-    configuration_duty::{keep_configuration, read_hosts, watch_head},
+    configuration_sync::{keep_configuration, read_hosts, watch_head},
     context::{Context, ContextParts},
     gossip::{gossip, spread},
+    group_watch::watch_groups,
     operator::{bind_operators, serve_operators},
     peers::Peers,
     relay::RelayServer,
     show::{ShowReport, show_report},
-    watch_duty::watch_groups,
 };
 
 /// News that may wait for the configuration task.
@@ -60,9 +60,9 @@
         let addresses = Addresses::read(&settings)?;
         let tls = read_tls(&settings)?;
         let serve = serve_runtime(&settings)?;
-        let watch = duty_runtime("watch")?;
-        let control = duty_runtime("control")?;
-        let operator = duty_runtime("operator")?;
+        let watch = single_thread_runtime("watch")?;
+        let control = single_thread_runtime("control")?;
+        let operator = single_thread_runtime("operator")?;
         let (exporter, sink) =
             SpanExporter::new(settings.trace.otlp_address, settings.daemon.host.to_string());
         spawn("trace", move || exporter.run())?;
@@ -281,7 +281,7 @@
 }
 
 /// Makes the runtime of a duty with a single thread.
-fn duty_runtime(name: &str) -> eyre::Result<Runtime> {
+fn single_thread_runtime(name: &str) -> eyre::Result<Runtime> {
     Ok(Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()?)
 }
 
--- a/crates/daemon/src/failover_duty.rs
+++ b/crates/daemon/src/failover_runner.rs
@@ -23,7 +23,7 @@
 
 /// Why the primary is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DriveReason {
+pub(crate) enum FailoverReason {
     /// It has failed.
     Failure,
     /// Operators or the platform take it out.
@@ -37,62 +37,62 @@
 const SEAL_GRACE: Duration = Duration::from_millis(20);
 
 /// A step count that no sound change of primary comes near; it ends a driver that goes in circles.
-const MOST_STEPS: usize = 64;
+const MAX_STEPS: usize = 64;
 
 /// The changes of one group's primary, as far as this daemon drives them.
-pub(crate) struct FailoverDuty<P> {
+pub(crate) struct FailoverRunner<P> {
     context: Arc<Context>,
     store: Arc<P>,
     group: Arc<GroupState>,
     peers: Arc<Peers>,
     /// The record last read and when it was first seen, to tell whether its driver has stalled.
-    seen: Option<(LeadershipRecord, Instant)>,
-    complained_at: Option<Instant>,
+    last_record: Option<(LeadershipRecord, Instant)>,
+    warned_at: Option<Instant>,
 }
 
 /// A standing complaint is written to the log this often.
-const COMPLAINT_INTERVAL: Duration = Duration::from_secs(10);
+const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-impl<P: KeyValueStore + 'static> FailoverDuty<P> {
+impl<P: KeyValueStore + 'static> FailoverRunner<P> {
     pub(crate) fn new(
         context: Arc<Context>,
         store: Arc<P>,
         group: Arc<GroupState>,
         peers: Arc<Peers>,
-    ) -> FailoverDuty<P> {
-        FailoverDuty { context, store, group, peers, seen: None, complained_at: None }
+    ) -> FailoverRunner<P> {
+        FailoverRunner { context, store, group, peers, last_record: None, warned_at: None }
     }
 
     /// Writes to the log that nothing can be promoted, now and then.
-    pub(crate) fn note_no_majority(&mut self) {
-        self.complain("too few servers answer to choose a new primary");
+    pub(crate) fn warn_no_majority(&mut self) {
+        self.warn_throttled("too few servers answer to choose a new primary");
     }
 
-    fn complain(&mut self, message: &str) {
-        let due = self.complained_at.is_none_or(|at| at.elapsed() >= COMPLAINT_INTERVAL);
+    fn warn_throttled(&mut self, message: &str) {
+        let due = self.warned_at.is_none_or(|at| at.elapsed() >= WARNING_INTERVAL);
         if due {
-            self.complained_at = Some(Instant::now());
+            self.warned_at = Some(Instant::now());
             log::warn!(group = self.group.id.to_string().as_str(); "{message}");
         }
     }
 
     /// Drives a change until it is over, one way or another.
-    pub(crate) async fn drive(&mut self, reason: DriveReason) -> FailoverOutcome {
+    pub(crate) async fn run(&mut self, reason: FailoverReason) -> FailoverOutcome {
         let claim_id = format!("{}-{:016x}", self.context.host(), rand::random::<u64>());
         let host = self.context.host().to_string();
         let mut driver =
-            FailoverDriver::new(self.driver_group(reason), host, claim_id, self.highest_term());
+            FailoverDriver::new(self.failover_group(reason), host, claim_id, self.highest_term());
         let began = Instant::now();
-        let mut ending = FailoverOutcome::PromotionFailed;
-        for _ in 0..MOST_STEPS {
+        let mut outcome = FailoverOutcome::PromotionFailed;
+        for _ in 0..MAX_STEPS {
             let stage = driver.stage();
             let step = driver.step().clone();
-            if let FailoverStep::Done(found) = step {
-                ending = found;
+            if let FailoverStep::Done(result) = step {
+                outcome = result;
                 break;
             }
             let step_began = Instant::now();
-            let event = self.carry_out(step).await;
+            let event = self.run_step(step).await;
             let seconds = step_began.elapsed().as_secs_f64();
             let metrics = &self.context.metrics;
             metrics.failover_seconds.with_label_values(&[stage.as_str()]).observe(seconds);
@@ -103,34 +103,34 @@
             );
             driver.on_event(event);
         }
-        self.report(ending, began);
-        ending
+        self.report(outcome, began);
+        outcome
     }
 
-    fn report(&mut self, ending: FailoverOutcome, began: Instant) {
-        let word = match ending {
+    fn report(&mut self, outcome: FailoverOutcome, began: Instant) {
+        let label = match outcome {
             FailoverOutcome::Promoted { .. } => "opened",
             FailoverOutcome::DrivenElsewhere => "left_to_other",
             FailoverOutcome::StoreUnreachable => "store_unreachable",
             FailoverOutcome::NoMajority => "no_majority",
             FailoverOutcome::PromotionFailed => "promotion_failed",
         };
-        self.context.metrics.promotions.with_label_values(&[word]).inc();
-        match ending {
+        self.context.metrics.promotions.with_label_values(&[label]).inc();
+        match outcome {
             FailoverOutcome::Promoted { primary, term } => log::warn!(
                 group = self.group.id.to_string().as_str(), server = primary.0, term = term.0,
                 took_ms = began.elapsed().as_millis() as u64;
                 "a new primary leads"
             ),
             FailoverOutcome::DrivenElsewhere => {}
-            _ => self.complain(&format!("the primary could not be changed: {word}")),
+            _ => self.warn_throttled(&format!("the primary could not be changed: {label}")),
         }
     }
 
-    fn driver_group(&self, reason: DriveReason) -> FailoverGroup {
+    fn failover_group(&self, reason: FailoverReason) -> FailoverGroup {
         let in_force = self.group.in_force.load();
         let servers = &in_force.group.servers;
-        let mut unwanted: Vec<ServerId> = servers
+        let mut avoid: Vec<ServerId> = servers
             .iter()
             .enumerate()
             .filter(|(_, server)| {
@@ -140,15 +140,15 @@
             .collect();
         let primary = self.group.view.read().primary;
         let (preferred, failed) = match reason {
-            DriveReason::Failure => (None, primary),
-            DriveReason::Switch { target } => {
-                unwanted.extend(primary);
+            FailoverReason::Failure => (None, primary),
+            FailoverReason::Switch { target } => {
+                avoid.extend(primary);
                 (Some(target), None)
             }
         };
         FailoverGroup {
             servers: servers.iter().map(|server| server.name.to_string()).collect(),
-            avoid: unwanted,
+            avoid,
             preferred,
             failed,
         }
@@ -160,7 +160,7 @@
         view.term.max(promised.unwrap_or_default())
     }
 
-    async fn carry_out(&mut self, step: FailoverStep) -> FailoverEvent {
+    async fn run_step(&mut self, step: FailoverStep) -> FailoverEvent {
         match step {
             FailoverStep::ReadRecord => self.read_record().await,
             FailoverStep::WriteRecord { expected_version, record } => {
@@ -172,7 +172,7 @@
             FailoverStep::Promote { server, term } => {
                 match self.group.run_statement(server, Dialect::promote(term)).await {
                     Ok(answer) if answer.status.leads() => {
-                        self.tell_owners(term);
+                        self.notify_owners(term);
                         FailoverEvent::Promoted
                     }
                     _ => FailoverEvent::PromotionFailed,
@@ -209,18 +209,18 @@
 
     /// Whether nobody is at work on a record: its change is over, or it has stood still for long.
     fn has_stalled(&mut self, record: &LeadershipRecord) -> bool {
-        let over =
+        let finished =
             record.stage != RecordStage::Claimed && self.group.view.read().term >= record.term;
-        if over {
+        if finished {
             return true;
         }
-        let takeover = self.group.in_force.load().configuration.failover.takeover_after_ms;
-        match &self.seen {
+        let takeover_ms = self.group.in_force.load().configuration.failover.takeover_after_ms;
+        match &self.last_record {
             Some((seen, since)) if seen == record => {
-                since.elapsed() >= Duration::from_millis(takeover)
+                since.elapsed() >= Duration::from_millis(takeover_ms)
             }
             _ => {
-                self.seen = Some((record.clone(), Instant::now()));
+                self.last_record = Some((record.clone(), Instant::now()));
                 false
             }
         }
@@ -258,8 +258,8 @@
 
     /// Seals every server that answers; once a majority has, the rest get little time.
     async fn seal(&self, term: Term) -> Vec<(ServerId, ServerStatus)> {
-        let step = self.group.in_force.load().configuration.failover.step_timeout_ms;
-        let mut until = tokio::time::Instant::now() + Duration::from_millis(step);
+        let step_timeout_ms = self.group.in_force.load().configuration.failover.step_timeout_ms;
+        let mut until = tokio::time::Instant::now() + Duration::from_millis(step_timeout_ms);
         let majority = self.group.links.len() / 2 + 1;
         let mut sealing: FuturesUnordered<_> = (0..self.group.links.len())
             .map(ServerId::from_index)
@@ -280,7 +280,7 @@
     }
 
     /// Tells the other owners that there is a new primary, so that none waits for its heartbeat.
-    fn tell_owners(&self, term: Term) {
+    fn notify_owners(&self, term: Term) {
         let notice = TermNotice {
             service: self.group.id.service.to_string(),
             group: self.group.id.group.to_string(),
--- a/crates/daemon/src/watch_duty.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -14,49 +14,53 @@
 use crate::{
     context::Context,
     dialect::{Dialect, ServerDialect},
-    failover_duty::{DriveReason, FailoverDuty},
+    failover_runner::{FailoverReason, FailoverRunner},
     gossip::ask,
     group_state::GroupState,
     peers::Peers,
-    switch_duty::switch_primary,
+    planned_switch::switch_primary,
 };
 
 /// How often the groups to be watched are looked up.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const GROUP_SCAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A group that is neither owned nor used for this long is given up.
-const UNUSED_KEPT: Duration = Duration::from_secs(5);
+const UNUSED_GROUP_TTL: Duration = Duration::from_secs(5);
 
 /// Starts and ends the watch of each group.
 pub(crate) async fn watch_groups<P: KeyValueStore + 'static>(context: Arc<Context>, store: Arc<P>) {
     let timeout = Duration::from_millis(context.settings.control.peer_timeout_ms);
     let peers = Arc::new(Peers::new(timeout));
     let mut watched: HashSet<GroupId> = HashSet::new();
-    let mut taken_up = None;
+    let mut scanned_version = None;
     loop {
         // With many groups configured, looking at all of them is only worth it after a change.
         let version = context.ownership_version();
-        if taken_up.replace(version) != Some(version) {
-            take_up_owned(&context);
+        if scanned_version.replace(version) != Some(version) {
+            load_owned_groups(&context);
         }
-        give_up_unused(&context);
+        drop_unused_groups(&context);
         let held = context.held_groups();
         watched.retain(|id| held.iter().any(|group| group.id == *id));
         for group in held {
             if watched.insert(group.id.clone()) {
                 context.share_connections(&group);
-                let duty =
-                    FailoverDuty::new(context.clone(), store.clone(), group.clone(), peers.clone());
-                tokio::spawn(watch_group(context.clone(), peers.clone(), group, duty));
+                let failover = FailoverRunner::new(
+                    context.clone(),
+                    store.clone(),
+                    group.clone(),
+                    peers.clone(),
+                );
+                tokio::spawn(watch_group(context.clone(), peers.clone(), group, failover));
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(GROUP_SCAN_INTERVAL).await;
     }
 }
 
 /// Takes up the groups that this daemon is to own. Until it knows the other daemons it would take all
 /// of them for its own, and hold connections that the true owners need.
-fn take_up_owned(context: &Context) {
+fn load_owned_groups(context: &Context) {
     if context.members.load().all().is_empty() {
         return;
     }
@@ -69,12 +73,12 @@
     }
 }
 
-fn give_up_unused(context: &Context) {
+fn drop_unused_groups(context: &Context) {
     let unused: Vec<Arc<GroupState>> = context
         .held_groups()
         .into_iter()
         .filter(|group| {
-            group.unused_for() > UNUSED_KEPT && !context.owns(&group.in_force.load().group)
+            group.unused_for() > UNUSED_GROUP_TTL && !context.owns(&group.in_force.load().group)
         })
         .collect();
     for group in unused {
@@ -97,7 +101,7 @@
     context: Arc<Context>,
     peers: Arc<Peers>,
     group: Arc<GroupState>,
-    mut duty: FailoverDuty<P>,
+    mut failover: FailoverRunner<P>,
 ) {
     tokio::spawn(sample_primary(context.clone(), group.clone()));
     for server in (0..group.links.len()).map(ServerId::from_index) {
@@ -109,7 +113,7 @@
         let suspicion =
             SuspicionRules { suspect_after: Duration::from_millis(rules.suspect_after_ms) };
         if context.owns(&in_force.group) && !context.is_stopping() {
-            look_after(&context, &peers, &group, &mut duty, suspicion).await;
+            check_primary(&context, &peers, &group, &mut failover, suspicion).await;
         }
         let limits = &in_force.configuration.limits;
         for pool in &group.pools {
@@ -153,40 +157,40 @@
 }
 
 /// Judges the primary and repairs what is wrong.
-async fn look_after<P: KeyValueStore + 'static>(
+async fn check_primary<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
     group: &Arc<GroupState>,
-    duty: &mut FailoverDuty<P>,
+    failover: &mut FailoverRunner<P>,
     rules: SuspicionRules,
 ) {
-    let health = primary_health(group, rules);
-    let mut judged = assess_primary(rules, &health, None);
-    if judged == PrimaryAssessment::AskOwners {
+    let observation = observe_primary(group, rules);
+    let mut assessment = assess_primary(rules, &observation, None);
+    if assessment == PrimaryAssessment::AskOwners {
         let others = other_views(context, peers, group).await;
-        judged = assess_primary(rules, &health, Some(&others));
+        assessment = assess_primary(rules, &observation, Some(&others));
     }
-    match judged {
+    match assessment {
         PrimaryAssessment::Failed => {
-            let silent_ms = health.silent_for.map_or(0, |silent| silent.as_millis() as u64);
+            let silent_ms = observation.silent_for.map_or(0, |silent| silent.as_millis() as u64);
             log::warn!(
                 group = group.id.to_string().as_str(), silent_ms,
-                leaderless = !health.has_leader;
+                leaderless = !observation.has_leader;
                 "the primary is taken to have failed"
             );
-            duty.drive(DriveReason::Failure).await;
+            failover.run(FailoverReason::Failure).await;
         }
-        PrimaryAssessment::NoMajority => duty.note_no_majority(),
+        PrimaryAssessment::NoMajority => failover.warn_no_majority(),
         PrimaryAssessment::Healthy | PrimaryAssessment::AskOwners => {
-            restore_followers(group, rules).await;
+            reattach_followers(group, rules).await;
             if primary_is_leaving(context, group) {
-                switch_primary(context, peers, group, duty).await;
+                switch_primary(context, peers, group, failover).await;
             }
         }
     }
 }
 
-fn primary_health(group: &GroupState, rules: SuspicionRules) -> PrimaryObservation {
+fn observe_primary(group: &GroupState, rules: SuspicionRules) -> PrimaryObservation {
     let view = group.view.read();
     let now = Instant::now();
     let primary = view.primary;
@@ -219,7 +223,7 @@
     let owners = context.owners_of(&group.in_force.load().group);
     let request =
         ViewRequest { service: group.id.service.to_string(), group: group.id.group.to_string() };
-    let asking = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
+    let requests = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
         let request = request.clone();
         async move {
             match ask(context, peers, owner.peer_address, Body::ViewRequest(request)).await {
@@ -229,40 +233,40 @@
             }
         }
     });
-    futures::future::join_all(asking).await
+    futures::future::join_all(requests).await
 }
 
 /// Makes servers follow the primary that don't: an old primary, or one that missed the change.
-async fn restore_followers(group: &GroupState, rules: SuspicionRules) {
-    let (primary, term, lost) = {
+async fn reattach_followers(group: &GroupState, rules: SuspicionRules) {
+    let (primary, term, detached) = {
         let view = group.view.read();
         let Some(primary) = view.primary else { return };
         if !view.is_responding(primary) {
             return;
         }
-        let lost: Vec<ServerId> = view
+        let detached: Vec<ServerId> = view
             .statuses()
             .filter(|(server, status)| {
                 *server != primary
                     && view.is_responding(*server)
                     && status.promised_term <= view.term
-                    && needs_leader(status, view.term, rules)
+                    && needs_follow(status, view.term, rules)
             })
             .map(|(server, _)| server)
             .collect();
-        (primary, view.term, lost)
+        (primary, view.term, detached)
     };
     let address = group.in_force.load().group.servers[primary.index()].address;
-    for server in lost {
-        let told = group.run_statement(server, Dialect::follow(term, address)).await;
+    for server in detached {
+        let outcome = group.run_statement(server, Dialect::follow(term, address)).await;
         log::info!(
-            group = group.id.to_string().as_str(), server = server.0, done = told.is_ok();
+            group = group.id.to_string().as_str(), server = server.0, done = outcome.is_ok();
             "a server was told to follow the primary"
         );
     }
 }
 
-fn needs_leader(status: &ServerStatus, term: model::Term, rules: SuspicionRules) -> bool {
+fn needs_follow(status: &ServerStatus, term: model::Term, rules: SuspicionRules) -> bool {
     let silent = status
         .leader_silence_ms
         .is_some_and(|silence| Duration::from_millis(silence) >= rules.suspect_after);
--- a/crates/daemon/src/switch_duty.rs
+++ b/crates/daemon/src/planned_switch.rs
@@ -12,15 +12,15 @@
 
 use crate::{
     context::Context,
-    control_messages::hold,
-    failover_duty::{DriveReason, FailoverDuty},
+    control_messages::set_hold,
+    failover_runner::{FailoverReason, FailoverRunner},
     gossip::ask,
     group_state::GroupState,
     peers::Peers,
 };
 
 /// How often running work and the target's position are looked at during a hold.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Replaces a leaving primary: holds new transactions back at every owner, lets running ones finish,
 /// waits for the target to hold everything, then promotes it.
@@ -30,7 +30,7 @@
     context: &Arc<Context>,
     peers: &Arc<Peers>,
     group: &Arc<GroupState>,
-    duty: &mut FailoverDuty<P>,
+    failover: &mut FailoverRunner<P>,
 ) {
     if !is_first_owner(context, group) {
         return;
@@ -40,10 +40,10 @@
     let until = Instant::now() + Duration::from_millis(hold_ms);
     let began = Instant::now();
     let drained = drain(context, peers, group, target, until).await;
-    let ending =
-        if drained { Some(duty.drive(DriveReason::Switch { target }).await) } else { None };
-    hold_everywhere(context, peers, group, 0).await;
-    let switched = matches!(ending, Some(FailoverOutcome::Promoted { .. }));
+    let outcome =
+        if drained { Some(failover.run(FailoverReason::Switch { target }).await) } else { None };
+    hold_at_all_owners(context, peers, group, 0).await;
+    let switched = matches!(outcome, Some(FailoverOutcome::Promoted { .. }));
     log::info!(
         group = group.id.to_string().as_str(), drained, switched,
         held_ms = began.elapsed().as_millis() as u64;
@@ -83,20 +83,20 @@
     while Instant::now() < until {
         let left = u64::try_from((until - Instant::now()).as_millis()).unwrap_or(u64::MAX);
         // The hold outlasts the drain by the time that the promotion itself may take.
-        let running = hold_everywhere(context, peers, group, left + PROMOTION_MS).await;
-        if running == Some(0) && caught_up(group, target).await {
+        let running = hold_at_all_owners(context, peers, group, left + PROMOTION_HOLD_MS).await;
+        if running == Some(0) && has_caught_up(group, target).await {
             return true;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     false
 }
 
 /// The time that a promotion under a hold may take.
-const PROMOTION_MS: u64 = 2_000;
+const PROMOTION_HOLD_MS: u64 = 2_000;
 
 /// Sets or ends the hold at every owner, returning what still runs; `None` if an owner is silent.
-async fn hold_everywhere(
+async fn hold_at_all_owners(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
     group: &GroupState,
@@ -108,7 +108,7 @@
         hold_ms,
     };
     let owners = context.owners_of(&group.in_force.load().group);
-    let asking = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
+    let requests = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
         let request = request.clone();
         async move {
             match ask(context, peers, owner.peer_address, Body::HoldRequest(request)).await {
@@ -117,17 +117,18 @@
             }
         }
     });
-    let (own, others) = futures::join!(hold(context, &request), futures::future::join_all(asking));
+    let (own, others) =
+        futures::join!(set_hold(context, &request), futures::future::join_all(requests));
     others.into_iter().try_fold(own.running, |running, other| Some(running + other?))
 }
 
 /// Whether the target holds everything that the primary has.
-async fn caught_up(group: &GroupState, target: ServerId) -> bool {
+async fn has_caught_up(group: &GroupState, target: ServerId) -> bool {
     let Some(primary) = group.view.read().primary else { return false };
     let position = async |server: ServerId| -> Option<Position> {
         group.query_status(server).await.ok().map(|answer| answer.status.held_position)
     };
-    let led = position(primary).await;
-    let held = position(target).await;
-    led.is_some() && held >= led
+    let primary_position = position(primary).await;
+    let target_position = position(target).await;
+    primary_position.is_some() && target_position >= primary_position
 }
