--- a/crates/daemon/src/configuration_store.rs
+++ b/crates/daemon/src/configuration_store.rs
@@ -8,12 +8,12 @@
 #[derive(Default)]
 struct Contents {
     head: Head,
-    chunks: HashMap<ChunkHash, Arc<ReadChunk>>,
+    chunks: HashMap<ChunkHash, Arc<ParsedChunk>>,
 }
 
 /// A chunk with what it says, so that it is read once and not with every change of another.
 #[derive(Debug)]
-pub(crate) struct ReadChunk {
+pub(crate) struct ParsedChunk {
     /// Its text.
     pub(crate) text: String,
     /// What it says.
@@ -33,12 +33,12 @@
     }
 
     /// Finds a chunk of the head in force.
-    pub(crate) fn chunk(&self, hash: &ChunkHash) -> Option<Arc<ReadChunk>> {
+    pub(crate) fn chunk(&self, hash: &ChunkHash) -> Option<Arc<ParsedChunk>> {
         self.contents.read().chunks.get(hash).cloned()
     }
 
     /// Takes over a newer head; chunks that it does not name are forgotten.
-    pub(crate) fn replace(&self, head: Head, mut chunks: HashMap<ChunkHash, Arc<ReadChunk>>) {
+    pub(crate) fn replace(&self, head: Head, mut chunks: HashMap<ChunkHash, Arc<ParsedChunk>>) {
         let mut contents = self.contents.write();
         if head.revision <= contents.head.revision {
             return;
--- a/crates/daemon/src/configuration_sync.rs
+++ b/crates/daemon/src/configuration_sync.rs
@@ -16,20 +16,20 @@
 
 use crate::{
     apply::{chunk_key, head_key},
-    configuration_store::ReadChunk,
-    context::{Context, News},
-    gossip::{ask, spread},
+    configuration_store::ParsedChunk,
+    context::{Context, PeerUpdate},
+    gossip::{call_peer, push_gossip},
     peers::Peers,
 };
 
 /// Daemons that do not watch the store look at it this often, should they hear from nobody.
-const UNWATCHED_LOOK: Duration = Duration::from_secs(60);
+const UNWATCHED_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How long a failed call to the store is waited after.
 const STORE_RETRY: Duration = Duration::from_millis(500);
 
 /// What the store's threads tell the configuration task.
-pub(crate) enum StoreNews {
+pub(crate) enum StoreUpdate {
     /// The head changed.
     Head(Entry),
     /// The host list was read.
@@ -40,14 +40,14 @@
 pub(crate) fn watch_head<P: KeyValueStore>(
     context: &Context,
     store: &P,
-    news: &flume::Sender<StoreNews>,
+    updates: &flume::Sender<StoreUpdate>,
 ) {
     let key = head_key(&context.settings.platform.prefix);
     let wait = Duration::from_millis(context.settings.platform.watch_wait_ms);
     let mut version = 0;
     let mut first = true;
     while !context.is_stopping() {
-        let watcher = watches(context);
+        let watcher = is_store_watcher(context);
         // The first look and the rare ones of a daemon that does not watch return at once.
         let found =
             if watcher && !first { store.watch(&key, version, wait) } else { store.get(&key) };
@@ -56,7 +56,7 @@
         match found {
             Ok(Some(entry)) if entry.version != version => {
                 version = entry.version;
-                if news.send(StoreNews::Head(entry)).is_err() {
+                if updates.send(StoreUpdate::Head(entry)).is_err() {
                     return;
                 }
             }
@@ -70,7 +70,7 @@
         }
         first = false;
         if !watcher {
-            pause(context, UNWATCHED_LOOK);
+            pause(context, UNWATCHED_POLL_INTERVAL);
         }
     }
 }
@@ -79,16 +79,16 @@
 pub(crate) fn read_hosts<P: HostList>(
     context: &Context,
     store: &P,
-    news: &flume::Sender<StoreNews>,
+    updates: &flume::Sender<StoreUpdate>,
 ) {
     let interval = Duration::from_millis(context.settings.platform.host_list_ms);
     while !context.is_stopping() {
         let first = context.members.load().all().is_empty();
-        if first || watches(context) {
+        if first || is_store_watcher(context) {
             context.metrics.store_calls.with_label_values(&["hosts"]).inc();
             match store.hosts() {
                 Ok((version, hosts)) => {
-                    if news.send(StoreNews::Hosts(version, hosts)).is_err() {
+                    if updates.send(StoreUpdate::Hosts(version, hosts)).is_err() {
                         return;
                     }
                 }
@@ -101,7 +101,7 @@
     }
 }
 
-fn watches(context: &Context) -> bool {
+fn is_store_watcher(context: &Context) -> bool {
     let count = usize::from(context.settings.platform.watchers);
     is_watcher(context.key, context.members.load().all(), count)
 }
@@ -119,26 +119,26 @@
 }
 
 /// Takes news from the store and from other daemons, one after the other.
-pub(crate) async fn keep_configuration<P: KeyValueStore + 'static>(
+pub(crate) async fn sync_configuration<P: KeyValueStore + 'static>(
     context: Arc<Context>,
     peers: Arc<Peers>,
     store: Arc<P>,
-    store_news: flume::Receiver<StoreNews>,
-    news: flume::Receiver<News>,
+    store_updates: flume::Receiver<StoreUpdate>,
+    updates: flume::Receiver<PeerUpdate>,
 ) {
     loop {
         tokio::select! {
-            told = store_news.recv_async() => match told {
-                Ok(StoreNews::Head(entry)) => take_head(&context, &peers, &store, &entry).await,
-                Ok(StoreNews::Hosts(version, hosts)) => take_hosts(&context, version, &hosts),
+            update = store_updates.recv_async() => match update {
+                Ok(StoreUpdate::Head(entry)) => apply_head(&context, &peers, &store, &entry).await,
+                Ok(StoreUpdate::Hosts(version, hosts)) => apply_hosts(&context, version, &hosts),
                 Err(_) => return,
             },
-            told = news.recv_async() => match told {
-                Ok(News::Configuration(address)) => fetch(&context, &peers, address).await,
-                Ok(News::HostList(address)) => fetch_hosts(&context, &peers, address).await,
-                Ok(News::Installed) => {
+            update = updates.recv_async() => match update {
+                Ok(PeerUpdate::Configuration(address)) => fetch_configuration(&context, &peers, address).await,
+                Ok(PeerUpdate::HostList(address)) => fetch_hosts(&context, &peers, address).await,
+                Ok(PeerUpdate::Installed) => {
                     let fanout = usize::from(context.settings.control.fanout);
-                    spread(&context, &peers, fanout).await;
+                    push_gossip(&context, &peers, fanout).await;
                 }
                 Err(_) => return,
             },
@@ -146,11 +146,11 @@
     }
 }
 
-type Chunks = HashMap<ChunkHash, Arc<ReadChunk>>;
+type Chunks = HashMap<ChunkHash, Arc<ParsedChunk>>;
 
 /// Takes a head that the store gave. The chunks that are missing come from other daemons where one
 /// has them, so that a zone that starts at once does not fall upon the store.
-async fn take_head<P: KeyValueStore + 'static>(
+async fn apply_head<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
     store: &Arc<P>,
@@ -164,12 +164,12 @@
         return;
     }
     let mut chunks = known_chunks(context, &head);
-    if missing(&head, &chunks).len() > MOST_FROM_STORE
-        && let Some(address) = any_other(context)
+    if missing_chunks(&head, &chunks).len() > MAX_CHUNKS_FROM_STORE
+        && let Some(address) = random_member(context)
     {
-        take_from_peer(context, peers, address, &head, &mut chunks).await;
+        fetch_chunks(context, peers, address, &head, &mut chunks).await;
     }
-    for hash in missing(&head, &chunks) {
+    for hash in missing_chunks(&head, &chunks) {
         let (store, key) = (store.clone(), chunk_key(&context.settings.platform.prefix, &hash));
         let found = tokio::task::spawn_blocking(move || store.get(&key)).await;
         context.metrics.store_calls.with_label_values(&["chunk"]).inc();
@@ -180,7 +180,7 @@
         if !text.is_some_and(|text| add_chunk(&mut chunks, &hash, text)) {
             log::warn!(revision = head.revision; "a chunk of the configuration can't be read yet");
             // The head was seen, but not taken; other daemons may have the rest.
-            spread(context, peers, 1).await;
+            push_gossip(context, peers, 1).await;
             return;
         }
     }
@@ -188,7 +188,7 @@
 }
 
 /// More missing chunks than this are asked for at another daemon first.
-const MOST_FROM_STORE: usize = 2;
+const MAX_CHUNKS_FROM_STORE: usize = 2;
 
 fn known_chunks(context: &Context, head: &Head) -> Chunks {
     let known = head
@@ -198,7 +198,7 @@
     known.collect()
 }
 
-fn missing(head: &Head, chunks: &Chunks) -> Vec<ChunkHash> {
+fn missing_chunks(head: &Head, chunks: &Chunks) -> Vec<ChunkHash> {
     head.chunks.iter().filter(|hash| !chunks.contains_key(hash)).cloned().collect()
 }
 
@@ -210,7 +210,7 @@
     }
     match read_part(&text) {
         Ok(part) => {
-            chunks.insert(hash.clone(), Arc::new(ReadChunk { text, part }));
+            chunks.insert(hash.clone(), Arc::new(ParsedChunk { text, part }));
             true
         }
         Err(problems) => {
@@ -224,7 +224,7 @@
     }
 }
 
-fn any_other(context: &Context) -> Option<SocketAddr> {
+fn random_member(context: &Context) -> Option<SocketAddr> {
     let members = context.members.load();
     let others: Vec<&Member> =
         members.all().iter().filter(|member| member.key != context.key).collect();
@@ -232,16 +232,16 @@
 }
 
 /// Asks another daemon for the chunks that are missing, until it does not have one.
-async fn take_from_peer(
+async fn fetch_chunks(
     context: &Context,
     peers: &Peers,
     address: SocketAddr,
     head: &Head,
     chunks: &mut Chunks,
 ) {
-    for hash in missing(head, chunks) {
+    for hash in missing_chunks(head, chunks) {
         let request = Body::ChunkRequest(ChunkRequest { hash: hash.0.clone() });
-        let answer = ask(context, peers, address, request).await;
+        let answer = call_peer(context, peers, address, request).await;
         let Some(Body::ChunkAnswer(ChunkAnswer { text: Some(text) })) = answer else { return };
         if !add_chunk(chunks, &hash, text) {
             return;
@@ -250,9 +250,9 @@
 }
 
 /// Gets the configuration from another daemon, moving only what is missing here.
-async fn fetch(context: &Arc<Context>, peers: &Arc<Peers>, address: SocketAddr) {
+async fn fetch_configuration(context: &Arc<Context>, peers: &Arc<Peers>, address: SocketAddr) {
     let Some(Body::HeadAnswer(answer)) =
-        ask(context, peers, address, Body::HeadRequest(HeadRequest {})).await
+        call_peer(context, peers, address, Body::HeadRequest(HeadRequest {})).await
     else {
         return;
     };
@@ -261,8 +261,8 @@
         return;
     }
     let mut chunks = known_chunks(context, &head);
-    take_from_peer(context, peers, address, &head, &mut chunks).await;
-    if missing(&head, &chunks).is_empty() {
+    fetch_chunks(context, peers, address, &head, &mut chunks).await;
+    if missing_chunks(&head, &chunks).is_empty() {
         install(context, head, chunks);
     }
 }
@@ -273,14 +273,14 @@
     let revision = head.revision;
     if context.install(revision, configuration) {
         context.configuration_store.replace(head, chunks);
-        note_leaving(context);
+        refresh_leaving(context);
         log::info!(revision; "a configuration is in force");
         // A full ring will spread it all the same.
-        let _ = context.news.try_send(News::Installed);
+        let _ = context.updates.try_send(PeerUpdate::Installed);
     }
 }
 
-fn take_hosts(context: &Context, version: u64, hosts: &[HostEntry]) {
+fn apply_hosts(context: &Context, version: u64, hosts: &[HostEntry]) {
     let members = hosts
         .iter()
         .filter(|host| host.role == HostRole::Daemon)
@@ -308,13 +308,14 @@
             list.replace(version, members.clone());
         });
         *context.listed_leaving.write() = leaving;
-        note_leaving(context);
+        refresh_leaving(context);
     }
 }
 
 async fn fetch_hosts(context: &Arc<Context>, peers: &Arc<Peers>, address: SocketAddr) {
     let request = Body::HostListRequest(HostListRequest {});
-    let Some(Body::HostListAnswer(answer)) = ask(context, peers, address, request).await else {
+    let Some(Body::HostListAnswer(answer)) = call_peer(context, peers, address, request).await
+    else {
         return;
     };
     let mut members = Vec::new();
@@ -334,7 +335,7 @@
 }
 
 /// Brings the leaving endpoints in line with the host list and the configuration.
-fn note_leaving(context: &Context) {
+fn refresh_leaving(context: &Context) {
     let now = std::time::Instant::now();
     let in_force = context.in_force.load();
     let configured = in_force
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -51,7 +51,7 @@
     pub(crate) leaving: RwLock<LeavingEndpoints>,
     pub(crate) groups: RwLock<HashMap<GroupId, Arc<GroupState>>>,
     /// What other owners want of shared connections: by group, by owner's key.
-    pub(crate) demands: Mutex<HashMap<GroupId, HashMap<u64, NotedDemand>>>,
+    pub(crate) demands: Mutex<HashMap<GroupId, HashMap<u64, ReportedDemand>>>,
     pub(crate) relay_peers: Peers,
     pub(crate) cancels: CancelRegistry,
     pub(crate) stopping: watch::Sender<bool>,
@@ -61,13 +61,13 @@
     pub(crate) watch_runtime: Handle,
     pub(crate) started_at: Instant,
     /// Where news from other daemons goes.
-    pub(crate) news: flume::Sender<News>,
+    pub(crate) updates: flume::Sender<PeerUpdate>,
     owner_cache: Mutex<OwnerCache>,
 }
 
 /// Something that another daemon knows and this one does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum PeerUpdate {
     /// A newer configuration.
     Configuration(SocketAddr),
     /// A newer host list.
@@ -78,16 +78,16 @@
 
 /// The demand of another owner, with the time at which it was told.
 #[derive(Clone, Debug)]
-pub(crate) struct NotedDemand {
+pub(crate) struct ReportedDemand {
     pub(crate) wanted: Vec<u32>,
-    pub(crate) told_at: Instant,
+    pub(crate) reported_at: Instant,
 }
 
 /// Owner sets worked out for the present members.
 #[derive(Default)]
 struct OwnerCache {
     members: Arc<Vec<Member>>,
-    worked_out_at: Option<Instant>,
+    computed_at: Option<Instant>,
     list_version: u64,
     sets: HashMap<GroupId, Arc<Vec<Member>>>,
     /// How often the members have changed.
@@ -95,7 +95,7 @@
 }
 
 /// Suspicions come and go without a new list, so the members are looked at again this often.
-const OWNERS_LAST: Duration = Duration::from_millis(250);
+const OWNER_CACHE_TTL: Duration = Duration::from_millis(250);
 
 /// The pieces from which a context is made.
 pub(crate) struct ContextParts {
@@ -103,7 +103,7 @@
     pub(crate) endpoint_password: Option<String>,
     pub(crate) tracer: Tracer,
     pub(crate) watch_runtime: Handle,
-    pub(crate) news: flume::Sender<News>,
+    pub(crate) updates: flume::Sender<PeerUpdate>,
 }
 
 impl Context {
@@ -133,7 +133,7 @@
             watch_runtime: parts.watch_runtime,
             started_at: Instant::now(),
             settings: parts.settings,
-            news: parts.news,
+            updates: parts.updates,
             owner_cache: Mutex::default(),
         }
     }
@@ -209,7 +209,7 @@
     fn refresh_owners(&self, cache: &mut OwnerCache) {
         let now = Instant::now();
         let members = self.members.load();
-        let fresh = cache.worked_out_at.is_some_and(|at| now.duration_since(at) < OWNERS_LAST)
+        let fresh = cache.computed_at.is_some_and(|at| now.duration_since(at) < OWNER_CACHE_TTL)
             && cache.list_version == members.version();
         if fresh {
             return;
@@ -218,7 +218,7 @@
         if self.is_stopping() {
             usable.retain(|member| member.key != self.key);
         }
-        cache.worked_out_at = Some(now);
+        cache.computed_at = Some(now);
         cache.list_version = members.version();
         if *cache.members != usable {
             cache.members = Arc::new(usable);
@@ -235,12 +235,12 @@
     }
 
     /// Makes the next look at the members a fresh one, as when this daemon stops.
-    pub(crate) fn forget_members(&self) {
-        self.owner_cache.lock().worked_out_at = None;
+    pub(crate) fn invalidate_members(&self) {
+        self.owner_cache.lock().computed_at = None;
     }
 
     /// Forgets the owners of groups that a configuration has changed.
-    fn forget_changed_owners(&self, before: &Configuration, after: &Configuration) {
+    fn invalidate_changed_owners(&self, before: &Configuration, after: &Configuration) {
         let same = |id: &GroupId| {
             let group = before.groups.get(id).zip(after.groups.get(id));
             let service = before.services.get(&id.service).zip(after.services.get(&id.service));
@@ -306,7 +306,7 @@
         });
         drop(groups);
         self.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
-        self.forget_changed_owners(&before.configuration, &configuration);
+        self.invalidate_changed_owners(&before.configuration, &configuration);
         true
     }
 
@@ -320,16 +320,16 @@
         let control = 1 + others.len() as u32;
         let limit = in_force.group.options.connections.saturating_sub(control).max(1);
         let demands = self.demands.lock();
-        let noted = demands.get(&group.id);
+        let reported = demands.get(&group.id);
         for (index, pool) in group.pools.iter().enumerate() {
             let other_demands: Vec<routing::Demand> = others
                 .iter()
                 .map(|key| routing::Demand {
                     owner: *key,
-                    wanted: wanted_by(noted.and_then(|noted| noted.get(key)), index),
+                    wanted: wanted_by_owner(reported.and_then(|reported| reported.get(key)), index),
                 })
                 .collect();
-            let wanted = pool.wanted() + HEADROOM;
+            let wanted = pool.wanted() + DEMAND_HEADROOM;
             let own = routing::Demand { owner: self.key, wanted };
             pool.set_share(routing::connection_share(limit, own, &other_demands));
         }
@@ -352,15 +352,15 @@
 
 /// Connections that an owner is taken to want beyond those that it can use at the moment. All owners
 /// count alike, so that their shares add up to no more than there is.
-const HEADROOM: u32 = 4;
+const DEMAND_HEADROOM: u32 = 4;
 
 /// A demand that was told longer ago is taken for none.
-const DEMAND_LASTS: Duration = Duration::from_secs(5);
+const DEMAND_TTL: Duration = Duration::from_secs(5);
 
-fn wanted_by(noted: Option<&NotedDemand>, server: usize) -> u32 {
-    let fresh = noted.filter(|noted| noted.told_at.elapsed() < DEMAND_LASTS);
-    let wanted = fresh.and_then(|noted| noted.wanted.get(server)).copied().unwrap_or(0);
-    wanted + HEADROOM
+fn wanted_by_owner(reported: Option<&ReportedDemand>, server: usize) -> u32 {
+    let fresh = reported.filter(|reported| reported.reported_at.elapsed() < DEMAND_TTL);
+    let wanted = fresh.and_then(|reported| reported.wanted.get(server)).copied().unwrap_or(0);
+    wanted + DEMAND_HEADROOM
 }
 
 fn group_options(configuration: &Arc<Configuration>, id: &GroupId) -> Option<GroupConfiguration> {
--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
-    context::{Context, NotedDemand},
-    gossip::{own_note, take_note},
+    context::{Context, ReportedDemand},
+    gossip::{apply_note, build_note},
     group_state::GroupState,
 };
 
@@ -37,8 +37,8 @@
 }
 
 fn exchange_notes(context: &Context, note: &GossipNote) -> GossipNote {
-    take_note(context, note);
-    own_note(context, &note.host)
+    apply_note(context, note);
+    build_note(context, &note.host)
 }
 
 fn head_answer(context: &Context) -> HeadAnswer {
@@ -124,11 +124,12 @@
 }
 
 /// Notes what another owner wants of the groups that it shares with this daemon.
-pub(crate) fn note_demands(context: &Context, owner: u64, note: &GossipNote) {
+pub(crate) fn record_demands(context: &Context, owner: u64, note: &GossipNote) {
     let mut demands = context.demands.lock();
     for demand in &note.demands {
         let id = GroupId::new(demand.service.as_str(), demand.group.as_str());
-        let noted = NotedDemand { wanted: demand.wanted.clone(), told_at: Instant::now() };
-        demands.entry(id).or_default().insert(owner, noted);
+        let reported =
+            ReportedDemand { wanted: demand.wanted.clone(), reported_at: Instant::now() };
+        demands.entry(id).or_default().insert(owner, reported);
     }
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -23,9 +23,9 @@
 
 use crate::{
     caller_session::serve_caller,
-    configuration_sync::{keep_configuration, read_hosts, watch_head},
+    configuration_sync::{read_hosts, sync_configuration, watch_head},
     context::{Context, ContextParts},
-    gossip::{gossip, spread},
+    gossip::{gossip, push_gossip},
     group_watch::watch_groups,
     operator::{bind_operators, serve_operators},
     peers::Peers,
@@ -34,10 +34,10 @@
 };
 
 /// News that may wait for the configuration task.
-const RING_NEWS: usize = 64;
+const MAX_QUEUED_UPDATES: usize = 64;
 
 /// How often a planned stop looks at what still runs.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running daemon. Dropping it ends it at once, as a crash would; [`Daemon::stop`] is planned.
 pub struct Daemon {
@@ -66,14 +66,14 @@
         let (exporter, sink) =
             SpanExporter::new(settings.trace.otlp_address, settings.daemon.host.to_string());
         spawn("trace", move || exporter.run())?;
-        let (news, news_ring) = flume::bounded(RING_NEWS);
+        let (updates, update_receiver) = flume::bounded(MAX_QUEUED_UPDATES);
         let tracer = Tracer::new(sink, settings.trace.sample);
         let endpoint_password = read_password(&settings)?;
         let context = Arc::new(Context::new(ContextParts {
             endpoint_password,
             tracer,
             watch_runtime: watch.handle().clone(),
-            news,
+            updates,
             settings,
         }));
         let listeners = serve.block_on(addresses.bind())?;
@@ -87,7 +87,7 @@
             control: Some(control),
             operator: Some(operator),
         };
-        daemon.start_store_threads(&store, news_ring)?;
+        daemon.start_store_threads(&store, update_receiver)?;
         daemon.spawn_watch(store);
         daemon.spawn_serve(listeners, tls);
         Ok(daemon)
@@ -96,22 +96,29 @@
     fn start_store_threads<P>(
         &self,
         store: &Arc<P>,
-        news: flume::Receiver<crate::context::News>,
+        updates: flume::Receiver<crate::context::PeerUpdate>,
     ) -> eyre::Result<()>
     where
         P: KeyValueStore + HostList + 'static,
     {
-        let (store_news, store_ring) = flume::bounded(RING_NEWS);
-        let (context, watched, told) = (self.context.clone(), store.clone(), store_news.clone());
-        spawn("head", move || watch_head(&context, &*watched, &told))?;
+        let (store_updates, store_update_receiver) = flume::bounded(MAX_QUEUED_UPDATES);
+        let (context, watched, head_updates) =
+            (self.context.clone(), store.clone(), store_updates.clone());
+        spawn("head", move || watch_head(&context, &*watched, &head_updates))?;
         let (context, listed) = (self.context.clone(), store.clone());
-        spawn("hosts", move || read_hosts(&context, &*listed, &store_news))?;
+        spawn("hosts", move || read_hosts(&context, &*listed, &store_updates))?;
         let peer_timeout = Duration::from_millis(self.context.settings.control.peer_timeout_ms);
         let peers = Arc::new(Peers::new(peer_timeout));
         if let Some(control) = &self.control {
             let context = self.context.clone();
             control.spawn(gossip(context.clone(), peers.clone()));
-            control.spawn(keep_configuration(context, peers, store.clone(), store_ring, news));
+            control.spawn(sync_configuration(
+                context,
+                peers,
+                store.clone(),
+                store_update_receiver,
+                updates,
+            ));
         }
         Ok(())
     }
@@ -159,8 +166,8 @@
         let limit = self.context.in_force.load().configuration.limits.stop_ms;
         let until = Instant::now() + Duration::from_millis(limit);
         self.context.stopping.send_replace(true);
-        self.context.forget_members();
-        self.tell_others();
+        self.context.invalidate_members();
+        self.announce_stop();
         let finished = self.wait_for_work(until);
         log::info!(finished; "the daemon has stopped");
         self.end();
@@ -168,13 +175,13 @@
     }
 
     /// Tells the other daemons at once that this one gets no more work.
-    fn tell_others(&self) {
+    fn announce_stop(&self) {
         let Some(control) = &self.control else { return };
         let context = self.context.clone();
         let timeout = Duration::from_millis(self.context.settings.control.peer_timeout_ms);
-        let count = self.context.members.load().all().len().min(MOST_TOLD);
+        let count = self.context.members.load().all().len().min(MAX_STOP_ANNOUNCEMENTS);
         control.block_on(async move {
-            spread(&context, &Arc::new(Peers::new(timeout)), count).await;
+            push_gossip(&context, &Arc::new(Peers::new(timeout)), count).await;
         });
     }
 
@@ -195,14 +202,14 @@
                 .sum();
             if callers == 0 && writing == 0 && in_flight == 0 {
                 // What was answered last may still be on its way to another daemon.
-                thread::sleep(STOP_LOOK);
+                thread::sleep(STOP_POLL_INTERVAL);
                 return true;
             }
             if Instant::now() >= until {
                 log::warn!(callers, writing; "the time for a planned stop is over");
                 return false;
             }
-            thread::sleep(STOP_LOOK);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 
@@ -224,7 +231,7 @@
 }
 
 /// Daemons that are told of a planned stop at once; the rest hear of it from them.
-const MOST_TOLD: usize = 16;
+const MAX_STOP_ANNOUNCEMENTS: usize = 16;
 
 struct Addresses {
     caller: SocketAddr,
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -11,13 +11,13 @@
 use rand::seq::IndexedRandom;
 
 use crate::{
-    context::{Context, News},
-    control_messages::note_demands,
+    context::{Context, PeerUpdate},
+    control_messages::record_demands,
     peers::Peers,
 };
 
 /// Writes this daemon's note for another.
-pub(crate) fn own_note(context: &Context, to_host: &str) -> GossipNote {
+pub(crate) fn build_note(context: &Context, to_host: &str) -> GossipNote {
     GossipNote {
         host: context.host().to_string(),
         revision: context.in_force.load().revision,
@@ -45,7 +45,7 @@
 }
 
 /// Takes in another daemon's note.
-pub(crate) fn take_note(context: &Context, note: &GossipNote) {
+pub(crate) fn apply_note(context: &Context, note: &GossipNote) {
     let sender = {
         let members = context.members.load();
         members.all().iter().find(|member| *member.host == *note.host).cloned()
@@ -61,17 +61,17 @@
             }
         });
     }
-    note_demands(context, sender.key, note);
-    note_news(context, note, sender.peer_address);
+    record_demands(context, sender.key, note);
+    request_updates(context, note, sender.peer_address);
 }
 
-fn note_news(context: &Context, note: &GossipNote, address: SocketAddr) {
+fn request_updates(context: &Context, note: &GossipNote, address: SocketAddr) {
     // A full ring holds the same news already.
     if note.revision > context.in_force.load().revision {
-        let _ = context.news.try_send(News::Configuration(address));
+        let _ = context.updates.try_send(PeerUpdate::Configuration(address));
     }
     if note.host_list_version > context.members.load().version() {
-        let _ = context.news.try_send(News::HostList(address));
+        let _ = context.updates.try_send(PeerUpdate::HostList(address));
     }
 }
 
@@ -90,7 +90,7 @@
 }
 
 /// Passes news on to some daemons at once.
-pub(crate) async fn spread(context: &Arc<Context>, peers: &Arc<Peers>, count: usize) {
+pub(crate) async fn push_gossip(context: &Arc<Context>, peers: &Arc<Peers>, count: usize) {
     for target in targets(context, count) {
         let (context, peers) = (context.clone(), peers.clone());
         tokio::spawn(async move { exchange(&context, &peers, target).await });
@@ -136,13 +136,13 @@
 }
 
 async fn exchange(context: &Context, peers: &Peers, target: Target) {
-    let note = own_note(context, &target.host);
-    let answer = ask(context, peers, target.address, Body::Gossip(note)).await;
+    let note = build_note(context, &target.host);
+    let answer = call_peer(context, peers, target.address, Body::Gossip(note)).await;
     match answer {
         Some(Body::Gossip(note)) => {
-            take_note(context, &note);
+            apply_note(context, &note);
             // A seed is not listed yet, but what it knows is wanted all the more.
-            note_news(context, &note, target.address);
+            request_updates(context, &note, target.address);
         }
         _ => {
             if let Some(key) = target.key {
@@ -153,7 +153,7 @@
 }
 
 /// Asks a daemon something that has one answer.
-pub(crate) async fn ask(
+pub(crate) async fn call_peer(
     context: &Context,
     peers: &Peers,
     address: SocketAddr,
--- a/crates/daemon/src/group_watch.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -15,7 +15,7 @@
     context::Context,
     dialect::{Dialect, ServerDialect},
     failover_runner::{FailoverReason, FailoverRunner},
-    gossip::ask,
+    gossip::call_peer,
     group_state::GroupState,
     peers::Peers,
     planned_switch::switch_primary,
@@ -226,7 +226,7 @@
     let requests = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
         let request = request.clone();
         async move {
-            match ask(context, peers, owner.peer_address, Body::ViewRequest(request)).await {
+            match call_peer(context, peers, owner.peer_address, Body::ViewRequest(request)).await {
                 Some(Body::ViewAnswer(view)) if view.reachable => OwnerView::Reachable,
                 Some(Body::ViewAnswer(_)) => OwnerView::Unreachable,
                 _ => OwnerView::NoAnswer,
--- a/crates/daemon/src/planned_switch.rs
+++ b/crates/daemon/src/planned_switch.rs
@@ -14,7 +14,7 @@
     context::Context,
     control_messages::set_hold,
     failover_runner::{FailoverReason, FailoverRunner},
-    gossip::ask,
+    gossip::call_peer,
     group_state::GroupState,
     peers::Peers,
 };
@@ -111,7 +111,7 @@
     let requests = owners.iter().filter(|owner| owner.key != context.key).map(|owner| {
         let request = request.clone();
         async move {
-            match ask(context, peers, owner.peer_address, Body::HoldRequest(request)).await {
+            match call_peer(context, peers, owner.peer_address, Body::HoldRequest(request)).await {
                 Some(Body::HoldAnswer(answer)) => Some(answer.running),
                 _ => None,
             }
