--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -20,7 +20,7 @@
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// How long a request waits after its server granted no connection.
-const FULL_RETRY: Duration = Duration::from_millis(5);
+const TOO_MANY_CONNECTIONS_RETRY: Duration = Duration::from_millis(5);
 
 /// How long a connection may take to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -30,16 +30,16 @@
     /// Here is a connection.
     Connection(Box<EndpointConnection>),
     /// It may open one of its own.
-    MayOpen,
+    Open,
     /// Its place was given to a more urgent request, or its deadline has passed.
     Refused(Refusal),
 }
 
 /// What a request gets at once.
-enum Claim {
+enum Acquisition {
     Connection(Box<EndpointConnection>),
-    MayOpen,
-    Waits(Ticket, flume::Receiver<Grant>),
+    Open,
+    Queued(Ticket, flume::Receiver<Grant>),
 }
 
 struct PoolState {
@@ -122,7 +122,7 @@
             state.open -= 1;
         }
         if grew {
-            while state.open < state.share && self.grant_opening(&mut state) {}
+            while state.open < state.share && self.grant_open(&mut state) {}
         }
     }
 
@@ -166,22 +166,24 @@
         request: Request,
     ) -> Result<PooledConnection, Refusal> {
         loop {
-            let opened = match self.claim(request)? {
-                Claim::Connection(connection) => return Ok(self.lend(*connection)),
-                Claim::MayOpen => self.open().await,
-                Claim::Waits(ticket, answer) => match self.wait(request, ticket, answer).await {
-                    Grant::Connection(connection) => return Ok(self.lend(*connection)),
-                    Grant::MayOpen => self.open().await,
-                    Grant::Refused(refusal) => return Err(refusal),
-                },
+            let opened = match self.try_acquire(request)? {
+                Acquisition::Connection(connection) => return Ok(self.check_out(*connection)),
+                Acquisition::Open => self.open().await,
+                Acquisition::Queued(ticket, answer) => {
+                    match self.wait(request, ticket, answer).await {
+                        Grant::Connection(connection) => return Ok(self.check_out(*connection)),
+                        Grant::Open => self.open().await,
+                        Grant::Refused(refusal) => return Err(refusal),
+                    }
+                }
             };
             match opened {
                 Err(EndpointError::Refused { code, .. }) if code == TOO_MANY_CONNECTIONS => {
-                    self.shrink();
+                    self.limit_share_to_open();
                     if Instant::now() >= request.deadline {
                         return Err(deadline_refusal());
                     }
-                    tokio::time::sleep(FULL_RETRY).await;
+                    tokio::time::sleep(TOO_MANY_CONNECTIONS_RETRY).await;
                 }
                 Err(error) => {
                     let detail = format!("no connection to the endpoint: {error}");
@@ -199,32 +201,32 @@
         answer: flume::Receiver<Grant>,
     ) -> Grant {
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let mut place = Place { pool: self, request, ticket, answer, ended: false };
-        place.wait().await
+        let mut queued = QueuedRequest { pool: self, request, ticket, answer, ended: false };
+        queued.wait().await
     }
 
     /// Takes the server at its word that it has no more connections than those that are open; the
     /// next division among the owners may give more.
-    fn shrink(&self) {
+    fn limit_share_to_open(&self) {
         let mut state = self.state.lock();
         state.share = state.share.min(state.open.max(1));
     }
 
     /// Takes an idle connection, the right to open one, or a place in the queue.
-    fn claim(&self, request: Request) -> Result<Claim, Refusal> {
+    fn try_acquire(&self, request: Request) -> Result<Acquisition, Refusal> {
         let mut state = self.state.lock();
         if state.closed {
             return Err(Refusal::not_run(RefusalReason::Unreachable, "the endpoint was taken out"));
         }
         if let Some(connection) = take_idle(&mut state) {
-            return Ok(Claim::Connection(Box::new(connection)));
+            return Ok(Acquisition::Connection(Box::new(connection)));
         }
         if state.open < state.share {
             state.open += 1;
-            return Ok(Claim::MayOpen);
+            return Ok(Acquisition::Open);
         }
         let (ticket, answer) = self.enqueue(&mut state, request)?;
-        Ok(Claim::Waits(ticket, answer))
+        Ok(Acquisition::Queued(ticket, answer))
     }
 
     fn enqueue(
@@ -262,22 +264,22 @@
     async fn open(self: &Arc<ServerPool>) -> Result<PooledConnection, EndpointError> {
         let prepared = self.state.lock().prepared_statements;
         // The count is given back if the request is dropped while it connects.
-        let place = OpenPlace { pool: self, counted: true };
+        let slot = OpeningSlot { pool: self, counted: true };
         let connection = EndpointConnection::open(&self.target, CONNECT_TIMEOUT, prepared).await?;
-        place.keep();
-        Ok(self.lend(connection))
+        slot.keep();
+        Ok(self.check_out(connection))
     }
 
-    fn lend(self: &Arc<ServerPool>, connection: EndpointConnection) -> PooledConnection {
+    fn check_out(self: &Arc<ServerPool>, connection: EndpointConnection) -> PooledConnection {
         self.in_use.fetch_add(1, Ordering::Relaxed);
         PooledConnection {
             pool: self.clone(),
             connection: Some(connection),
-            lent_at: Instant::now(),
+            checked_out_at: Instant::now(),
         }
     }
 
-    fn give_back(&self, mut connection: EndpointConnection, held: Duration) {
+    fn release(&self, mut connection: EndpointConnection, held: Duration) {
         let mut state = self.state.lock();
         state.queue.record_hold_time(held);
         if state.closed || state.open > state.share {
@@ -298,17 +300,17 @@
     }
 
     /// Gives up a place for a connection, letting the next waiting request open one.
-    fn give_up_place(&self) {
+    fn release_slot(&self) {
         let mut state = self.state.lock();
         state.open -= 1;
         if !state.closed && state.open < state.share {
-            self.grant_opening(&mut state);
+            self.grant_open(&mut state);
         }
     }
 
-    fn grant_opening(&self, state: &mut PoolState) -> bool {
+    fn grant_open(&self, state: &mut PoolState) -> bool {
         while let Some(waiter) = next_waiter(state) {
-            if waiter.send(Grant::MayOpen).is_ok() {
+            if waiter.send(Grant::Open).is_ok() {
                 state.open += 1;
                 return true;
             }
@@ -358,7 +360,7 @@
 }
 
 /// A request's place in the queue; dropping it leaves the queue and returns what came too late.
-struct Place<'a> {
+struct QueuedRequest<'a> {
     pool: &'a Arc<ServerPool>,
     request: Request,
     ticket: Ticket,
@@ -366,7 +368,7 @@
     ended: bool,
 }
 
-impl Place<'_> {
+impl QueuedRequest<'_> {
     async fn wait(&mut self) -> Grant {
         let deadline = tokio::time::Instant::from_std(self.request.deadline);
         match tokio::time::timeout_at(deadline, self.answer.recv_async()).await {
@@ -379,7 +381,7 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         self.pool.waiting.fetch_sub(1, Ordering::Relaxed);
         if self.ended {
@@ -391,29 +393,29 @@
             state.waiting.remove(&self.ticket);
         }
         match self.answer.try_recv() {
-            Ok(Grant::Connection(connection)) => self.pool.give_back(*connection, Duration::ZERO),
-            Ok(Grant::MayOpen) => self.pool.give_up_place(),
+            Ok(Grant::Connection(connection)) => self.pool.release(*connection, Duration::ZERO),
+            Ok(Grant::Open) => self.pool.release_slot(),
             Ok(Grant::Refused(_)) | Err(_) => {}
         }
     }
 }
 
 /// A counted place for a connection that is being made.
-struct OpenPlace<'a> {
+struct OpeningSlot<'a> {
     pool: &'a Arc<ServerPool>,
     counted: bool,
 }
 
-impl OpenPlace<'_> {
+impl OpeningSlot<'_> {
     fn keep(mut self) {
         self.counted = false;
     }
 }
 
-impl Drop for OpenPlace<'_> {
+impl Drop for OpeningSlot<'_> {
     fn drop(&mut self) {
         if self.counted {
-            self.pool.give_up_place();
+            self.pool.release_slot();
         }
     }
 }
@@ -422,7 +424,7 @@
 pub(crate) struct PooledConnection {
     pool: Arc<ServerPool>,
     connection: Option<EndpointConnection>,
-    lent_at: Instant,
+    checked_out_at: Instant,
 }
 
 impl PooledConnection {
@@ -435,10 +437,10 @@
     }
 
     /// Gives the connection back for others to use. It must be idle and in step.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn release(mut self) {
         if let Some(connection) = self.connection.take() {
             self.pool.in_use.fetch_sub(1, Ordering::Relaxed);
-            self.pool.give_back(connection, self.lent_at.elapsed());
+            self.pool.release(connection, self.checked_out_at.elapsed());
         }
     }
 }
@@ -447,7 +449,7 @@
     fn drop(&mut self) {
         if self.connection.take().is_some() {
             self.pool.in_use.fetch_sub(1, Ordering::Relaxed);
-            self.pool.give_up_place();
+            self.pool.release_slot();
         }
     }
 }
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -221,7 +221,7 @@
         }
         let end = self.end(server, by_replica, None, &answer);
         if answer.transaction == b'I' {
-            connection.give_back();
+            connection.release();
         } else {
             let term = answer.status.as_ref().map(|status| status.log_term).unwrap_or_default();
             let wrote = false;
@@ -239,7 +239,7 @@
     ) -> Result<ReadAttempt, Refusal> {
         // A read-only transaction that was begun on the server is ended with its connection.
         if answer.transaction == b'I' {
-            connection.give_back();
+            connection.release();
         }
         if shown == ReadCheck::Lost {
             return Err(self.write_lost());
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -101,7 +101,7 @@
                 });
                 return Ok(end);
             }
-            connection.give_back();
+            connection.release();
             return self.acknowledge(admitted, self.job.writes, answer).await;
         }
     }
@@ -254,7 +254,7 @@
             *pinned = Some(pin);
             return Ok(self.end(server, by_replica, None, &answer));
         }
-        pin.connection.give_back();
+        pin.connection.release();
         if hold {
             let rule = self.options().acknowledge;
             let admitted = AdmittedWrite { server, term: pin.term, rule };
