--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -22,7 +22,7 @@
 use crate::{
     caller_log_in::{Parameters, log_in, send_fatal},
     context::Context,
-    executor::{Pinned, Running},
+    executor::{PinnedConnection, RunningStatement},
     relay::RelayPin,
     request::{ExtendedState, Request, RequestError},
 };
@@ -101,9 +101,9 @@
     pub(crate) transaction: u8,
     /// The transaction failed here, without its server knowing.
     pub(crate) poisoned: bool,
-    pub(crate) pinned: Option<Pinned>,
+    pub(crate) pinned: Option<PinnedConnection>,
     pub(crate) relay_pin: Option<Arc<RelayPin>>,
-    pub(crate) running: Arc<Running>,
+    pub(crate) running: Arc<RunningStatement>,
     pub(crate) relayed_to: Arc<Mutex<Option<u64>>>,
     pub(crate) served_by: String,
     pub(crate) entered_at: Instant,
@@ -112,7 +112,7 @@
 impl CallerSession {
     fn new(context: Arc<Context>, stream: CallerStream, parameters: &Parameters) -> CallerSession {
         let id = context.new_session();
-        let running = Arc::new(Running::default());
+        let running = Arc::new(RunningStatement::default());
         let relayed_to = Arc::new(Mutex::new(None));
         let (process, secret) = context.cancels.register(id, &running, &relayed_to);
         let name = |key: &str| Name::from(parameters.get(key).map_or("", String::as_str));
--- a/crates/daemon/src/caller_session/running.rs
+++ b/crates/daemon/src/caller_session/running.rs
@@ -11,7 +11,7 @@
 use crate::{
     caller_session::{After, CallerSession},
     endpoint_connection::AnswerSink,
-    executor::{JobEnd, execute, point_message},
+    executor::{JobResult, execute, point_message},
     relay::relay,
     request::{Request, RequestError},
 };
@@ -117,7 +117,7 @@
         &mut self,
         group: &GroupId,
         job: &Job,
-    ) -> Result<Result<JobEnd, Refusal>, StreamEnd> {
+    ) -> Result<Result<JobResult, Refusal>, StreamEnd> {
         let context = self.context.clone();
         let in_force = context.in_force.load_full();
         let Some(configured) = in_force.configuration.groups.get(group) else {
@@ -141,7 +141,7 @@
         Ok(relay(&context, configured, pin, &self.relayed_to, job, &mut sink).await)
     }
 
-    fn accept(&mut self, group: &GroupId, job: &Job, end: JobEnd) -> After {
+    fn accept(&mut self, group: &GroupId, job: &Job, end: JobResult) -> After {
         if let Some(written) = end.written {
             self.token.advance(&group.group, written);
             let token = self.token.to_string();
@@ -186,7 +186,7 @@
         After::Close
     }
 
-    fn measure(&self, class: &str, job: &Job, outcome: &Result<JobEnd, Refusal>) {
+    fn measure(&self, class: &str, job: &Job, outcome: &Result<JobResult, Refusal>) {
         let metrics = &self.context.metrics;
         let service = &*self.service_name;
         let seconds = self.entered_at.elapsed().as_secs_f64();
--- a/crates/daemon/src/cancel.rs
+++ b/crates/daemon/src/cancel.rs
@@ -7,7 +7,7 @@
 
 use parking_lot::Mutex;
 
-use crate::executor::Running;
+use crate::executor::RunningStatement;
 
 /// What is needed to cancel for a caller.
 #[derive(Clone)]
@@ -15,7 +15,7 @@
     secret: i32,
     pub(crate) session_id: u64,
     /// What runs on this daemon.
-    pub(crate) running: Weak<Running>,
+    pub(crate) running: Weak<RunningStatement>,
     /// The daemon that the session's statements are relayed to.
     pub(crate) relayed_to: Arc<Mutex<Option<u64>>>,
 }
@@ -31,7 +31,7 @@
     pub(crate) fn register(
         &self,
         session_id: u64,
-        running: &Arc<Running>,
+        running: &Arc<RunningStatement>,
         relayed_to: &Arc<Mutex<Option<u64>>>,
     ) -> (i32, i32) {
         let secret: i32 = rand::random();
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -29,7 +29,7 @@
 
 /// A configuration with its revision.
 #[derive(Debug, Default)]
-pub(crate) struct InForce {
+pub(crate) struct ConfigurationInForce {
     pub(crate) revision: u64,
     pub(crate) configuration: Arc<Configuration>,
 }
@@ -42,7 +42,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) tracer: Tracer,
     pub(crate) classifier: Classifier,
-    pub(crate) in_force: ArcSwap<InForce>,
+    pub(crate) in_force: ArcSwap<ConfigurationInForce>,
     pub(crate) configuration_store: ConfigurationStore,
     /// Replaced as a whole, so that no reader holds anything up.
     pub(crate) members: ArcSwap<MemberList>,
@@ -116,7 +116,7 @@
             metrics: Metrics::new(),
             tracer: parts.tracer,
             classifier: Classifier::default(),
-            in_force: ArcSwap::from_pointee(InForce::default()),
+            in_force: ArcSwap::from_pointee(ConfigurationInForce::default()),
             configuration_store: ConfigurationStore::default(),
             members: ArcSwap::default(),
             listed_leaving: RwLock::default(),
@@ -287,7 +287,10 @@
         }
         let configuration = Arc::new(configuration);
         let before = self.in_force.load_full();
-        self.in_force.store(Arc::new(InForce { revision, configuration: configuration.clone() }));
+        self.in_force.store(Arc::new(ConfigurationInForce {
+            revision,
+            configuration: configuration.clone(),
+        }));
         groups.retain(|id, group| match group_options(&configuration, id) {
             Some(options) if options.group.servers_match(&group.in_force.load().group) => {
                 let limits = &configuration.limits;
--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -47,7 +47,7 @@
 
 /// What the caller of [`EndpointConnection::run`] says to a status that came before the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Proof {
+pub(crate) enum StatusCheck {
     /// Give the answer.
     Accept,
     /// Drop the answer; the connection stays usable.
@@ -142,7 +142,7 @@
         &mut self,
         job: &Job,
         options: RunOptions,
-        mut prove: impl FnMut(&ServerStatus) -> Proof + Send,
+        mut check_status: impl FnMut(&ServerStatus) -> StatusCheck + Send,
         sink: &mut S,
     ) -> Result<JobAnswer, RunError> {
         let replayed = self.add_settings(job).map_err(RunError::NotSent)?;
@@ -171,7 +171,7 @@
         };
         if options.probe == Probe::Before {
             let status = self.read_status().await?;
-            reader.answer.rejected = prove(&status) == Proof::Reject;
+            reader.answer.rejected = check_status(&status) == StatusCheck::Reject;
             reader.answer.status = Some(status);
         }
         self.read_answer(slots, &mut reader).await?;
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -15,14 +15,14 @@
 
 use crate::{
     context::Context,
-    endpoint_connection::{AnswerSink, CancelKey, JobAnswer, Proof, RunError, RunOptions},
+    endpoint_connection::{AnswerSink, CancelKey, JobAnswer, RunError, RunOptions, StatusCheck},
     group_state::{GroupConfiguration, GroupState, WritingGuard},
     group_view::GroupView,
     pool::PooledConnection,
 };
 
 /// A connection that a transaction keeps until it ends.
-pub(crate) struct Pinned {
+pub(crate) struct PinnedConnection {
     pub(crate) connection: PooledConnection,
     pub(crate) server: ServerId,
     /// The term in which the transaction began.
@@ -34,11 +34,11 @@
 }
 
 /// What runs for a session now, so that it can be cancelled.
-pub(crate) type Running = parking_lot::Mutex<Option<CancelKey>>;
+pub(crate) type RunningStatement = parking_lot::Mutex<Option<CancelKey>>;
 
 /// The end of a job that was answered.
 #[derive(Debug)]
-pub(crate) struct JobEnd {
+pub(crate) struct JobResult {
     /// The messages that were not passed on yet.
     pub(crate) tail: Bytes,
     /// The transaction status byte.
@@ -55,11 +55,11 @@
 pub(crate) async fn execute<S: AnswerSink>(
     context: &Context,
     group: &Arc<GroupState>,
-    pinned: &mut Option<Pinned>,
-    running: &Running,
+    pinned: &mut Option<PinnedConnection>,
+    running: &RunningStatement,
     job: &Job,
     sink: &mut S,
-) -> Result<JobEnd, Refusal> {
+) -> Result<JobResult, Refusal> {
     group.touch();
     group.retries.lock().on_request();
     let in_force = group.in_force.load_full();
@@ -77,7 +77,7 @@
 pub(crate) struct JobRun<'a> {
     pub(crate) context: &'a Context,
     pub(crate) group: &'a Arc<GroupState>,
-    running: &'a Running,
+    running: &'a RunningStatement,
     pub(crate) job: &'a Job,
     pub(crate) in_force: &'a GroupConfiguration,
     pub(crate) deadline: Instant,
@@ -128,8 +128,8 @@
             || Refusal::not_run(RefusalReason::Unreachable, "the server does not answer");
         tokio::select! {
             acquired = pool.acquire(self.request(priority)) => acquired,
-            () = self.replaced(server), if !by_replica => Err(unreachable()),
-            () = self.silent(server) => Err(unreachable()),
+            () = self.wait_until_replaced(server), if !by_replica => Err(unreachable()),
+            () = self.wait_until_silent(server) => Err(unreachable()),
         }
     }
 
@@ -144,14 +144,14 @@
         server: ServerId,
         by_replica: bool,
         options: RunOptions,
-        prove: impl FnMut(&ServerStatus) -> Proof + Send,
+        check_status: impl FnMut(&ServerStatus) -> StatusCheck + Send,
         sink: &mut S,
     ) -> Result<JobAnswer, Refusal> {
         *self.running.lock() = Some(connection.get().cancel_key());
-        let run = connection.get().run(self.job, options, prove, sink);
+        let run = connection.get().run(self.job, options, check_status, sink);
         let outcome = tokio::select! {
             outcome = run => outcome,
-            refusal = self.given_up(server, by_replica) => {
+            refusal = self.wait_for_abort(server, by_replica) => {
                 *self.running.lock() = None;
                 return Err(refusal);
             }
@@ -177,21 +177,21 @@
     }
 
     /// Ends when there is no more use in waiting for the server's answer.
-    pub(crate) async fn given_up(&self, server: ServerId, by_replica: bool) -> Refusal {
+    pub(crate) async fn wait_for_abort(&self, server: ServerId, by_replica: bool) -> Refusal {
         let limit = match self.options().run_timeout_ms {
             0 => Duration::MAX,
             limit => Duration::from_millis(limit),
         };
         tokio::select! {
-            () = self.silent(server), if by_replica => Refusal::may_have_run(
+            () = self.wait_until_silent(server), if by_replica => Refusal::may_have_run(
                 RefusalReason::AnswerLost,
                 "the server stopped answering while it ran the request",
             ),
-            () = self.cut(server) => Refusal::may_have_run(
+            () = self.wait_until_work_ends(server) => Refusal::may_have_run(
                 RefusalReason::Unreachable,
                 "the endpoint was leaving and its time for running work was over",
             ),
-            () = self.replaced(server), if !by_replica => Refusal::may_have_run(
+            () = self.wait_until_replaced(server), if !by_replica => Refusal::may_have_run(
                 RefusalReason::Deposed,
                 "the primary was replaced before it answered",
             ),
@@ -203,15 +203,15 @@
     }
 
     /// Ends when another server leads in a newer term.
-    pub(crate) async fn replaced(&self, server: ServerId) {
-        self.until(|view| view.primary.is_some_and(|primary| primary != server)).await;
+    pub(crate) async fn wait_until_replaced(&self, server: ServerId) {
+        self.wait_until(|view| view.primary.is_some_and(|primary| primary != server)).await;
     }
 
     /// Ends when a server has been silent for as long as it takes to be suspected.
-    pub(crate) async fn silent(&self, server: ServerId) {
+    pub(crate) async fn wait_until_silent(&self, server: ServerId) {
         let suspect_after =
             Duration::from_millis(self.in_force.configuration.failover.suspect_after_ms);
-        self.until(|view| {
+        self.wait_until(|view| {
             let silent = view.silent_for(server, Instant::now());
             silent.is_some_and(|silent| silent >= suspect_after)
         })
@@ -219,33 +219,35 @@
     }
 
     /// Ends when a leaving server's time for running work is over.
-    pub(crate) async fn cut(&self, server: ServerId) {
+    pub(crate) async fn wait_until_work_ends(&self, server: ServerId) {
         let address = &self.in_force.group.servers[server.index()].address;
         let configuration = &self.in_force.configuration;
-        self.until(|_| self.context.work_allowed(address, configuration) == WorkAllowed::Nothing)
-            .await;
+        self.wait_until(|_| {
+            self.context.work_allowed(address, configuration) == WorkAllowed::Nothing
+        })
+        .await;
     }
 
     /// Waits until the board fulfils a condition. It is looked at now and then, too, since a silence
     /// grows without being told of.
-    pub(crate) async fn until(&self, condition: impl Fn(&GroupView) -> bool) {
+    pub(crate) async fn wait_until(&self, condition: impl Fn(&GroupView) -> bool) {
         loop {
             let changed = self.group.changed.notified();
             if condition(&self.group.view.read()) {
                 return;
             }
-            let _ = tokio::time::timeout(CONDITION_LOOK, changed).await;
+            let _ = tokio::time::timeout(CONDITION_POLL_INTERVAL, changed).await;
         }
     }
 
-    pub(crate) fn end(
+    pub(crate) fn result(
         &self,
         server: ServerId,
         by_replica: bool,
         written: Option<LogPoint>,
         answer: &JobAnswer,
-    ) -> JobEnd {
-        JobEnd {
+    ) -> JobResult {
+        JobResult {
             tail: Bytes::copy_from_slice(&answer.tail),
             transaction: answer.transaction,
             written,
@@ -256,7 +258,7 @@
 }
 
 /// How often a condition is looked at that nothing is told of.
-const CONDITION_LOOK: Duration = Duration::from_millis(100);
+const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Names a job's group.
 pub(crate) fn group_of(job: &Job) -> GroupId {
@@ -269,4 +271,4 @@
 }
 
 /// When a read that found no fresh server may try again.
-pub(crate) const NO_FRESH_RETRY_MS: u64 = 200;
+pub(crate) const NO_FRESH_SERVER_RETRY_MS: u64 = 200;
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -18,7 +18,7 @@
     context::Context,
     control_messages::answer_control,
     endpoint_connection::AnswerSink,
-    executor::{JobEnd, Pinned, Running, execute, group_of, point_message},
+    executor::{JobResult, PinnedConnection, RunningStatement, execute, group_of, point_message},
 };
 
 /// Where a session's transaction lives on another daemon.
@@ -50,10 +50,10 @@
     relayed_to: &Mutex<Option<u64>>,
     job: &Job,
     sink: &mut S,
-) -> Result<JobEnd, Refusal> {
+) -> Result<JobResult, Refusal> {
     context.metrics.relayed.with_label_values(&["sent"]).inc();
     if job.in_transaction {
-        let Some(held) = pin.take() else { return Err(transaction_gone()) };
+        let Some(held) = pin.take() else { return Err(transaction_lost()) };
         *relayed_to.lock() = Some(held.owner);
         let (client, owner) = (held.client.clone(), held.owner);
         let end = relay_to(&client, job, sink).await.map_err(|failure| failure.refusal)?;
@@ -63,7 +63,7 @@
     *pin = None;
     let started = Instant::now();
     let mut last = None;
-    for owner in owners_in_turn(context, group, job.session_id) {
+    for owner in owners_by_preference(context, group, job.session_id) {
         if owner.key == context.key {
             continue;
         }
@@ -72,7 +72,7 @@
             Ok(client) => client,
             Err(_) => {
                 context.change_members(|members| members.suspect(owner.key, Instant::now()));
-                last = Some(owner_gone(Verdict::NotRun));
+                last = Some(owner_unreachable(Verdict::NotRun));
                 continue;
             }
         };
@@ -91,7 +91,7 @@
             Err(failure) => return Err(failure.refusal),
         }
     }
-    Err(last.unwrap_or_else(|| owner_gone(Verdict::NotRun)))
+    Err(last.unwrap_or_else(|| owner_unreachable(Verdict::NotRun)))
 }
 
 fn keep_pin(
@@ -99,7 +99,7 @@
     client: &Arc<peer::PeerClient>,
     owner: u64,
     job: &Job,
-    end: &JobEnd,
+    end: &JobResult,
     held: Option<Arc<RelayPin>>,
 ) {
     if end.transaction == b'I' {
@@ -109,14 +109,14 @@
     *pin = held.or_else(|| Some(Arc::new(RelayPin { client: client.clone(), owner, session_id })));
 }
 
-fn transaction_gone() -> Refusal {
+fn transaction_lost() -> Refusal {
     Refusal::not_run(
         RefusalReason::AnswerLost,
         "the transaction's connection is gone, so the transaction was rolled back",
     )
 }
 
-fn owner_gone(verdict: Verdict) -> Refusal {
+fn owner_unreachable(verdict: Verdict) -> Refusal {
     Refusal {
         verdict,
         reason: RefusalReason::Unreachable,
@@ -129,7 +129,7 @@
 const OWNER_RETRY_MS: u64 = 200;
 
 /// Lists the owners, those of this availability zone first, sessions spread over equal ones.
-fn owners_in_turn(context: &Context, group: &Group, session_id: u64) -> Vec<Member> {
+fn owners_by_preference(context: &Context, group: &Group, session_id: u64) -> Vec<Member> {
     let owners = context.owners_of(group);
     let zone = &context.settings.daemon.availability_zone;
     let mut owners: Vec<Member> = owners.iter().cloned().collect();
@@ -148,10 +148,10 @@
     client: &Arc<peer::PeerClient>,
     job: &Job,
     sink: &mut S,
-) -> Result<JobEnd, RelayFailure> {
-    let not_sent = || RelayFailure { refusal: owner_gone(Verdict::NotRun), try_next: true };
+) -> Result<JobResult, RelayFailure> {
+    let not_sent = || RelayFailure { refusal: owner_unreachable(Verdict::NotRun), try_next: true };
     let lost = || RelayFailure {
-        refusal: owner_gone(Verdict::MayHaveRun),
+        refusal: owner_unreachable(Verdict::MayHaveRun),
         try_next: job.read_only && !job.in_transaction,
     };
     let mut answers = client.call(Body::Job(job.clone())).await.map_err(|_| not_sent())?;
@@ -168,9 +168,9 @@
     }
 }
 
-fn read_end(end: RelayEnd) -> Result<JobEnd, RelayFailure> {
+fn read_end(end: RelayEnd) -> Result<JobResult, RelayFailure> {
     if end.verdict.is_empty() {
-        return Ok(JobEnd {
+        return Ok(JobResult {
             tail: end.messages,
             transaction: u8::try_from(end.transaction).unwrap_or(b'E'),
             written: end.written.map(|point| LogPoint::new(point.term, point.position)),
@@ -209,8 +209,8 @@
 /// A session of another daemon, whose jobs come one after the other.
 #[derive(Default)]
 struct RelaySession {
-    pinned: tokio::sync::Mutex<Option<Pinned>>,
-    running: Running,
+    pinned: tokio::sync::Mutex<Option<PinnedConnection>>,
+    running: RunningStatement,
 }
 
 type SessionKey = (u64, u64);
@@ -297,7 +297,7 @@
 }
 
 /// A job of another daemon is run for at most this long after its deadline.
-const GRACE: Duration = Duration::from_secs(60);
+const RELAYED_JOB_GRACE: Duration = Duration::from_secs(60);
 
 async fn serve_job(
     context: &Context,
@@ -307,7 +307,7 @@
 ) -> RelayEnd {
     let parent = SpanContext::parse(&job.traceparent);
     let mut span = parent.map(|parent| context.tracer.child("owner", parent));
-    let outcome = serve_untraced(context, session, job, reply).await;
+    let outcome = execute_relayed_job(context, session, job, reply).await;
     if let Some(mut span) = span.take() {
         span.set("wardtiller.group", format!("{}/{}", job.service, job.group));
         if let Ok(end) = &outcome {
@@ -334,12 +334,12 @@
     }
 }
 
-async fn serve_untraced(
+async fn execute_relayed_job(
     context: &Context,
     session: &RelaySession,
     job: &Job,
     reply: &Reply,
-) -> Result<JobEnd, Refusal> {
+) -> Result<JobResult, Refusal> {
     if context.is_stopping() && !job.in_transaction {
         return Err(Refusal::not_run(RefusalReason::Stopping, "the daemon is stopping"));
     }
@@ -350,7 +350,7 @@
     })?;
     let mut pinned = session.pinned.lock().await;
     let mut sink = ReplySink { reply, begun: false };
-    let longest = Duration::from_millis(job.deadline_ms) + GRACE;
+    let longest = Duration::from_millis(job.deadline_ms) + RELAYED_JOB_GRACE;
     let run = execute(context, &group, &mut pinned, &session.running, job, &mut sink);
     match tokio::time::timeout(longest, run).await {
         Ok(outcome) => outcome,
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -9,20 +9,20 @@
 use session::{ReadCheck, ReadRequirement, check_read};
 
 use crate::{
-    endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
-    executor::{JobEnd, JobRun, NO_FRESH_RETRY_MS, Pinned},
+    endpoint_connection::{AnswerSink, JobAnswer, Probe, RunOptions, StatusCheck},
+    executor::{JobResult, JobRun, NO_FRESH_SERVER_RETRY_MS, PinnedConnection},
     group_state::EvidenceRequest,
     pool::PooledConnection,
     read_index::ReadIndexError,
 };
 
 /// A read is tried on at most this many servers.
-const MOST_READ_ATTEMPTS: usize = 4;
+const MAX_READ_ATTEMPTS: usize = 4;
 
 /// What to do after an attempt at a read.
 enum ReadAttempt {
     /// It is answered.
-    Answered(JobEnd),
+    Answered(JobResult),
     /// Another server is to be tried; this one was behind.
     Behind(ServerId),
     /// Another server is to be tried; this one failed before it passed anything on.
@@ -32,13 +32,13 @@
 impl JobRun<'_> {
     pub(crate) async fn read<S: AnswerSink>(
         &self,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
-    ) -> Result<JobEnd, Refusal> {
+    ) -> Result<JobResult, Refusal> {
         let mut avoid = None;
         let mut last_refusal = None;
         let mut attempts = 0;
-        while attempts < MOST_READ_ATTEMPTS {
+        while attempts < MAX_READ_ATTEMPTS {
             let requirement = self.read_requirement().await?;
             let route = self.route(requirement, avoid);
             let server = match route {
@@ -55,7 +55,7 @@
             attempts += 1;
             let by_replica = matches!(route, ReadRoute::Replica(_));
             match self.try_read(server, by_replica, requirement, pinned, sink).await? {
-                ReadAttempt::Answered(end) => return Ok(end),
+                ReadAttempt::Answered(result) => return Ok(result),
                 ReadAttempt::Behind(server) => {
                     self.count_retry("behind");
                     avoid = Some(server);
@@ -75,7 +75,7 @@
                 RefusalReason::NoFreshServer,
                 "no server within reach is known to show what this read has to see",
             )
-            .retry_after(NO_FRESH_RETRY_MS)
+            .retry_after(NO_FRESH_SERVER_RETRY_MS)
         }))
     }
 
@@ -127,7 +127,7 @@
                         "no primary confirms what has been written; a read that accepts stated \
                          staleness may still be served",
                     )
-                    .retry_after(NO_FRESH_RETRY_MS));
+                    .retry_after(NO_FRESH_SERVER_RETRY_MS));
                 }
             }
         }
@@ -141,7 +141,7 @@
         let primary_only = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
             && self.staleness().is_none();
-        let question = ReadCriteria {
+        let criteria = ReadCriteria {
             point,
             has_written: primary_only || self.job.seen.is_some(),
             policy: if primary_only {
@@ -152,7 +152,7 @@
             sequence: self.group.next_sequence(),
             avoid,
         };
-        route_read(&question, &candidates)
+        route_read(&criteria, &candidates)
     }
 
     fn priority_of_read(&self) -> Priority {
@@ -164,7 +164,7 @@
         server: ServerId,
         by_replica: bool,
         requirement: ReadRequirement,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
     ) -> Result<ReadAttempt, Refusal> {
         let pool = &self.group.pools[server.index()];
@@ -178,10 +178,14 @@
             Err(refusal) => return Err(refusal),
         };
         let known = self.group.view.read().history.clone();
-        let mut shown = ReadCheck::Behind;
-        let prove = |status: &ServerStatus| {
-            shown = check_read(requirement, status, &known);
-            if shown == ReadCheck::Sufficient { Proof::Accept } else { Proof::Reject }
+        let mut read_check = ReadCheck::Behind;
+        let check_status = |status: &ServerStatus| {
+            read_check = check_read(requirement, status, &known);
+            if read_check == ReadCheck::Sufficient {
+                StatusCheck::Accept
+            } else {
+                StatusCheck::Reject
+            }
         };
         let confirm = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
@@ -189,7 +193,8 @@
         let options =
             RunOptions { probe: Probe::Before, hold_bytes: confirm.then_some(self.hold_bytes()) };
         let started = Instant::now();
-        let answer = self.run(&mut connection, server, by_replica, options, prove, sink).await;
+        let answer =
+            self.run(&mut connection, server, by_replica, options, check_status, sink).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(refusal) if sink.has_begun() => return Err(refusal),
@@ -201,7 +206,7 @@
             self.group.record_job_status(server, status);
         }
         if answer.rejected {
-            return self.rejected(server, shown, connection, &answer);
+            return self.rejected(server, read_check, connection, &answer);
         }
         if confirm && let Some(status) = &answer.status {
             let request = EvidenceRequest {
@@ -219,21 +224,28 @@
                 return Ok(ReadAttempt::Failed(server, refusal));
             }
         }
-        let end = self.end(server, by_replica, None, &answer);
+        let result = self.result(server, by_replica, None, &answer);
         if answer.transaction == b'I' {
             connection.release();
         } else {
             let term = answer.status.as_ref().map(|status| status.log_term).unwrap_or_default();
             let wrote = false;
-            *pinned = Some(Pinned { connection, server, term, wrote, by_replica, _writing: None });
+            *pinned = Some(PinnedConnection {
+                connection,
+                server,
+                term,
+                wrote,
+                by_replica,
+                _writing: None,
+            });
         }
-        Ok(ReadAttempt::Answered(end))
+        Ok(ReadAttempt::Answered(result))
     }
 
     fn rejected(
         &self,
         server: ServerId,
-        shown: ReadCheck,
+        read_check: ReadCheck,
         connection: PooledConnection,
         answer: &JobAnswer,
     ) -> Result<ReadAttempt, Refusal> {
@@ -241,13 +253,13 @@
         if answer.transaction == b'I' {
             connection.release();
         }
-        if shown == ReadCheck::Lost {
-            return Err(self.write_lost());
+        if read_check == ReadCheck::Lost {
+            return Err(self.write_lost_refusal());
         }
         Ok(ReadAttempt::Behind(server))
     }
 
-    pub(crate) fn write_lost(&self) -> Refusal {
+    pub(crate) fn write_lost_refusal(&self) -> Refusal {
         let point = self.seen().unwrap_or_default();
         Refusal::not_run(
             RefusalReason::WriteLost,
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -9,8 +9,8 @@
 use session::WriteStatus;
 
 use crate::{
-    endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
-    executor::{JobEnd, JobRun, NO_FRESH_RETRY_MS, Pinned},
+    endpoint_connection::{AnswerSink, JobAnswer, Probe, RunOptions, StatusCheck},
+    executor::{JobResult, JobRun, NO_FRESH_SERVER_RETRY_MS, PinnedConnection},
     group_state::{EvidenceRequest, WritingGuard},
 };
 
@@ -18,7 +18,7 @@
 const READ_ONLY_SERVER: &str = "25006";
 
 /// When a write that found the replicas far behind may try again.
-const BEHIND_RETRY_MS: u64 = 1_000;
+const REPLICAS_BEHIND_RETRY_MS: u64 = 1_000;
 
 /// Where a write may run, and how it is acknowledged.
 #[derive(Clone, Copy, Debug)]
@@ -31,9 +31,9 @@
 impl JobRun<'_> {
     pub(crate) async fn write<S: AnswerSink>(
         &self,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
-    ) -> Result<JobEnd, Refusal> {
+    ) -> Result<JobResult, Refusal> {
         loop {
             let writing = WritingGuard::new(self.group);
             let Some(admitted) = self.admit_write()? else {
@@ -46,7 +46,7 @@
             };
             let server = admitted.server;
             self.check_session(admitted.term).await?;
-            if self.needs_index() {
+            if self.needs_read_index() {
                 self.read_index().await?;
             }
             let acquired = self.acquire(server, false, Priority::Urgent).await;
@@ -60,7 +60,7 @@
                 Err(refusal) => return Err(refusal),
             };
             let options = RunOptions { probe: Probe::After, hold_bytes: Some(self.hold_bytes()) };
-            let accept = |_: &ServerStatus| Proof::Accept;
+            let accept = |_: &ServerStatus| StatusCheck::Accept;
             let answer = match self.run(&mut connection, server, false, options, accept, sink).await
             {
                 Ok(answer) => answer,
@@ -73,25 +73,25 @@
             if let Some(status) = &answer.status {
                 self.group.record_job_status(server, status);
             }
-            let began_at_old = !self.job.writes
+            let began_on_old_primary = !self.job.writes
                 && answer
                     .status
                     .as_ref()
                     .is_some_and(|status| !status.leads() || status.log_term != admitted.term);
-            if began_at_old && !sink.has_begun() {
+            if began_on_old_primary && !sink.has_begun() {
                 // Nothing but a transaction was begun there, and it ends with the connection.
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
             }
-            if self.was_refused_as_sealed(&answer) && !sink.has_begun() {
+            if self.was_refused_by_sealed_server(&answer) && !sink.has_begun() {
                 // The server refused the statement with proof, so it may run on the next primary.
                 let _ = self.group.query_status(server).await;
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
             }
             if answer.transaction != b'I' {
-                let end = self.end(server, false, None, &answer);
-                *pinned = Some(Pinned {
+                let result = self.result(server, false, None, &answer);
+                *pinned = Some(PinnedConnection {
                     connection,
                     server,
                     term: admitted.term,
@@ -99,7 +99,7 @@
                     by_replica: false,
                     _writing: Some(writing),
                 });
-                return Ok(end);
+                return Ok(result);
             }
             connection.release();
             return self.acknowledge(admitted, self.job.writes, answer).await;
@@ -108,14 +108,14 @@
 
     /// Says where a write may run now; `None` while it has to wait.
     fn admit_write(&self) -> Result<Option<AdmittedWrite>, Refusal> {
-        let view = self.group.view.read();
+        let group_view = self.group.view.read();
         let now = Instant::now();
-        let usable = view.primary.is_some_and(|primary| {
+        let usable = group_view.primary.is_some_and(|primary| {
             let address = &self.in_force.group.servers[primary.index()].address;
-            view.is_responding(primary)
+            group_view.is_responding(primary)
                 && self.context.may_get_new_work(address, &self.in_force.configuration)
         });
-        let view = view.primary_view(usable, now);
+        let view = group_view.primary_view(usable, now);
         let options = self.options();
         let rules = WriteRules {
             acknowledge: options.acknowledge,
@@ -131,12 +131,12 @@
                 RefusalReason::NoEvidence,
                 "the replicas are too far behind to confirm a write in time",
             )
-            .retry_after(BEHIND_RETRY_MS)),
+            .retry_after(REPLICAS_BEHIND_RETRY_MS)),
         }
     }
 
     /// Whether a transaction that begins has to see writes that only the primary can tell of.
-    fn needs_index(&self) -> bool {
+    fn needs_read_index(&self) -> bool {
         !self.job.writes
             && !self.job.tracked
             && self.options().untracked_reads != UntrackedReads::Connection
@@ -148,7 +148,7 @@
         let write_status = self.group.view.read().history.write_status(seen);
         match write_status {
             WriteStatus::Kept => Ok(()),
-            WriteStatus::Lost => Err(self.write_lost()),
+            WriteStatus::Lost => Err(self.write_lost_refusal()),
             WriteStatus::UnknownTerm if seen.term <= term => Ok(()),
             WriteStatus::UnknownTerm => {
                 // The token knows of a newer term than this daemon; the servers are asked.
@@ -165,7 +165,7 @@
                         seen.term
                     ),
                 )
-                .retry_after(NO_FRESH_RETRY_MS))
+                .retry_after(NO_FRESH_SERVER_RETRY_MS))
             }
         }
     }
@@ -179,7 +179,7 @@
     }
 
     /// Whether the server refused the first statement because it does not lead.
-    fn was_refused_as_sealed(&self, answer: &JobAnswer) -> bool {
+    fn was_refused_by_sealed_server(&self, answer: &JobAnswer) -> bool {
         answer.error_code.as_deref() == Some(READ_ONLY_SERVER)
             && !answer.completed
             && answer.status.as_ref().is_some_and(|status| !status.leads())
@@ -191,11 +191,11 @@
         admitted: AdmittedWrite,
         wrote: bool,
         answer: JobAnswer,
-    ) -> Result<JobEnd, Refusal> {
+    ) -> Result<JobResult, Refusal> {
         let AdmittedWrite { server, term, rule } = admitted;
         let nothing_committed = !wrote || (answer.error_code.is_some() && !answer.completed);
         let Some(status) = answer.status.as_ref().filter(|_| !nothing_committed) else {
-            return Ok(self.end(server, false, None, &answer));
+            return Ok(self.result(server, false, None, &answer));
         };
         // The write stands in the term that it was admitted in, whatever the server is by now.
         let write = LogPoint { term, position: status.held_position };
@@ -213,7 +213,7 @@
         let seconds = started.elapsed().as_secs_f64();
         self.context.metrics.evidence_seconds.with_label_values(&[service]).observe(seconds);
         match evidence {
-            Evidence::Sufficient => Ok(self.end(server, false, Some(write), &answer)),
+            Evidence::Sufficient => Ok(self.result(server, false, Some(write), &answer)),
             Evidence::Insufficient => Err(Refusal::may_have_run(
                 RefusalReason::NoEvidence,
                 "the primary ran the request, but too few servers confirmed it in time",
@@ -227,9 +227,9 @@
 
     pub(crate) async fn in_transaction<S: AnswerSink>(
         &self,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
-    ) -> Result<JobEnd, Refusal> {
+    ) -> Result<JobResult, Refusal> {
         let Some(mut pin) = pinned.take() else {
             return Err(Refusal::not_run(
                 RefusalReason::AnswerLost,
@@ -243,7 +243,7 @@
             probe: if hold { Probe::After } else { Probe::None },
             hold_bytes: hold.then_some(self.hold_bytes()),
         };
-        let accept = |_: &ServerStatus| Proof::Accept;
+        let accept = |_: &ServerStatus| StatusCheck::Accept;
         let answer = self
             .run(&mut pin.connection, server, pin.by_replica, options, accept, sink)
             .await
@@ -252,7 +252,7 @@
         if answer.transaction != b'I' {
             let by_replica = pin.by_replica;
             *pinned = Some(pin);
-            return Ok(self.end(server, by_replica, None, &answer));
+            return Ok(self.result(server, by_replica, None, &answer));
         }
         pin.connection.release();
         if hold {
@@ -260,7 +260,7 @@
             let admitted = AdmittedWrite { server, term: pin.term, rule };
             return self.acknowledge(admitted, pin.wrote, answer).await;
         }
-        Ok(self.end(server, pin.by_replica, None, &answer))
+        Ok(self.result(server, pin.by_replica, None, &answer))
     }
 
     /// Until its commit is sent, a transaction whose connection is lost is rolled back.
