--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -98,11 +98,11 @@
 }
 
 /// What the next messages of the endpoint belong to.
-enum Slot {
+enum ExpectedAnswer {
     /// A statement that the caller does not know of.
-    Hidden { statement: u64 },
+    ImplicitParse { statement: u64 },
     /// The end of a statement that was dropped to make room.
-    HiddenClose,
+    ImplicitClose,
     /// A step of the job.
     Step { shape: StepShape, statement: u64 },
     /// An answer that is known without the endpoint.
@@ -149,7 +149,7 @@
         if options.probe == Probe::Before {
             self.stream.add_query(Dialect::STATUS).map_err(RunError::NotSent)?;
         }
-        let slots = self.add_steps(job).map_err(RunError::NotSent)?;
+        let expected = self.add_steps(job).map_err(RunError::NotSent)?;
         if options.probe == Probe::After {
             self.stream.add_query(Dialect::STATUS).map_err(RunError::NotSent)?;
         }
@@ -174,7 +174,7 @@
             reader.answer.rejected = check_status(&status) == StatusCheck::Reject;
             reader.answer.status = Some(status);
         }
-        self.read_answer(slots, &mut reader).await?;
+        self.read_answer(expected, &mut reader).await?;
         if options.probe == Probe::After {
             let status = self.read_status().await?;
             reader.answer.status = Some(status);
@@ -197,8 +197,8 @@
     }
 
     /// Adds the job's messages, preparing the statements that this connection does not have.
-    fn add_steps(&mut self, job: &Job) -> Result<Vec<Slot>, EndpointError> {
-        let mut slots = Vec::with_capacity(job.steps.len() + 1);
+    fn add_steps(&mut self, job: &Job) -> Result<Vec<ExpectedAnswer>, EndpointError> {
+        let mut expected = Vec::with_capacity(job.steps.len() + 1);
         let mut preparing: Vec<u64> = Vec::new();
         let mut extended = false;
         for step in &job.steps {
@@ -209,41 +209,45 @@
                 || self.prepared.get(&statement).is_some()
                 || preparing.contains(&statement);
             match shape {
-                StepShape::Canned => slots.push(Slot::Canned(step.message.clone())),
-                StepShape::Parse if has => slots.push(Slot::Canned(parse_complete())),
+                StepShape::Canned => expected.push(ExpectedAnswer::Canned(step.message.clone())),
+                StepShape::Parse if has => expected.push(ExpectedAnswer::Canned(parse_complete())),
                 StepShape::Parse => {
-                    self.make_room(&mut slots, preparing.len())?;
+                    self.evict_prepared(&mut expected, preparing.len())?;
                     preparing.push(statement);
                     self.stream.add_bytes(&step.message);
-                    slots.push(Slot::Step { shape, statement });
+                    expected.push(ExpectedAnswer::Step { shape, statement });
                 }
                 _ => {
                     if !has {
-                        self.make_room(&mut slots, preparing.len())?;
+                        self.evict_prepared(&mut expected, preparing.len())?;
                         preparing.push(statement);
                         self.stream.add_bytes(&find_parse(job, statement)?);
-                        slots.push(Slot::Hidden { statement });
+                        expected.push(ExpectedAnswer::ImplicitParse { statement });
                     }
                     self.stream.add_bytes(&step.message);
-                    slots.push(Slot::Step { shape, statement });
+                    expected.push(ExpectedAnswer::Step { shape, statement });
                 }
             }
         }
         if extended {
             self.stream.add_message(&PgWireFrontendMessage::Sync(Sync::new()))?;
         }
-        Ok(slots)
+        Ok(expected)
     }
 
     /// Drops the statement used longest ago when the connection has as many as it may.
-    fn make_room(&mut self, slots: &mut Vec<Slot>, preparing: usize) -> Result<(), EndpointError> {
+    fn evict_prepared(
+        &mut self,
+        expected: &mut Vec<ExpectedAnswer>,
+        preparing: usize,
+    ) -> Result<(), EndpointError> {
         if self.prepared.len() + preparing < self.prepared.cap().get() {
             return Ok(());
         }
         let Some((oldest, ())) = self.prepared.pop_lru() else { return Ok(()) };
         let close = Close::new(b'S', Some(endpoint_statement_name(oldest)));
         self.stream.add_message(&PgWireFrontendMessage::Close(close))?;
-        slots.push(Slot::HiddenClose);
+        expected.push(ExpectedAnswer::ImplicitClose);
         Ok(())
     }
 
@@ -282,33 +286,33 @@
 
     async fn read_answer<S: AnswerSink>(
         &mut self,
-        slots: Vec<Slot>,
+        expected: Vec<ExpectedAnswer>,
         reader: &mut AnswerReader<'_, S>,
     ) -> Result<(), RunError> {
         let mut sent_any = false;
-        for slot in slots {
-            sent_any |= !matches!(slot, Slot::Canned(_));
+        for answer in expected {
+            sent_any |= !matches!(answer, ExpectedAnswer::Canned(_));
             if reader.answer.error_code.is_some() {
                 continue;
             }
-            match slot {
-                Slot::Canned(messages) => reader.pass_bytes(&messages),
-                Slot::Step { shape: StepShape::Query, .. } => {
+            match answer {
+                ExpectedAnswer::Canned(messages) => reader.pass_bytes(&messages),
+                ExpectedAnswer::Step { shape: StepShape::Query, .. } => {
                     return self.read_until_ready(reader).await;
                 }
-                Slot::Step { shape, statement } => {
+                ExpectedAnswer::Step { shape, statement } => {
                     self.read_step(shape, reader).await?;
                     if shape == StepShape::Parse && reader.answer.error_code.is_none() {
                         self.prepared.put(statement, ());
                     }
                 }
-                Slot::Hidden { statement } => {
-                    if self.read_hidden(reader).await? {
+                ExpectedAnswer::ImplicitParse { statement } => {
+                    if self.read_implicit(reader).await? {
                         self.prepared.put(statement, ());
                     }
                 }
-                Slot::HiddenClose => {
-                    self.read_hidden(reader).await?;
+                ExpectedAnswer::ImplicitClose => {
+                    self.read_implicit(reader).await?;
                 }
             }
         }
@@ -352,7 +356,7 @@
 
     /// Reads an answer that the caller does not know of; `false` when it is an error, which the
     /// caller gets to know of.
-    async fn read_hidden<S: AnswerSink>(
+    async fn read_implicit<S: AnswerSink>(
         &mut self,
         reader: &mut AnswerReader<'_, S>,
     ) -> Result<bool, RunError> {
@@ -414,8 +418,8 @@
         let tail = self.answer.tail.len();
         match self.hold_bytes {
             // Rows show no commit, so they may go before it; an end of statement may not.
-            Some(most) if tail > most && self.answer.completed => Err(RunError::TooLarge),
-            Some(most) if tail > most => self.send().await,
+            Some(limit) if tail > limit && self.answer.completed => Err(RunError::TooLarge),
+            Some(limit) if tail > limit => self.send().await,
             None if tail > CHUNK_BYTES => self.send().await,
             _ => Ok(()),
         }
