--- a/crates/daemon/src/caller_log_in.rs
+++ b/crates/daemon/src/caller_log_in.rs
@@ -80,9 +80,9 @@
     if in_force.revision == 0 {
         return Err(("57P03", "no configuration is in force yet; connect again".to_owned()));
     }
-    let most = in_force.configuration.limits.callers;
-    if context.callers.load(Ordering::Relaxed) >= most {
-        return Err(("53300", format!("this daemon takes at most {most} callers")));
+    let max_callers = in_force.configuration.limits.callers;
+    if context.callers.load(Ordering::Relaxed) >= max_callers {
+        return Err(("53300", format!("this daemon takes at most {max_callers} callers")));
     }
     let user = parameters.get("user").cloned().unwrap_or_default();
     if user.is_empty() {
--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -1,6 +1,6 @@
 //! One caller's session, from its log-in to its end.
 
-mod running;
+mod run_request;
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -28,7 +28,7 @@
 };
 
 /// Messages of one request beyond this number are refused, so that a request stays bounded.
-const MOST_STEPS: usize = 10_000;
+const MAX_REQUEST_STEPS: usize = 10_000;
 
 /// Serves a caller's connection until it ends.
 pub(crate) async fn serve_caller(
@@ -61,20 +61,20 @@
 
 /// A session that has been idle for this long is closed by a planned stop. A busy one, whose next
 /// request may be on its way, gets the time to send it.
-const IDLE_BEFORE_STOP: Duration = Duration::from_millis(250);
+const STOP_IDLE_TIME: Duration = Duration::from_millis(250);
 
 /// Ends when a planned stop has begun and the time for a request to arrive is over.
 async fn idle_while_stopping(stopping: &mut tokio::sync::watch::Receiver<bool>) {
     // The sender lives as long as the daemon, so the wait can't fail before the end.
     let _ = stopping.wait_for(|stopping| *stopping).await;
-    tokio::time::sleep(IDLE_BEFORE_STOP).await;
+    tokio::time::sleep(STOP_IDLE_TIME).await;
 }
 
 /// What becomes of the session after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum After {
+enum AfterRequest {
     /// It goes on.
-    GoOn,
+    Continue,
     /// Its transaction was lost with the connection, so going on could mix statements up.
     Close,
 }
@@ -100,13 +100,13 @@
     pub(crate) skipping: bool,
     pub(crate) transaction: u8,
     /// The transaction failed here, without its server knowing.
-    pub(crate) poisoned: bool,
+    pub(crate) aborted_locally: bool,
     pub(crate) pinned: Option<PinnedConnection>,
     pub(crate) relay_pin: Option<Arc<RelayPin>>,
     pub(crate) running: Arc<RunningStatement>,
     pub(crate) relayed_to: Arc<Mutex<Option<u64>>>,
     pub(crate) served_by: String,
-    pub(crate) entered_at: Instant,
+    pub(crate) received_at: Instant,
 }
 
 impl CallerSession {
@@ -133,22 +133,22 @@
             request: Request::default(),
             skipping: false,
             transaction: b'I',
-            poisoned: false,
+            aborted_locally: false,
             pinned: None,
             relay_pin: None,
             running,
             relayed_to,
             served_by: String::new(),
-            entered_at: Instant::now(),
+            received_at: Instant::now(),
         }
     }
 
     async fn run(&mut self, parameters: &Parameters) -> Result<(), StreamEnd> {
-        if let Err((code, message)) = self.take_parameters(parameters) {
+        if let Err((code, message)) = self.apply_parameters(parameters) {
             send_fatal(&mut self.stream, code, &message).await;
             return Ok(());
         }
-        self.greet();
+        self.send_session_start();
         self.ready().await?;
         let mut stopping = self.context.stopping.subscribe();
         loop {
@@ -166,24 +166,24 @@
                 }
                 None => self.stream.next().await?,
             };
-            self.entered_at = Instant::now();
+            self.received_at = Instant::now();
             if matches!(message, PgWireFrontendMessage::Terminate(_)) {
                 return Ok(());
             }
-            if self.handle(message).await? == After::Close {
+            if self.handle(message).await? == AfterRequest::Close {
                 return Ok(());
             }
         }
     }
 
-    fn take_parameters(&mut self, parameters: &Parameters) -> Result<(), (&'static str, String)> {
+    fn apply_parameters(&mut self, parameters: &Parameters) -> Result<(), (&'static str, String)> {
         for (name, value) in parameters {
             match name.as_str() {
                 "user" | "database" => {}
                 name if name.starts_with("_pq_.") => {}
-                name if name.starts_with("wardtiller.") => {
-                    self.set_own(name, Some(value)).map_err(|error| (error.code, error.message))?
-                }
+                name if name.starts_with("wardtiller.") => self
+                    .set_wardtiller_setting(name, Some(value))
+                    .map_err(|error| (error.code, error.message))?,
                 name => self
                     .settings
                     .set_at_startup(name, value)
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    fn greet(&mut self) {
+    fn send_session_start(&mut self) {
         let own = [
             ("server_version", "15.0 (wardtiller)"),
             ("server_encoding", "UTF8"),
@@ -218,10 +218,10 @@
         self.stream.add(&PgWireBackendMessage::ParameterStatus(status));
     }
 
-    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<After, StreamEnd> {
+    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<AfterRequest, StreamEnd> {
         use PgWireFrontendMessage as M;
         if self.skipping && !matches!(message, M::Sync(_)) {
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         }
         match message {
             M::Query(query) => {
@@ -230,7 +230,7 @@
                     self.stream
                         .add(&PgWireBackendMessage::EmptyQueryResponse(EmptyQueryResponse::new()));
                     self.ready().await?;
-                    return Ok(After::GoOn);
+                    return Ok(AfterRequest::Continue);
                 };
                 self.finish(request).await
             }
@@ -240,10 +240,10 @@
                 self.finish(request).await
             }
             M::Flush(_) => self.flush().await,
-            M::CopyData(_) | M::CopyDone(_) | M::CopyFail(_) => Ok(After::GoOn),
+            M::CopyData(_) | M::CopyDone(_) | M::CopyFail(_) => Ok(AfterRequest::Continue),
             message => {
                 self.extended_message(message);
-                Ok(After::GoOn)
+                Ok(AfterRequest::Continue)
             }
         }
     }
@@ -274,7 +274,7 @@
         if self.request.error.is_some() {
             return;
         }
-        if self.request.steps.len() >= MOST_STEPS {
+        if self.request.steps.len() >= MAX_REQUEST_STEPS {
             let error = RequestError::new("54000", "too many messages before a Sync");
             self.request.error = Some(error);
             return;
@@ -301,7 +301,7 @@
     ///
     /// Preparing and describing change nothing, so they can be answered by themselves; the answers
     /// to statements belong to a transaction that the `Sync` ends, so they can't.
-    async fn flush(&mut self) -> Result<After, StreamEnd> {
+    async fn flush(&mut self) -> Result<AfterRequest, StreamEnd> {
         if self.request.error.is_none()
             && (self.request.effects.executes || !self.request.local.is_empty())
         {
@@ -317,12 +317,12 @@
         Ok(after)
     }
 
-    async fn finish(&mut self, request: Request) -> Result<After, StreamEnd> {
+    async fn finish(&mut self, request: Request) -> Result<AfterRequest, StreamEnd> {
         let after = self.answer(request).await?;
         if self.transaction == b'I' {
             self.extended.end_transaction();
         }
-        if after == After::Close {
+        if after == AfterRequest::Close {
             return Ok(after);
         }
         self.ready().await?;
@@ -330,7 +330,7 @@
     }
 
     async fn ready(&mut self) -> Result<(), StreamEnd> {
-        let status = match (self.poisoned, self.transaction) {
+        let status = match (self.aborted_locally, self.transaction) {
             (true, _) | (_, b'E') => TransactionStatus::Error,
             (_, b'T') => TransactionStatus::Transaction,
             _ => TransactionStatus::Idle,
@@ -340,43 +340,43 @@
     }
 
     /// Answers a request, without the `ReadyForQuery` that ends it.
-    async fn answer(&mut self, mut request: Request) -> Result<After, StreamEnd> {
+    async fn answer(&mut self, mut request: Request) -> Result<AfterRequest, StreamEnd> {
         if let Some(error) = request.error.take() {
             self.fail(&error);
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         }
-        if self.poisoned {
-            return self.answer_poisoned(&request).await;
+        if self.aborted_locally {
+            return self.answer_aborted(&request).await;
         }
-        if let Err(error) = self.carry_out_local(&mut request) {
+        if let Err(error) = self.run_local_statements(&mut request) {
             self.fail(&error);
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         }
         if request.is_local() {
             for step in &request.steps {
                 self.stream.add_bytes(&step.message);
             }
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         }
         self.run_request(request).await
     }
 
     /// A transaction that failed here takes nothing but its end.
-    async fn answer_poisoned(&mut self, request: &Request) -> Result<After, StreamEnd> {
+    async fn answer_aborted(&mut self, request: &Request) -> Result<AfterRequest, StreamEnd> {
         let ends = request.effects.commits || !request.effects.executes;
         if !ends || request.effects.writes {
             let message = "current transaction is aborted, commands ignored until end of block";
             self.fail(&RequestError::new("25P02", message));
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         }
         // Dropping the connection rolls back; it may not be given to anybody else before that.
         self.pinned = None;
         self.relay_pin = None;
-        self.poisoned = false;
+        self.aborted_locally = false;
         self.transaction = b'I';
         let answer = Answer::default().complete("ROLLBACK").finish();
         self.stream.add_bytes(&answer);
-        Ok(After::GoOn)
+        Ok(AfterRequest::Continue)
     }
 
     /// Sends an error, which a transaction does not survive.
@@ -389,6 +389,6 @@
             (b'D', "verdict=not_run".to_owned()),
         ];
         self.stream.add(&PgWireBackendMessage::ErrorResponse(ErrorResponse::new(fields)));
-        self.poisoned |= self.transaction != b'I';
+        self.aborted_locally |= self.transaction != b'I';
     }
 }
--- a/crates/daemon/src/caller_session/running.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -9,7 +9,7 @@
 use wire::{CallerStream, StreamEnd, encode_refusal, refusal_response};
 
 use crate::{
-    caller_session::{After, CallerSession},
+    caller_session::{AfterRequest, CallerSession},
     endpoint_connection::AnswerSink,
     executor::{JobResult, execute, point_message},
     relay::relay,
@@ -17,18 +17,21 @@
 };
 
 impl CallerSession {
-    pub(super) async fn run_request(&mut self, request: Request) -> Result<After, StreamEnd> {
+    pub(super) async fn run_request(
+        &mut self,
+        request: Request,
+    ) -> Result<AfterRequest, StreamEnd> {
         let in_force = self.context.in_force.load_full();
         let Some(service) = in_force.configuration.services.get(&self.service_name).cloned() else {
             let message = format!("the service \"{}\" was taken out", self.service_name);
             self.fail(&RequestError::new("3D000", message));
-            return Ok(After::GoOn);
+            return Ok(AfterRequest::Continue);
         };
         let group = match self.place(&service) {
             Ok(group) => group,
             Err(error) => {
                 self.fail(&error);
-                return Ok(After::GoOn);
+                return Ok(AfterRequest::Continue);
             }
         };
         let mut span = self.context.tracer.enter("caller", request.traceparent.as_deref());
@@ -37,11 +40,11 @@
             Ok(job) => job,
             Err(error) => {
                 self.fail(&error);
-                return Ok(After::GoOn);
+                return Ok(AfterRequest::Continue);
             }
         };
         let outcome = self.run_job(&group, &job).await?;
-        self.measure(class, &job, &outcome);
+        self.record_metrics(class, &job, &outcome);
         if let Some(mut span) = span.take() {
             span.set("wardtiller.group", group.to_string());
             span.set("wardtiller.class", class);
@@ -85,7 +88,7 @@
         span: Option<&Span>,
     ) -> Result<Job, RequestError> {
         let read_kind = request.read_kind.unwrap_or_else(|| self.read_kind.clone());
-        self.check_kind(&read_kind)?;
+        self.check_read_kind(&read_kind)?;
         let in_transaction = self.transaction != b'I';
         let effects = request.effects;
         let settings = self
@@ -141,7 +144,7 @@
         Ok(relay(&context, configured, pin, &self.relayed_to, job, &mut sink).await)
     }
 
-    fn accept(&mut self, group: &GroupId, job: &Job, end: JobResult) -> After {
+    fn accept(&mut self, group: &GroupId, job: &Job, end: JobResult) -> AfterRequest {
         if let Some(written) = end.written {
             self.token.advance(&group.group, written);
             let token = self.token.to_string();
@@ -155,16 +158,16 @@
         }
         let _ = job;
         self.stream.add_bytes(&end.tail);
-        After::GoOn
+        AfterRequest::Continue
     }
 
     /// Tells the caller of a refusal. A transaction is over with it, and so is its connection: what
     /// the caller has sent already must not run outside of the transaction.
-    async fn refuse(&mut self, job: &Job, refusal: &Refusal) -> After {
+    async fn refuse(&mut self, job: &Job, refusal: &Refusal) -> AfterRequest {
         self.served_by = format!("nobody: {}", refusal.reason.as_str());
         if !job.in_transaction {
             self.stream.add_bytes(&encode_refusal(refusal));
-            return After::GoOn;
+            return AfterRequest::Continue;
         }
         self.pinned = None;
         self.relay_pin = None;
@@ -172,7 +175,7 @@
         if job.may_commit {
             // The transaction's end was asked for, so nothing of it can follow.
             self.stream.add_bytes(&encode_refusal(refusal));
-            return After::GoOn;
+            return AfterRequest::Continue;
         }
         let mut response = refusal_response(refusal);
         for field in &mut response.fields {
@@ -183,13 +186,13 @@
         self.stream.add(&PgWireBackendMessage::ErrorResponse(response));
         // The caller may be gone; then nobody needs the message.
         let _ = self.stream.flush().await;
-        After::Close
+        AfterRequest::Close
     }
 
-    fn measure(&self, class: &str, job: &Job, outcome: &Result<JobResult, Refusal>) {
+    fn record_metrics(&self, class: &str, job: &Job, outcome: &Result<JobResult, Refusal>) {
         let metrics = &self.context.metrics;
         let service = &*self.service_name;
-        let seconds = self.entered_at.elapsed().as_secs_f64();
+        let seconds = self.received_at.elapsed().as_secs_f64();
         metrics.request_seconds.with_label_values(&[service, class]).observe(seconds);
         match outcome {
             Ok(end) => {
--- a/crates/daemon/src/caller_settings.rs
+++ b/crates/daemon/src/caller_settings.rs
@@ -12,7 +12,10 @@
 
 impl CallerSession {
     /// Carries out SET, SHOW and DISCARD, putting their answers into the request's steps.
-    pub(crate) fn carry_out_local(&mut self, request: &mut Request) -> Result<(), RequestError> {
+    pub(crate) fn run_local_statements(
+        &mut self,
+        request: &mut Request,
+    ) -> Result<(), RequestError> {
         let effects = std::mem::take(&mut request.local);
         let simple = request.steps.is_empty();
         let mut places: Vec<usize> = request
@@ -68,7 +71,7 @@
 
     fn set(&mut self, name: &str, value: Option<&str>) -> Result<(), RequestError> {
         if name.starts_with("wardtiller.") {
-            return self.set_own(name, value);
+            return self.set_wardtiller_setting(name, value);
         }
         self.settings
             .set(name, value)
@@ -76,7 +79,11 @@
     }
 
     /// Changes one of the session's own settings.
-    pub(crate) fn set_own(&mut self, name: &str, value: Option<&str>) -> Result<(), RequestError> {
+    pub(crate) fn set_wardtiller_setting(
+        &mut self,
+        name: &str,
+        value: Option<&str>,
+    ) -> Result<(), RequestError> {
         let value = value.unwrap_or_default();
         match name {
             "wardtiller.session" => {
@@ -95,7 +102,7 @@
                 Ok(())
             }
             "wardtiller.read_kind" => {
-                self.check_kind(value)?;
+                self.check_read_kind(value)?;
                 value.clone_into(&mut self.read_kind);
                 Ok(())
             }
@@ -112,7 +119,7 @@
         }
     }
 
-    pub(crate) fn check_kind(&self, kind: &str) -> Result<(), RequestError> {
+    pub(crate) fn check_read_kind(&self, kind: &str) -> Result<(), RequestError> {
         let in_force = self.context.in_force.load();
         let Some(service) = in_force.configuration.services.get(&self.service_name) else {
             return Ok(());
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the error that a text is answered with before anything is sent, if any.
-    fn of(classified: &Classified) -> Option<RequestError> {
+    fn for_statement(classified: &Classified) -> Option<RequestError> {
         if let Some(message) = classified.invalid() {
             return Some(RequestError::new("42601", format!("wardtiller: {message}")));
         }
@@ -89,7 +89,7 @@
     /// Builds a request out of a simple query.
     pub(crate) fn simple(query: Query, classified: &Classified) -> Request {
         let mut request = Request::default();
-        if let Some(error) = RequestError::of(classified) {
+        if let Some(error) = RequestError::for_statement(classified) {
             request.error = Some(error);
             return request;
         }
@@ -124,7 +124,7 @@
         self.add_step(StepShape::Canned, message, 0);
     }
 
-    fn need(&mut self, prepared: &Prepared) {
+    fn require_statement(&mut self, prepared: &Prepared) {
         if self.statements.iter().all(|known| known.id != prepared.id) {
             self.statements.push(Statement { id: prepared.id, parse: prepared.parse.clone() });
         }
@@ -151,7 +151,7 @@
 }
 
 /// Portals of one transaction beyond this number are refused.
-const MOST_PORTALS: usize = 1_024;
+const MAX_PORTALS: usize = 1_024;
 
 impl ExtendedState {
     /// Forgets the portals, which end with the transaction.
@@ -167,7 +167,7 @@
         classified: Arc<Classified>,
         read_kind: Option<String>,
     ) {
-        if let Some(error) = RequestError::of(&classified) {
+        if let Some(error) = RequestError::for_statement(&classified) {
             request.fail(error);
             return;
         }
@@ -182,7 +182,7 @@
             request.add_canned(&PgWireBackendMessage::ParseComplete(ParseComplete::new()));
             return;
         }
-        request.need(&prepared);
+        request.require_statement(&prepared);
         request.add_step(StepShape::Parse, prepared.parse.clone(), prepared.id);
     }
 
@@ -190,10 +190,10 @@
     pub(crate) fn bind(&mut self, request: &mut Request, bind: Bind) {
         let name = bind.statement_name.clone().unwrap_or_default();
         let Some(prepared) = self.prepared.get(&name).cloned() else {
-            request.fail(missing("prepared statement", &name));
+            request.fail(not_found("prepared statement", &name));
             return;
         };
-        if self.portals.len() >= MOST_PORTALS {
+        if self.portals.len() >= MAX_PORTALS {
             request.fail(RequestError::new("53400", "too many portals"));
             return;
         }
@@ -203,7 +203,7 @@
             request.add_canned(&PgWireBackendMessage::BindComplete(BindComplete::new()));
             return;
         }
-        request.need(&prepared);
+        request.require_statement(&prepared);
         let renamed = Bind::new(
             bind.portal_name,
             Some(endpoint_statement_name(prepared.id)),
@@ -228,7 +228,7 @@
         };
         let Some(prepared) = found else {
             request
-                .fail(missing(if is_statement { "prepared statement" } else { "portal" }, &name));
+                .fail(not_found(if is_statement { "prepared statement" } else { "portal" }, &name));
             return;
         };
         if prepared.classified.is_local() {
@@ -236,7 +236,7 @@
             return;
         }
         let (described, statement) = if is_statement {
-            request.need(&prepared);
+            request.require_statement(&prepared);
             (Describe::new(b'S', Some(endpoint_statement_name(prepared.id))), prepared.id)
         } else {
             (describe, 0)
@@ -251,7 +251,7 @@
     pub(crate) fn execute(&mut self, request: &mut Request, execute: &Execute) {
         let name = execute.name.clone().unwrap_or_default();
         let Some(prepared) = self.portals.get(&name).cloned() else {
-            request.fail(missing("portal", &name));
+            request.fail(not_found("portal", &name));
             return;
         };
         if prepared.classified.is_local() {
@@ -298,11 +298,11 @@
             let types = pgwire::messages::data::ParameterDescription::new(Vec::new());
             self.add_canned(&PgWireBackendMessage::ParameterDescription(types));
         }
-        let shown = classified.effects.iter().find_map(|effect| match effect {
+        let shown_setting = classified.effects.iter().find_map(|effect| match effect {
             Effect::Show { name } => Some(name.as_str()),
             _ => None,
         });
-        match shown {
+        match shown_setting {
             Some(name) => {
                 let (description, _) = wire::row_answer(name, "");
                 self.add_step(StepShape::Canned, description, 0);
@@ -312,7 +312,7 @@
     }
 }
 
-fn missing(what: &str, name: &str) -> RequestError {
+fn not_found(what: &str, name: &str) -> RequestError {
     let code = if what == "portal" { "34000" } else { "26000" };
     RequestError::new(code, format!("there is no {what} `{name}`"))
 }
