--- a/crates/daemon/src/apply.rs
+++ b/crates/daemon/src/apply.rs
@@ -11,7 +11,7 @@
     /// It has mistakes.
     Invalid(Problems),
     /// Another configuration was applied since the base.
-    Raced {
+    Conflict {
         /// The revision in force now.
         revision: u64,
         /// The sections that differ between the base and what is in force now.
@@ -20,7 +20,7 @@
     /// The store can't be reached; nothing was applied.
     Store(StoreError),
     /// The store's answers were lost; whether it was applied can't be told.
-    Unclear {
+    OutcomeUnknown {
         /// Made up for this attempt; the head names it if it was applied.
         change_id: String,
     },
@@ -30,14 +30,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ApplyError::Invalid(problems) => problems.fmt(f),
-            ApplyError::Raced { revision, changed } => write!(
+            ApplyError::Conflict { revision, changed } => write!(
                 f,
                 "not applied: revision {revision} was applied meanwhile; it changed {}. Merge these \
                  and apply again with --base {revision}",
                 if changed.is_empty() { "nothing".to_owned() } else { changed.join(", ") }
             ),
             ApplyError::Store(error) => write!(f, "not applied: {error}"),
-            ApplyError::Unclear { change_id } => write!(
+            ApplyError::OutcomeUnknown { change_id } => write!(
                 f,
                 "the store's answers were lost; whether the configuration was applied is not known. \
                  When the store is back, `wardtiller show` tells whether change {change_id} is in \
@@ -56,7 +56,7 @@
 }
 
 /// How often a lost answer is looked up before the outcome is called unclear.
-const LOOK_UPS: usize = 5;
+const MAX_OUTCOME_READS: usize = 5;
 
 /// Returns the key of the head.
 pub(crate) fn head_key(prefix: &str) -> String {
@@ -80,21 +80,21 @@
     change_id: &str,
 ) -> Result<u64, ApplyError> {
     check_configuration(file, text).map_err(ApplyError::Invalid)?;
-    let (version, present) = read_head(store, prefix)?;
+    let (version, current) = read_head(store, prefix)?;
     if let Some(base) = base
-        && base != present.revision
+        && base != current.revision
     {
-        let changed = changed_sections(store, prefix, text, &present)?;
-        return Err(ApplyError::Raced { revision: present.revision, changed });
+        let changed = changed_sections(store, prefix, text, &current)?;
+        return Err(ApplyError::Conflict { revision: current.revision, changed });
     }
     let chunks = split(text);
     for chunk in &chunks {
         write_chunk(store, &chunk_key(prefix, &chunk.hash), &chunk.text)?;
     }
     let hashes: Vec<ChunkHash> = chunks.iter().map(|chunk| chunk.hash.clone()).collect();
-    let superseded = present.chunks.iter().filter(|hash| !hashes.contains(hash)).cloned().collect();
+    let superseded = current.chunks.iter().filter(|hash| !hashes.contains(hash)).cloned().collect();
     let head = Head {
-        revision: present.revision + 1,
+        revision: current.revision + 1,
         change_id: change_id.to_owned(),
         chunks: hashes,
         superseded,
@@ -105,22 +105,22 @@
     match outcome {
         Ok(CasOutcome::Applied) => {}
         Ok(CasOutcome::Conflict) | Err(StoreError::AnswerLost(_) | StoreError::Malformed(_)) => {
-            resolve(store, prefix, text, &head)?;
+            resolve_outcome(store, prefix, text, &head)?;
         }
         Err(error) => return Err(error.into()),
     }
-    remove_unused(store, prefix, &present, &head);
+    remove_unused(store, prefix, &current, &head);
     Ok(head.revision)
 }
 
 /// Finds out by reading whether a change whose answer was lost took effect.
-fn resolve<P: KeyValueStore>(
+fn resolve_outcome<P: KeyValueStore>(
     store: &P,
     prefix: &str,
     text: &str,
     head: &Head,
 ) -> Result<(), ApplyError> {
-    for _ in 0..LOOK_UPS {
+    for _ in 0..MAX_OUTCOME_READS {
         let Ok((_, found)) = read_head(store, prefix) else { continue };
         if found.change_id == head.change_id {
             return Ok(());
@@ -132,9 +132,9 @@
             )));
         }
         let changed = changed_sections(store, prefix, text, &found)?;
-        return Err(ApplyError::Raced { revision: found.revision, changed });
+        return Err(ApplyError::Conflict { revision: found.revision, changed });
     }
-    Err(ApplyError::Unclear { change_id: head.change_id.clone() })
+    Err(ApplyError::OutcomeUnknown { change_id: head.change_id.clone() })
 }
 
 pub(crate) fn read_head<P: KeyValueStore>(
@@ -174,19 +174,19 @@
     store: &P,
     prefix: &str,
     text: &str,
-    present: &Head,
+    current: &Head,
 ) -> Result<Vec<String>, StoreError> {
     let mut found = Vec::new();
-    for hash in &present.chunks {
+    for hash in &current.chunks {
         let entry = store.get(&chunk_key(prefix, hash))?;
         found.push(entry.map(|entry| String::from_utf8_lossy(&entry.value).into_owned()));
     }
     let mut chunks = found.iter();
-    let in_force = assemble(present, |_| chunks.next().and_then(|chunk| chunk.as_deref()));
+    let in_force = assemble(current, |_| chunks.next().and_then(|chunk| chunk.as_deref()));
     let Ok(in_force) = in_force else { return Ok(vec!["(unreadable)".to_owned()]) };
-    let ours: BTreeSet<String> = section_texts(text);
-    let theirs: BTreeSet<String> = section_texts(&in_force);
-    let changed = ours.symmetric_difference(&theirs);
+    let new_sections: BTreeSet<String> = section_texts(text);
+    let active_sections: BTreeSet<String> = section_texts(&in_force);
+    let changed = new_sections.symmetric_difference(&active_sections);
     let names: BTreeSet<String> =
         changed.map(|section| section.lines().next().unwrap_or_default().to_owned()).collect();
     Ok(names.into_iter().collect())
--- a/crates/wardtiller/tests/configuration.rs
+++ b/crates/wardtiller/tests/configuration.rs
@@ -35,7 +35,7 @@
     let second = changed(&system, 2_000);
     let error = apply_configuration(&store, "wardtiller", "f", &second, base, "two").unwrap_err();
     match error {
-        ApplyError::Raced { revision, changed } => {
+        ApplyError::Conflict { revision, changed } => {
             assert_eq!(revision, 2);
             assert_eq!(changed, ["[kind shop/menu]"]);
         }
