--- a/crates/daemon/src/caller_session/running.rs
+++ b/crates/daemon/src/caller_session/running.rs
@@ -97,7 +97,7 @@
             service: group.service.to_string(),
             group: group.group.to_string(),
             user: self.user.to_string(),
-            seen: self.token.point(&group.group).map(point_message),
+            min_point: self.token.point(&group.group).map(point_message),
             tracked: self.tracked || service.options.untracked_reads == UntrackedReads::Connection,
             read_kind,
             read_only: effects.is_read_only(),
@@ -106,7 +106,7 @@
             steps: request.steps,
             statements: request.statements,
             settings: settings.collect(),
-            deadline_ms: service.options.request_deadline_ms,
+            remaining_ms: service.options.request_deadline_ms,
             traceparent: span.map(|span| span.context.to_traceparent()).unwrap_or_default(),
             writes: effects.writes,
         })
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -63,7 +63,7 @@
     group.touch();
     group.retries.lock().on_request();
     let in_force = group.in_force.load_full();
-    let deadline = Instant::now() + Duration::from_millis(job.deadline_ms);
+    let deadline = Instant::now() + Duration::from_millis(job.remaining_ms);
     let run = JobRun { context, group, running, job, in_force: &in_force, deadline };
     if job.in_transaction {
         return run.in_transaction(pinned, sink).await;
@@ -85,7 +85,7 @@
 
 impl JobRun<'_> {
     pub(crate) fn seen(&self) -> Option<LogPoint> {
-        self.job.seen.as_ref().map(|point| LogPoint::new(point.term, point.position))
+        self.job.min_point.as_ref().map(|point| LogPoint::new(point.term, point.position))
     }
 
     pub(crate) fn options(&self) -> &config::ServiceOptions {
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -77,8 +77,8 @@
             }
         };
         let spent = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let deadline_ms = job.deadline_ms.saturating_sub(spent);
-        let job = Job { deadline_ms, ..job.clone() };
+        let remaining_ms = job.remaining_ms.saturating_sub(spent);
+        let job = Job { remaining_ms, ..job.clone() };
         match relay_to(&client, &job, sink).await {
             Ok(end) => {
                 keep_pin(pin, &client, owner.key, &job, &end, None);
@@ -173,7 +173,7 @@
         return Ok(JobEnd {
             tail: end.messages,
             transaction: u8::try_from(end.transaction).unwrap_or(b'E'),
-            written: end.written.map(|point| LogPoint::new(point.term, point.position)),
+            written: end.write_point.map(|point| LogPoint::new(point.term, point.position)),
             served_by: end.served_by,
             by_replica: end.by_replica,
         });
@@ -318,7 +318,7 @@
     match outcome {
         Ok(end) => RelayEnd {
             transaction: u32::from(end.transaction),
-            written: end.written.map(point_message),
+            write_point: end.written.map(point_message),
             served_by: end.served_by,
             by_replica: end.by_replica,
             messages: end.tail,
@@ -350,7 +350,7 @@
     })?;
     let mut pinned = session.pinned.lock().await;
     let mut sink = ReplySink { reply, begun: false };
-    let longest = Duration::from_millis(job.deadline_ms) + GRACE;
+    let longest = Duration::from_millis(job.remaining_ms) + GRACE;
     let run = execute(context, &group, &mut pinned, &session.running, job, &mut sink);
     match tokio::time::timeout(longest, run).await {
         Ok(outcome) => outcome,
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -143,7 +143,7 @@
             && self.staleness().is_none();
         let question = ReadCriteria {
             point,
-            has_written: primary_only || self.job.seen.is_some(),
+            has_written: primary_only || self.job.min_point.is_some(),
             policy: if primary_only {
                 ReadPolicy::PrimaryAfterWrite
             } else {
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -160,8 +160,8 @@
     pub user: String,
     /// The log point that the session must see in this group.
     #[prost(message, optional, tag = "5")]
-    pub seen: Option<Point>,
-    /// Whether the session has a session token; without one the read-index rule applies.
+    pub min_point: Option<Point>,
+    /// Whether the session is tracked, by a token or by its connection; otherwise the read-index rule applies.
     #[prost(bool, tag = "6")]
     pub tracked: bool,
     /// The kind of read, empty for none.
@@ -187,7 +187,7 @@
     pub settings: Vec<Setting>,
     /// The time left for the job, in milliseconds.
     #[prost(uint64, tag = "14")]
-    pub deadline_ms: u64,
+    pub remaining_ms: u64,
     /// The W3C trace context of the sending hop; empty when the request is not traced.
     #[prost(string, tag = "15")]
     pub traceparent: String,
@@ -224,7 +224,7 @@
     pub transaction: u32,
     /// The log point of an acknowledged write.
     #[prost(message, optional, tag = "6")]
-    pub written: Option<Point>,
+    pub write_point: Option<Point>,
     /// The server that answered.
     #[prost(string, tag = "7")]
     pub served_by: String,
