--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -143,7 +143,7 @@
     ) -> Result<Vec<ListedMember>, MetadataError> {
         let prefix = self.key("members/");
         let timeouts =
-            ReadTimeouts { answer: self.read_timeout(), whole: self.whole_read_timeout() };
+            ReadTimeouts { answer: self.read_timeout(), complete: self.whole_read_timeout() };
         let read = self.store.range(&prefix, consistency, timeouts).await;
         self.count_call("range", &read);
         let listed = read?.items.into_iter().filter_map(|item| {
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -60,7 +60,7 @@
     pub(crate) async fn load_from_store(&self) -> Result<(), MetadataError> {
         let asked_at = Instant::now();
         let timeouts =
-            ReadTimeouts { answer: self.read_timeout(), whole: self.whole_read_timeout() };
+            ReadTimeouts { answer: self.read_timeout(), complete: self.whole_read_timeout() };
         let read = self.store.range("", Consistency::Linearizable, timeouts).await;
         self.count_call("range", &read);
         let everything = read?;
--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -51,7 +51,7 @@
 pub enum Change {
     /// The key was written.
     Put(Item),
-    /// The key was removed, or its lease ran out.
+    /// The key was removed, or its lease expired.
     Removed {
         /// The key.
         key: String,
@@ -162,12 +162,12 @@
     /// The time until the answer begins.
     pub answer: Duration,
     /// The time until the answer is complete.
-    pub whole: Duration,
+    pub complete: Duration,
 }
 
 impl From<Duration> for ReadTimeouts {
     fn from(timeout: Duration) -> ReadTimeouts {
-        ReadTimeouts { answer: timeout, whole: timeout }
+        ReadTimeouts { answer: timeout, complete: timeout }
     }
 }
 
