--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -325,7 +325,6 @@
 /// Returns how long a daemon waits for a sign of a coordinator before it campaigns. The delay grows with its position
 /// among the members, so that daemons campaign one after the other and don't split the votes.
 pub fn campaign_delay(timeout: Duration, position: usize) -> Duration {
-    /// A round of votes on a busy host.
     const ROUND_DURATION: Duration = Duration::from_millis(60);
     timeout + ROUND_DURATION * position as u32
 }
