--- a/crates/limits/src/held_quota.rs
+++ b/crates/limits/src/held_quota.rs
@@ -13,7 +13,6 @@
 /// How long an account must have been at its limit before its operations are refused at once. Covers the start of a
 /// new coordinator, which has no saved tokens.
 const SUSTAINED_AFTER: Duration = Duration::from_millis(250);
-/// The time over which the rate is averaged.
 const RATE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Whether an operation may run.
@@ -54,9 +53,7 @@
     held: VecDeque<(u32, Instant)>,
     last_grant: u32,
     exhausted_until: Option<Instant>,
-    /// Since when no quota was granted.
     exhausted_since: Option<Instant>,
-    /// Recent operations per second.
     rate_per_s: f64,
     last_at: Option<Instant>,
 }
