--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -20,7 +20,6 @@
 const STEPS: u64 = 360;
 const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 const DAEMONS: usize = 5;
-/// Number of event sequences.
 const SEQUENCES: u64 = 20_000;
 /// Number of event sequences within which a broken rule must be detected.
 const BROKEN_RULE_SEQUENCES: u64 = 12_000;
@@ -32,7 +31,6 @@
     window: Duration::from_secs(2),
 };
 
-/// A rule that is broken deliberately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BrokenRule {
     Nothing,
@@ -249,7 +247,6 @@
         }
     }
 
-    /// Whether the last window exceeds the bound.
     fn exceeds(&mut self) -> bool {
         while self.used.front().is_some_and(|at| self.now.duration_since(*at) >= RULE.window) {
             self.used.pop_front();
