--- a/crates/overload/src/account_retry_budget.rs
+++ b/crates/overload/src/account_retry_budget.rs
@@ -10,7 +10,6 @@
 
 /// Tokens earned by a success: under sustained overload one of ten operations may be retried.
 const TOKENS_PER_SUCCESS: u32 = 10;
-/// Tokens spent by a retry.
 const TOKENS_PER_RETRY: u32 = 100;
 /// Maximum number of tokens of an account at a rank.
 const MAX_TOKENS: u32 = 5 * TOKENS_PER_RETRY;
