--- a/crates/overload/src/concurrency.rs
+++ b/crates/overload/src/concurrency.rs
@@ -80,7 +80,6 @@
         if count == 0 { 0 } else { (sum / f64::from(count)) as u64 }
     }
 
-    /// Records the service time of a finished statement.
     pub(crate) fn on_finished(&mut self, rank: Rank, took: Duration) {
         let took_us = took.as_micros() as f64;
         let times = &mut self.times[rank.index()];
