--- a/crates/overload/src/decaying.rs
+++ b/crates/overload/src/decaying.rs
@@ -30,7 +30,6 @@
         DecayingSums { half_life, sums: HashMap::new() }
     }
 
-    /// Adds to an account's sum and returns the new sum.
     pub(crate) fn add(&mut self, account: &str, added: f64, now: Instant) -> f64 {
         let amount = self.get(account, now) + added;
         self.sums.insert(Name::from(account), Sum { amount, at: now });
@@ -42,12 +41,10 @@
         amount
     }
 
-    /// Returns the current value of an account's sum.
     pub(crate) fn get(&self, account: &str, now: Instant) -> f64 {
         self.sums.get(account).map_or(0.0, |sum| sum.left(self.half_life, now))
     }
 
-    /// Returns the mean of all sums above `minimum`.
     pub(crate) fn mean_above(&self, minimum: f64, now: Instant) -> f64 {
         let left = self.sums.values().map(|sum| sum.left(self.half_life, now));
         let counted = left.filter(|amount| *amount > minimum);
