--- a/crates/overload/src/fair_queue.rs
+++ b/crates/overload/src/fair_queue.rs
@@ -19,7 +19,6 @@
 }
 
 impl FairQueue {
-    /// Returns the start tag of a statement with this expected cost.
     pub(crate) fn start_tag(&mut self, account: &Name, cost_us: u64) -> u64 {
         let requested_us = self.requested_us.get(account).copied().unwrap_or(0);
         let start_tag = requested_us.max(self.virtual_time_us);
