--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -287,7 +287,7 @@
     }
 
     /// Computes the position of a statement. Statements of an open transaction count as one step more urgent, since
-    /// they free a connection and the transaction's locks. Those of a heavy account count as one step less urgent, so
+    /// they free what the transaction occupies. Those of a heavy account count as one step less urgent, so
     /// that they don't displace less urgent statements of others.
     fn order_of(&mut self, request: &Request, cost_us: u64, now: Instant) -> Order {
         let ticket = Ticket(self.next_ticket);
