--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
-    context::{Context, NotedDemand},
-    gossip::{own_note, take_note},
+    context::{Context, ReportedDemand},
+    gossip::{apply_note, build_note},
     group_state::GroupState,
 };
 
@@ -28,17 +28,17 @@
         Body::HostListRequest(_) => Some(Body::HostListAnswer(host_list_answer(context))),
         Body::ViewRequest(request) => Some(Body::ViewAnswer(view_answer(context, &request))),
         Body::TermNotice(notice) => {
-            look_at_servers(context, &notice).await;
+            refresh_for_term(context, &notice).await;
             None
         }
-        Body::HoldRequest(request) => Some(Body::HoldAnswer(hold(context, &request).await)),
+        Body::HoldRequest(request) => Some(Body::HoldAnswer(set_hold(context, &request).await)),
         _ => None,
     }
 }
 
 fn exchange_notes(context: &Context, note: &GossipNote) -> GossipNote {
-    take_note(context, note);
-    own_note(context, &note.host)
+    apply_note(context, note);
+    build_note(context, &note.host)
 }
 
 fn head_answer(context: &Context) -> HeadAnswer {
@@ -77,57 +77,59 @@
     let in_force = group.in_force.load();
     let rules = &in_force.configuration.failover;
     // An answer from before the primary fell silent says nothing of it now.
-    let lately = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
-    let board = group.board.read();
-    let reachable = board.primary.is_some_and(|primary| {
-        let asked_at = board.servers[primary.index()].asked_at;
-        board.answers(primary) && asked_at.is_some_and(|at| at.elapsed() < lately)
+    let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
+    let view = group.view.read();
+    let reachable = view.primary.is_some_and(|primary| {
+        let asked_at = view.servers[primary.index()].asked_at;
+        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < max_age)
     });
-    ViewAnswer { reachable, term: board.term.0 }
+    ViewAnswer { reachable, term: view.term.0 }
 }
 
 /// Asks a group's servers at once, since another owner says that one of them leads a new term.
-async fn look_at_servers(context: &Context, notice: &TermNotice) {
+async fn refresh_for_term(context: &Context, notice: &TermNotice) {
     let id = GroupId::new(notice.service.as_str(), notice.group.as_str());
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return };
-    if group.board.read().term.0 >= notice.term {
+    if group.view.read().term.0 >= notice.term {
         return;
     }
-    ask_all(&group).await;
+    query_all_servers(&group).await;
 }
 
 /// Holds new transactions of a group back, or lets them go on.
 ///
 /// Before they go on, the servers are asked: a transaction that began at the old primary, because
 /// the news had not come yet, would fail.
-pub(crate) async fn hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
+pub(crate) async fn set_hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
     let id = GroupId::new(request.service.as_str(), request.group.as_str());
     let group = context.groups.read().get(&id).cloned();
     let Some(group) = group else { return HoldAnswer { running: 0 } };
     if request.hold_ms == 0 {
-        ask_all(&group).await;
-        group.board.write().held_until = None;
+        query_all_servers(&group).await;
+        group.view.write().held_until = None;
         group.changed.notify_waiters();
     } else {
         let until = Instant::now() + Duration::from_millis(request.hold_ms);
-        group.board.write().held_until = Some(until);
+        group.view.write().held_until = Some(until);
     }
     let running = group.writing.load(std::sync::atomic::Ordering::Acquire);
     HoldAnswer { running }
 }
 
-async fn ask_all(group: &GroupState) {
-    let asking = (0..group.links.len()).map(|index| group.ask(ServerId::from_index(index)));
-    futures::future::join_all(asking).await;
+async fn query_all_servers(group: &GroupState) {
+    let queries =
+        (0..group.links.len()).map(|index| group.query_status(ServerId::from_index(index)));
+    futures::future::join_all(queries).await;
 }
 
 /// Notes what another owner wants of the groups that it shares with this daemon.
-pub(crate) fn note_demands(context: &Context, owner: u64, note: &GossipNote) {
+pub(crate) fn record_demands(context: &Context, owner: u64, note: &GossipNote) {
     let mut demands = context.demands.lock();
     for demand in &note.demands {
         let id = GroupId::new(demand.service.as_str(), demand.group.as_str());
-        let noted = NotedDemand { wanted: demand.wanted.clone(), told_at: Instant::now() };
-        demands.entry(id).or_default().insert(owner, noted);
+        let reported =
+            ReportedDemand { wanted: demand.wanted.clone(), reported_at: Instant::now() };
+        demands.entry(id).or_default().insert(owner, reported);
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,13 +5,12 @@
 //! store), `operator` (HTTP) and `trace` (spans). `docs/ARCHITECTURE.md` shows how they are joined.
 
 mod apply;
-mod board;
 mod caller_log_in;
 mod caller_session;
 mod caller_settings;
 mod cancel;
-mod configuration_duty;
 mod configuration_store;
+mod configuration_sync;
 mod context;
 mod control_link;
 mod control_messages;
@@ -19,11 +18,14 @@
 mod dialect;
 mod endpoint_connection;
 mod executor;
-mod failover_duty;
+mod failover_runner;
 mod gossip;
 mod group_state;
+mod group_view;
+mod group_watch;
 mod operator;
 mod peers;
+mod planned_switch;
 mod pool;
 mod read_index;
 mod relay;
@@ -31,8 +33,6 @@
 mod run_read;
 mod run_write;
 mod show;
-mod switch_duty;
-mod watch_duty;
 
 pub use apply::{ApplyError, apply_configuration};
 pub use daemon::Daemon;
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -9,20 +9,20 @@
 use session::{ReadCheck, ReadRequirement, check_read};
 
 use crate::{
-    endpoint_connection::{AnswerSink, JobAnswer, Probe, Proof, RunOptions},
-    executor::{JobEnd, JobRun, NO_FRESH_RETRY_MS, Pinned},
-    group_state::EvidenceQuestion,
+    endpoint_connection::{AnswerSink, JobAnswer, Probe, RunOptions, StatusCheck},
+    executor::{JobResult, JobRun, NO_FRESH_SERVER_RETRY_MS, PinnedConnection},
+    group_state::EvidenceRequest,
     pool::PooledConnection,
-    read_index::NoIndex,
+    read_index::ReadIndexError,
 };
 
 /// A read is tried on at most this many servers.
-const MOST_READ_ATTEMPTS: usize = 4;
+const MAX_READ_ATTEMPTS: usize = 4;
 
 /// What to do after an attempt at a read.
 enum ReadAttempt {
     /// It is answered.
-    Answered(JobEnd),
+    Answered(JobResult),
     /// Another server is to be tried; this one was behind.
     Behind(ServerId),
     /// Another server is to be tried; this one failed before it passed anything on.
@@ -32,13 +32,13 @@
 impl JobRun<'_> {
     pub(crate) async fn read<S: AnswerSink>(
         &self,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
-    ) -> Result<JobEnd, Refusal> {
+    ) -> Result<JobResult, Refusal> {
         let mut avoid = None;
         let mut last_refusal = None;
         let mut attempts = 0;
-        while attempts < MOST_READ_ATTEMPTS {
+        while attempts < MAX_READ_ATTEMPTS {
             let requirement = self.read_requirement().await?;
             let route = self.route(requirement, avoid);
             let server = match route {
@@ -55,7 +55,7 @@
             attempts += 1;
             let by_replica = matches!(route, ReadRoute::Replica(_));
             match self.try_read(server, by_replica, requirement, pinned, sink).await? {
-                ReadAttempt::Answered(end) => return Ok(end),
+                ReadAttempt::Answered(result) => return Ok(result),
                 ReadAttempt::Behind(server) => {
                     self.count_retry("behind");
                     avoid = Some(server);
@@ -75,7 +75,7 @@
                 RefusalReason::NoFreshServer,
                 "no server within reach is known to show what this read has to see",
             )
-            .retry_after(NO_FRESH_RETRY_MS)
+            .retry_after(NO_FRESH_SERVER_RETRY_MS)
         }))
     }
 
@@ -88,7 +88,7 @@
     async fn read_requirement(&self) -> Result<ReadRequirement, Refusal> {
         let session = self.seen();
         if let Some(staleness) = self.staleness() {
-            let freshness = self.group.board.read().samples.point_for(staleness, Instant::now());
+            let freshness = self.group.view.read().samples.point_for(staleness, Instant::now());
             if let Some(freshness) = freshness {
                 return Ok(ReadRequirement { session, freshness: Some(freshness) });
             }
@@ -116,7 +116,7 @@
             );
             match index.await {
                 Ok(Ok(point)) => return Ok(point),
-                Ok(Err(NoIndex::NoPrimary | NoIndex::NotConfirmed))
+                Ok(Err(ReadIndexError::NoPrimary | ReadIndexError::NotConfirmed))
                     if Instant::now() < self.deadline =>
                 {
                     self.group.wait_for_change(self.deadline).await;
@@ -127,7 +127,7 @@
                         "no primary confirms what has been written; a read that accepts stated \
                          staleness may still be served",
                     )
-                    .retry_after(NO_FRESH_RETRY_MS));
+                    .retry_after(NO_FRESH_SERVER_RETRY_MS));
                 }
             }
         }
@@ -136,23 +136,23 @@
     fn route(&self, requirement: ReadRequirement, avoid: Option<ServerId>) -> ReadRoute {
         let candidates = self.group.candidates(self.context);
         let freshness =
-            requirement.freshness.map(|point| self.group.board.read().history.clamp(point));
+            requirement.freshness.map(|point| self.group.view.read().history.clamp(point));
         let point = requirement.session.max(freshness).unwrap_or_default();
         let primary_only = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
             && self.staleness().is_none();
-        let question = ReadCriteria {
+        let criteria = ReadCriteria {
             point,
-            has_written: primary_only || self.job.seen.is_some(),
+            has_written: primary_only || self.job.min_point.is_some(),
             policy: if primary_only {
                 ReadPolicy::PrimaryAfterWrite
             } else {
                 self.options().read_policy
             },
-            sequence: self.group.next_turn(),
+            sequence: self.group.next_sequence(),
             avoid,
         };
-        route_read(&question, &candidates)
+        route_read(&criteria, &candidates)
     }
 
     fn priority_of_read(&self) -> Priority {
@@ -164,7 +164,7 @@
         server: ServerId,
         by_replica: bool,
         requirement: ReadRequirement,
-        pinned: &mut Option<Pinned>,
+        pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
     ) -> Result<ReadAttempt, Refusal> {
         let pool = &self.group.pools[server.index()];
@@ -172,16 +172,20 @@
         let mut connection = match acquired {
             Ok(connection) => connection,
             Err(refusal) if refusal.reason == RefusalReason::Unreachable => {
-                self.group.note_failure(server);
+                self.group.record_failure(server);
                 return Ok(ReadAttempt::Failed(server, refusal));
             }
             Err(refusal) => return Err(refusal),
         };
-        let known = self.group.board.read().history.clone();
-        let mut shown = ReadCheck::Behind;
-        let prove = |status: &ServerStatus| {
-            shown = check_read(requirement, status, &known);
-            if shown == ReadCheck::Sufficient { Proof::Accept } else { Proof::Reject }
+        let known = self.group.view.read().history.clone();
+        let mut read_check = ReadCheck::Behind;
+        let check_status = |status: &ServerStatus| {
+            read_check = check_read(requirement, status, &known);
+            if read_check == ReadCheck::Sufficient {
+                StatusCheck::Accept
+            } else {
+                StatusCheck::Reject
+            }
         };
         let confirm = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
@@ -189,7 +193,8 @@
         let options =
             RunOptions { probe: Probe::Before, hold_bytes: confirm.then_some(self.hold_bytes()) };
         let started = Instant::now();
-        let answer = self.run(&mut connection, server, by_replica, options, prove, sink).await;
+        let answer =
+            self.run(&mut connection, server, by_replica, options, check_status, sink).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(refusal) if sink.has_begun() => return Err(refusal),
@@ -198,20 +203,20 @@
         let elapsed = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
         pool.latency().add(elapsed);
         if let Some(status) = &answer.status {
-            self.group.note_proof(server, status);
+            self.group.record_job_status(server, status);
         }
         if answer.rejected {
-            return self.rejected(server, shown, connection, &answer);
+            return self.rejected(server, read_check, connection, &answer);
         }
         if confirm && let Some(status) = &answer.status {
-            let question = EvidenceQuestion {
+            let request = EvidenceRequest {
                 rule: Acknowledge::Term,
                 point: status.held(),
                 primary: server,
                 primary_status: status,
                 deadline: self.deadline,
             };
-            if self.group.evidence(question).await != Evidence::Sufficient {
+            if self.group.wait_for_evidence(request).await != Evidence::Sufficient {
                 let refusal = Refusal::not_run(
                     RefusalReason::NoFreshServer,
                     "no second server confirms that the primary still leads",
@@ -219,35 +224,42 @@
                 return Ok(ReadAttempt::Failed(server, refusal));
             }
         }
-        let end = self.end(server, by_replica, None, &answer);
+        let result = self.result(server, by_replica, None, &answer);
         if answer.transaction == b'I' {
-            connection.give_back();
+            connection.release();
         } else {
             let term = answer.status.as_ref().map(|status| status.log_term).unwrap_or_default();
             let wrote = false;
-            *pinned = Some(Pinned { connection, server, term, wrote, by_replica, _writing: None });
+            *pinned = Some(PinnedConnection {
+                connection,
+                server,
+                term,
+                wrote,
+                by_replica,
+                _writing: None,
+            });
         }
-        Ok(ReadAttempt::Answered(end))
+        Ok(ReadAttempt::Answered(result))
     }
 
     fn rejected(
         &self,
         server: ServerId,
-        shown: ReadCheck,
+        read_check: ReadCheck,
         connection: PooledConnection,
         answer: &JobAnswer,
     ) -> Result<ReadAttempt, Refusal> {
         // A read-only transaction that was begun on the server is ended with its connection.
         if answer.transaction == b'I' {
-            connection.give_back();
+            connection.release();
         }
-        if shown == ReadCheck::Lost {
-            return Err(self.write_lost());
+        if read_check == ReadCheck::Lost {
+            return Err(self.write_lost_refusal());
         }
         Ok(ReadAttempt::Behind(server))
     }
 
-    pub(crate) fn write_lost(&self) -> Refusal {
+    pub(crate) fn write_lost_refusal(&self) -> Refusal {
         let point = self.seen().unwrap_or_default();
         Refusal::not_run(
             RefusalReason::WriteLost,
