--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -1,4 +1,4 @@
-//! Running one request of a session: where it is placed, what it is told, what is measured.
+//! Runs one request of a session: selects the group, runs the job and records metrics.
 
 use bytes::Bytes;
 use config::{Placement, Service, UntrackedReads};
@@ -27,7 +27,7 @@
             self.fail(&RequestError::new("3D000", message));
             return Ok(AfterRequest::Continue);
         };
-        let group = match self.place(&service) {
+        let group = match self.select_group(&service) {
             Ok(group) => group,
             Err(error) => {
                 self.fail(&error);
@@ -54,12 +54,12 @@
             self.context.tracer.finish(span);
         }
         Ok(match outcome {
-            Ok(end) => self.accept(&group, &job, end),
+            Ok(result) => self.accept(&group, &job, result),
             Err(refusal) => self.refuse(&job, &refusal).await,
         })
     }
 
-    fn place(&self, service: &Service) -> Result<GroupId, RequestError> {
+    fn select_group(&self, service: &Service) -> Result<GroupId, RequestError> {
         let placement = Placement {
             named: self.group_name.as_deref(),
             user: &self.user,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Runs a job here or at an owner.
+    /// Runs a job in this daemon or at an owner of the group.
     async fn run_job(
         &mut self,
         group: &GroupId,
@@ -127,10 +127,10 @@
             let detail = format!("the group {group} was taken out");
             return Ok(Err(Refusal::not_run(RefusalReason::UnknownName, detail)));
         };
-        let here =
+        let runs_here =
             if job.in_transaction { self.relay_pin.is_none() } else { context.owns(configured) };
         let mut sink = CallerSink { stream: &mut self.stream, begun: false };
-        if here {
+        if runs_here {
             let Some(state) = context.group(group) else {
                 let detail = format!("the group {group} was taken out");
                 return Ok(Err(Refusal::not_run(RefusalReason::UnknownName, detail)));
@@ -144,25 +144,25 @@
         Ok(relay(&context, configured, pin, &self.relayed_to, job, &mut sink).await)
     }
 
-    fn accept(&mut self, group: &GroupId, job: &Job, end: JobResult) -> AfterRequest {
-        if let Some(written) = end.written {
-            self.token.advance(&group.group, written);
+    fn accept(&mut self, group: &GroupId, job: &Job, result: JobResult) -> AfterRequest {
+        if let Some(write_point) = result.write_point {
+            self.token.advance(&group.group, write_point);
             let token = self.token.to_string();
             self.add_status("wardtiller.session", token);
         }
-        let role = if end.by_replica { "replica" } else { "primary" };
-        self.served_by = format!("{} {role}", end.served_by);
-        self.transaction = end.transaction;
+        let role = if result.by_replica { "replica" } else { "primary" };
+        self.served_by = format!("{} {role}", result.served_by);
+        self.transaction = result.transaction;
         if self.transaction == b'I' {
             self.relay_pin = None;
         }
         let _ = job;
-        self.stream.add_bytes(&end.tail);
+        self.stream.add_bytes(&result.tail);
         AfterRequest::Continue
     }
 
-    /// Tells the caller of a refusal. A transaction is over with it, and so is its connection: what
-    /// the caller has sent already must not run outside of the transaction.
+    /// Sends a refusal to the caller. It also ends an open transaction and its connection:
+    /// statements that the caller has already sent must not run outside of the transaction.
     async fn refuse(&mut self, job: &Job, refusal: &Refusal) -> AfterRequest {
         self.served_by = format!("nobody: {}", refusal.reason.as_str());
         if !job.in_transaction {
@@ -173,7 +173,7 @@
         self.relay_pin = None;
         self.transaction = b'I';
         if job.may_commit {
-            // The transaction's end was asked for, so nothing of it can follow.
+            // The request was to end the transaction, so no statement of it can follow.
             self.stream.add_bytes(&encode_refusal(refusal));
             return AfterRequest::Continue;
         }
@@ -184,7 +184,7 @@
             }
         }
         self.stream.add(&PgWireBackendMessage::ErrorResponse(response));
-        // The caller may be gone; then nobody needs the message.
+        // The caller may have disconnected, so a failure is ignored.
         let _ = self.stream.flush().await;
         AfterRequest::Close
     }
@@ -195,11 +195,11 @@
         let seconds = self.received_at.elapsed().as_secs_f64();
         metrics.request_seconds.with_label_values(&[service, class]).observe(seconds);
         match outcome {
-            Ok(end) => {
+            Ok(result) => {
                 metrics.requests.with_label_values(&[service, "ok"]).inc();
                 if job.read_only && !job.in_transaction {
                     let kind = if job.read_kind.is_empty() { "none" } else { &job.read_kind };
-                    let role = if end.by_replica { "replica" } else { "primary" };
+                    let role = if result.by_replica { "replica" } else { "primary" };
                     metrics.reads.with_label_values(&[service, kind, role]).inc();
                 }
             }
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -1,5 +1,5 @@
-//! Runs a job at a group that this daemon owns: chooses the server, proves the answer, retries what
-//! may be retried, and waits for evidence before a write is acknowledged.
+//! Runs jobs of groups that this daemon owns: selects the server, checks the answer, retries where
+//! that is safe, and waits for evidence before it acknowledges a write.
 
 use std::{
     sync::Arc,
@@ -29,29 +29,29 @@
     pub(crate) term: Term,
     pub(crate) wrote: bool,
     pub(crate) by_replica: bool,
-    /// Counts the transaction for as long as it may write.
+    /// Counts the transaction as writing until it ends.
     pub(crate) _writing: Option<WritingGuard>,
 }
 
-/// What runs for a session now, so that it can be cancelled.
+/// The statement that a session is running, for cancellation.
 pub(crate) type RunningStatement = parking_lot::Mutex<Option<CancelKey>>;
 
-/// The end of a job that was answered.
+/// The result of a job that was answered.
 #[derive(Debug)]
 pub(crate) struct JobResult {
-    /// The messages that were not passed on yet.
+    /// Messages not yet passed on.
     pub(crate) tail: Bytes,
     /// The transaction status byte.
     pub(crate) transaction: u8,
-    /// Where an acknowledged write stands.
-    pub(crate) written: Option<LogPoint>,
+    /// The log point of an acknowledged write.
+    pub(crate) write_point: Option<LogPoint>,
     /// The server that answered.
     pub(crate) served_by: String,
-    /// Whether that was a replica.
+    /// Whether the server was a replica.
     pub(crate) by_replica: bool,
 }
 
-/// Runs one job. An error tells the verdict; a transaction that it was part of is then over.
+/// Runs one job. A refusal ends the transaction that the job belongs to.
 pub(crate) async fn execute<S: AnswerSink>(
     context: &Context,
     group: &Arc<GroupState>,
@@ -68,12 +68,12 @@
     if job.in_transaction {
         return run.in_transaction(pinned, sink).await;
     }
-    // A transaction that the caller does not know of any more must not receive its statements.
+    // The caller does not know of this transaction any more, so it must not get new statements.
     *pinned = None;
     if job.read_only { run.read(pinned, sink).await } else { run.write(pinned, sink).await }
 }
 
-/// One job with everything that its run depends on.
+/// A job with everything that its execution depends on.
 pub(crate) struct JobRun<'a> {
     pub(crate) context: &'a Context,
     pub(crate) group: &'a Arc<GroupState>,
@@ -84,7 +84,7 @@
 }
 
 impl JobRun<'_> {
-    pub(crate) fn seen(&self) -> Option<LogPoint> {
+    pub(crate) fn min_point(&self) -> Option<LogPoint> {
         self.job.min_point.as_ref().map(|point| LogPoint::new(point.term, point.position))
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The longest staleness that the read's kind accepts, if it has a kind.
+    /// The longest staleness that the read's kind accepts, or `None` without a kind.
     pub(crate) fn staleness(&self) -> Option<Duration> {
         if self.job.read_kind.is_empty() {
             return None;
@@ -115,8 +115,8 @@
         Some(Duration::from_millis(kind.staleness_ms))
     }
 
-    /// Gets a connection to a server, giving up when the server is silent or replaced: nothing was
-    /// sent yet, so the request may go elsewhere.
+    /// Gets a connection to a server. Fails if the server becomes silent or is replaced: nothing
+    /// was sent yet, so the request may run elsewhere.
     pub(crate) async fn acquire(
         &self,
         server: ServerId,
@@ -137,7 +137,7 @@
         usize::try_from(self.in_force.configuration.limits.held_answer_bytes).unwrap_or(usize::MAX)
     }
 
-    /// Runs the job on a connection, giving up when it takes too long or its server is replaced.
+    /// Runs the job on a connection, unless [`Self::wait_for_abort`] returns before the answer.
     pub(crate) async fn run<S: AnswerSink>(
         &self,
         connection: &mut PooledConnection,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// Ends when there is no more use in waiting for the server's answer.
+    /// Returns a refusal once the server's answer is no longer worth waiting for.
     pub(crate) async fn wait_for_abort(&self, server: ServerId, by_replica: bool) -> Refusal {
         let limit = match self.options().run_timeout_ms {
             0 => Duration::MAX,
@@ -202,12 +202,12 @@
         }
     }
 
-    /// Ends when another server leads in a newer term.
+    /// Returns when another server leads.
     pub(crate) async fn wait_until_replaced(&self, server: ServerId) {
         self.wait_until(|view| view.primary.is_some_and(|primary| primary != server)).await;
     }
 
-    /// Ends when a server has been silent for as long as it takes to be suspected.
+    /// Returns when a server has been silent for `suspect_after_ms`.
     pub(crate) async fn wait_until_silent(&self, server: ServerId) {
         let suspect_after =
             Duration::from_millis(self.in_force.configuration.failover.suspect_after_ms);
@@ -218,7 +218,7 @@
         .await;
     }
 
-    /// Ends when a leaving server's time for running work is over.
+    /// Returns when a leaving server may not run any work.
     pub(crate) async fn wait_until_work_ends(&self, server: ServerId) {
         let address = &self.in_force.group.servers[server.index()].address;
         let configuration = &self.in_force.configuration;
@@ -228,8 +228,8 @@
         .await;
     }
 
-    /// Waits until the board fulfils a condition. It is looked at now and then, too, since a silence
-    /// grows without being told of.
+    /// Waits until the view fulfils a condition. The condition is also checked at an interval,
+    /// since no notification is sent while a server stays silent.
     pub(crate) async fn wait_until(&self, condition: impl Fn(&GroupView) -> bool) {
         loop {
             let changed = self.group.changed.notified();
@@ -244,31 +244,29 @@
         &self,
         server: ServerId,
         by_replica: bool,
-        written: Option<LogPoint>,
+        write_point: Option<LogPoint>,
         answer: &JobAnswer,
     ) -> JobResult {
         JobResult {
             tail: Bytes::copy_from_slice(&answer.tail),
             transaction: answer.transaction,
-            written,
+            write_point,
             served_by: self.server_name(server),
             by_replica,
         }
     }
 }
 
-/// How often a condition is looked at that nothing is told of.
+/// How often a condition is checked without a notification.
 const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Names a job's group.
 pub(crate) fn group_of(job: &Job) -> GroupId {
     GroupId::new(job.service.as_str(), job.group.as_str())
 }
 
-/// Turns a point into its message.
 pub(crate) fn point_message(point: LogPoint) -> Point {
     Point { term: point.term.0, position: point.position.0 }
 }
 
-/// When a read that found no fresh server may try again.
+/// Retry delay for a read that finds no server fresh enough.
 pub(crate) const NO_FRESH_SERVER_RETRY_MS: u64 = 200;
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,4 +1,4 @@
-//! Sends jobs to an owner of their group, and runs those that other daemons send.
+//! Relays jobs to an owner of their group, and runs jobs relayed by other daemons.
 
 use std::{
     collections::HashMap,
@@ -21,7 +21,7 @@
     executor::{JobResult, PinnedConnection, RunningStatement, execute, group_of, point_message},
 };
 
-/// Where a session's transaction lives on another daemon.
+/// A session's transaction at another daemon.
 #[derive(Clone)]
 pub(crate) struct RelayPin {
     client: Arc<peer::PeerClient>,
@@ -33,7 +33,7 @@
     fn drop(&mut self) {
         let client = self.client.clone();
         let session_id = self.session_id;
-        // The owner rolls back at once instead of when the connection between the daemons ends.
+        // The owner rolls back at once, rather than when the connection to this daemon ends.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 let _ = client.notify(Body::Abandon(RelayAbandon { session_id })).await;
@@ -62,7 +62,7 @@
     }
     *pin = None;
     let started = Instant::now();
-    let mut last = None;
+    let mut last_refusal = None;
     for owner in owners_by_preference(context, group, job.session_id) {
         if owner.key == context.key {
             continue;
@@ -72,12 +72,12 @@
             Ok(client) => client,
             Err(_) => {
                 context.change_members(|members| members.suspect(owner.key, Instant::now()));
-                last = Some(owner_unreachable(Verdict::NotRun));
+                last_refusal = Some(owner_unreachable(Verdict::NotRun));
                 continue;
             }
         };
-        let spent = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let remaining_ms = job.remaining_ms.saturating_sub(spent);
+        let elapsed_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let remaining_ms = job.remaining_ms.saturating_sub(elapsed_ms);
         let job = Job { remaining_ms, ..job.clone() };
         match relay_to(&client, &job, sink).await {
             Ok(end) => {
@@ -86,12 +86,12 @@
             }
             Err(failure) if failure.try_next && !sink.has_begun() => {
                 context.change_members(|members| members.suspect(owner.key, Instant::now()));
-                last = Some(failure.refusal);
+                last_refusal = Some(failure.refusal);
             }
             Err(failure) => return Err(failure.refusal),
         }
     }
-    Err(last.unwrap_or_else(|| owner_unreachable(Verdict::NotRun)))
+    Err(last_refusal.unwrap_or_else(|| owner_unreachable(Verdict::NotRun)))
 }
 
 fn keep_pin(
@@ -125,10 +125,10 @@
     }
 }
 
-/// When a request that found no owner may try again.
+/// Retry delay for a request that reaches no owner of its group.
 const OWNER_RETRY_MS: u64 = 200;
 
-/// Lists the owners, those of this availability zone first, sessions spread over equal ones.
+/// Returns the owners, those of this availability zone first, with sessions spread over equal ones.
 fn owners_by_preference(context: &Context, group: &Group, session_id: u64) -> Vec<Member> {
     let owners = context.owners_of(group);
     let zone = &context.settings.daemon.availability_zone;
@@ -137,10 +137,10 @@
     owners
 }
 
-/// A job that was not answered.
+/// Why a relayed job was not answered.
 struct RelayFailure {
     refusal: Refusal,
-    /// Whether another owner may be asked: nothing ran, or what ran changed nothing.
+    /// Whether another owner may be tried: nothing ran, or what ran changed nothing.
     try_next: bool,
 }
 
@@ -173,7 +173,7 @@
         return Ok(JobResult {
             tail: end.messages,
             transaction: u8::try_from(end.transaction).unwrap_or(b'E'),
-            written: end.write_point.map(|point| LogPoint::new(point.term, point.position)),
+            write_point: end.write_point.map(|point| LogPoint::new(point.term, point.position)),
             served_by: end.served_by,
             by_replica: end.by_replica,
         });
@@ -201,12 +201,12 @@
         .map(|member| member.peer_address);
     let Some(address) = address else { return };
     if let Ok(client) = context.relay_peers.get(address).await {
-        // A cancellation has no answer in the protocol either.
+        // A cancellation has no answer, so a failure can't be reported.
         let _ = client.notify(Body::Cancel(RelayCancel { session_id })).await;
     }
 }
 
-/// A session of another daemon, whose jobs come one after the other.
+/// A session of another daemon. Its jobs run one at a time.
 #[derive(Default)]
 struct RelaySession {
     pinned: tokio::sync::Mutex<Option<PinnedConnection>>,
@@ -215,7 +215,7 @@
 
 type SessionKey = (u64, u64);
 
-/// Takes the requests of other daemons.
+/// Handles requests from other daemons.
 pub(crate) struct RelayServer {
     context: Arc<Context>,
     sessions: Arc<Mutex<HashMap<SessionKey, Arc<RelaySession>>>>,
@@ -237,12 +237,12 @@
         let sessions = self.sessions.clone();
         context.metrics.relayed.with_label_values(&["served"]).inc();
         tokio::spawn(async move {
-            let end = serve_job(&context, &session, &job, &reply).await;
-            // Only a transaction is kept for the session's next job.
+            let end = serve_relayed_job(&context, &session, &job, &reply).await;
+            // A session is only kept while it has an open transaction.
             if session.pinned.lock().await.is_none() {
                 sessions.lock().remove(&key);
             }
-            // A daemon that is gone can't be answered; its sessions end with its connection.
+            // If the daemon has disconnected, its sessions end with its connection.
             let _ = reply.send(Body::End(end)).await;
         });
     }
@@ -279,7 +279,7 @@
     }
 }
 
-/// Passes chunks of an answer to the daemon that asked.
+/// Passes parts of an answer to the daemon that relayed the job.
 struct ReplySink<'a> {
     reply: &'a Reply,
     begun: bool,
@@ -296,10 +296,10 @@
     }
 }
 
-/// A job of another daemon is run for at most this long after its deadline.
+/// How long a relayed job may run beyond its deadline.
 const RELAYED_JOB_GRACE: Duration = Duration::from_secs(60);
 
-async fn serve_job(
+async fn serve_relayed_job(
     context: &Context,
     session: &RelaySession,
     job: &Job,
@@ -318,7 +318,7 @@
     match outcome {
         Ok(end) => RelayEnd {
             transaction: u32::from(end.transaction),
-            write_point: end.written.map(point_message),
+            write_point: end.write_point.map(point_message),
             served_by: end.served_by,
             by_replica: end.by_replica,
             messages: end.tail,
@@ -350,9 +350,9 @@
     })?;
     let mut pinned = session.pinned.lock().await;
     let mut sink = ReplySink { reply, begun: false };
-    let longest = Duration::from_millis(job.remaining_ms) + RELAYED_JOB_GRACE;
+    let timeout = Duration::from_millis(job.remaining_ms) + RELAYED_JOB_GRACE;
     let run = execute(context, &group, &mut pinned, &session.running, job, &mut sink);
-    match tokio::time::timeout(longest, run).await {
+    match tokio::time::timeout(timeout, run).await {
         Ok(outcome) => outcome,
         Err(_) => Err(Refusal::may_have_run(
             RefusalReason::DeadlinePassed,
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -1,4 +1,4 @@
-//! Runs a read: works out what it has to see, proves the answer, tries other servers.
+//! Runs a read: determines what it must see, checks the answer, and tries other servers.
 
 use std::time::Instant;
 
@@ -16,16 +16,15 @@
     read_index::ReadIndexError,
 };
 
-/// A read is tried on at most this many servers.
+/// Limits the servers that a read is tried on.
 const MAX_READ_ATTEMPTS: usize = 4;
 
-/// What to do after an attempt at a read.
+/// The outcome of one attempt at a read.
 enum ReadAttempt {
-    /// It is answered.
     Answered(JobResult),
-    /// Another server is to be tried; this one was behind.
+    /// The server was behind, so another one is tried.
     Behind(ServerId),
-    /// Another server is to be tried; this one failed before it passed anything on.
+    /// The server failed before any part of the answer was passed on, so another one is tried.
     Failed(ServerId, Refusal),
 }
 
@@ -84,15 +83,15 @@
         self.context.metrics.read_retries.with_label_values(&[service, cause]).inc();
     }
 
-    /// Works out what the read has to see.
+    /// Determines the log points that the read must see.
     async fn read_requirement(&self) -> Result<ReadRequirement, Refusal> {
-        let session = self.seen();
+        let session = self.min_point();
         if let Some(staleness) = self.staleness() {
             let freshness = self.group.view.read().samples.point_for(staleness, Instant::now());
             if let Some(freshness) = freshness {
                 return Ok(ReadRequirement { session, freshness: Some(freshness) });
             }
-            // Without a sample that is young enough the primary has to be asked.
+            // Without a recent enough sample, the read index is needed.
             let point = self.read_index().await?;
             return Ok(ReadRequirement { session, freshness: Some(point) });
         }
@@ -107,7 +106,7 @@
         Ok(ReadRequirement { session, freshness: Some(point) })
     }
 
-    /// Asks for the read index until there is one or the deadline passes.
+    /// Gets the read index, retrying until the deadline.
     pub(crate) async fn read_index(&self) -> Result<LogPoint, Refusal> {
         loop {
             let index = tokio::time::timeout_at(
@@ -155,7 +154,7 @@
         route_read(&criteria, &candidates)
     }
 
-    fn priority_of_read(&self) -> Priority {
+    fn read_priority(&self) -> Priority {
         if self.staleness().is_some() { Priority::Relaxed } else { Priority::Normal }
     }
 
@@ -168,7 +167,7 @@
         sink: &mut S,
     ) -> Result<ReadAttempt, Refusal> {
         let pool = &self.group.pools[server.index()];
-        let acquired = self.acquire(server, by_replica, self.priority_of_read()).await;
+        let acquired = self.acquire(server, by_replica, self.read_priority()).await;
         let mut connection = match acquired {
             Ok(connection) => connection,
             Err(refusal) if refusal.reason == RefusalReason::Unreachable => {
@@ -177,10 +176,10 @@
             }
             Err(refusal) => return Err(refusal),
         };
-        let known = self.group.view.read().history.clone();
+        let history = self.group.view.read().history.clone();
         let mut read_check = ReadCheck::Behind;
         let check_status = |status: &ServerStatus| {
-            read_check = check_read(requirement, status, &known);
+            read_check = check_read(requirement, status, &history);
             if read_check == ReadCheck::Sufficient {
                 StatusCheck::Accept
             } else {
@@ -249,7 +248,7 @@
         connection: PooledConnection,
         answer: &JobAnswer,
     ) -> Result<ReadAttempt, Refusal> {
-        // A read-only transaction that was begun on the server is ended with its connection.
+        // Dropping the connection ends a read-only transaction that was started on the server.
         if answer.transaction == b'I' {
             connection.release();
         }
@@ -260,7 +259,7 @@
     }
 
     pub(crate) fn write_lost_refusal(&self) -> Refusal {
-        let point = self.seen().unwrap_or_default();
+        let point = self.min_point().unwrap_or_default();
         Refusal::not_run(
             RefusalReason::WriteLost,
             format!(
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -1,4 +1,4 @@
-//! Runs a write or a transaction: waits for a primary, and acknowledges by evidence.
+//! Runs a write or a transaction: waits for a primary, and acknowledges writes by evidence.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +14,13 @@
     group_state::{EvidenceRequest, WritingGuard},
 };
 
-/// PostgreSQL's code for a write that a server refused because it does not take writes.
+/// SQLSTATE of a server that refuses writes.
 const READ_ONLY_SERVER: &str = "25006";
 
-/// When a write that found the replicas far behind may try again.
+/// Retry delay for a write while the replicas are too far behind.
 const REPLICAS_BEHIND_RETRY_MS: u64 = 1_000;
 
-/// Where a write may run, and how it is acknowledged.
+/// Where a write runs, and the rule that acknowledges it.
 #[derive(Clone, Copy, Debug)]
 struct AdmittedWrite {
     server: ServerId,
@@ -79,12 +79,13 @@
                     .as_ref()
                     .is_some_and(|status| !status.leads() || status.log_term != admitted.term);
             if began_on_old_primary && !sink.has_begun() {
-                // Nothing but a transaction was begun there, and it ends with the connection.
+                // Only a transaction was started there, and it ends with the connection.
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
             }
             if self.was_refused_by_sealed_server(&answer) && !sink.has_begun() {
-                // The server refused the statement with proof, so it may run on the next primary.
+                // The server refused the statement because it does not lead, so the next primary
+                // may run it.
                 let _ = self.group.query_status(server).await;
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Says where a write may run now; `None` while it has to wait.
+    /// Returns where a write may run now, or `None` while it has to wait.
     fn admit_write(&self) -> Result<Option<AdmittedWrite>, Refusal> {
         let group_view = self.group.view.read();
         let now = Instant::now();
@@ -135,23 +136,24 @@
         }
     }
 
-    /// Whether a transaction that begins has to see writes that only the primary can tell of.
+    /// Whether a new transaction must see writes that only the primary knows of.
     fn needs_read_index(&self) -> bool {
         !self.job.writes
             && !self.job.tracked
             && self.options().untracked_reads != UntrackedReads::Connection
     }
 
-    /// A transaction must see its session's writes too, so the primary has to be of their term.
+    /// Checks that the primary's term contains the session's writes, which a transaction must see.
     async fn check_session(&self, term: Term) -> Result<(), Refusal> {
-        let Some(seen) = self.seen() else { return Ok(()) };
+        let Some(seen) = self.min_point() else { return Ok(()) };
         let write_status = self.group.view.read().history.write_status(seen);
         match write_status {
             WriteStatus::Kept => Ok(()),
             WriteStatus::Lost => Err(self.write_lost_refusal()),
             WriteStatus::UnknownTerm if seen.term <= term => Ok(()),
             WriteStatus::UnknownTerm => {
-                // The token knows of a newer term than this daemon; the servers are asked.
+                // The session token has a newer term than this daemon knows, so the servers are
+                // queried.
                 for index in 0..self.group.links.len() {
                     let _ = self.group.query_status(ServerId::from_index(index)).await;
                 }
@@ -185,7 +187,7 @@
             && answer.status.as_ref().is_some_and(|status| !status.leads())
     }
 
-    /// Waits for evidence and acknowledges a write that has been committed.
+    /// Acknowledges a committed write once there is enough evidence.
     async fn acknowledge(
         &self,
         admitted: AdmittedWrite,
@@ -197,7 +199,7 @@
         let Some(status) = answer.status.as_ref().filter(|_| !nothing_committed) else {
             return Ok(self.result(server, false, None, &answer));
         };
-        // The write stands in the term that it was admitted in, whatever the server is by now.
+        // The write belongs to the term in which it was admitted, even if the server left it since.
         let write = LogPoint { term, position: status.held_position };
         let started = Instant::now();
         let wait = Duration::from_millis(self.options().acknowledge_timeout_ms);
@@ -263,7 +265,7 @@
         Ok(self.result(server, pin.by_replica, None, &answer))
     }
 
-    /// Until its commit is sent, a transaction whose connection is lost is rolled back.
+    /// If the connection is lost before the commit is sent, the transaction is rolled back.
     fn transaction_verdict(&self, refusal: Refusal, commits: bool) -> Refusal {
         if commits {
             return refusal;
