--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -1,4 +1,4 @@
-//! A group as this daemon holds it: knowledge, links, pools.
+//! The state that this daemon holds for a group: view, control links and pools.
 
 use std::{
     sync::{
@@ -34,35 +34,33 @@
     pub(crate) configuration: Arc<Configuration>,
 }
 
-/// A group with everything that this daemon keeps for it.
+/// A group with all state that this daemon holds for it.
 pub(crate) struct GroupState {
     pub(crate) id: GroupId,
     pub(crate) in_force: ArcSwap<GroupConfiguration>,
     pub(crate) view: RwLock<GroupView>,
-    /// Told when the primary or the term changes.
+    /// Notified when the primary or the term changes.
     pub(crate) changed: Notify,
     pub(crate) links: Vec<ControlLink>,
     pub(crate) pools: Vec<Arc<ServerPool>>,
     pub(crate) read_index: ReadIndex,
     pub(crate) retries: Mutex<RetryBudget>,
-    /// Writing transactions and writes that run now.
+    /// Running writes and writing transactions.
     pub(crate) writing: AtomicU32,
     next_sequence: AtomicU64,
     used_at: Mutex<Instant>,
 }
 
-/// What the other servers are to confirm.
+/// A request for evidence from the other servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EvidenceRequest<'a> {
-    /// What an acknowledgement waits for.
+    /// The rule by which the primary's writes are acknowledged.
     pub(crate) rule: Acknowledge,
-    /// Where the write, or the position asked about, stands.
+    /// The log point to confirm.
     pub(crate) point: LogPoint,
-    /// The primary.
     pub(crate) primary: ServerId,
-    /// What the primary said behind its answer.
+    /// The status that came with the primary's answer.
     pub(crate) primary_status: &'a ServerStatus,
-    /// Until when to wait.
     pub(crate) deadline: Instant,
 }
 
@@ -74,11 +72,11 @@
     }
 }
 
-/// An interval between two rounds of requests for evidence that was not there yet.
+/// Interval between two rounds of evidence queries.
 const EVIDENCE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl GroupState {
-    /// Makes the group's state, with its links on the watch runtime.
+    /// Creates the state of a group, with its control links on the watch runtime.
     pub(crate) fn new(
         context: &Context,
         in_force: GroupConfiguration,
@@ -130,11 +128,11 @@
             next_sequence: AtomicU64::new(0),
             used_at: Mutex::new(now),
         });
-        tokio::spawn(crate::read_index::serve(Arc::downgrade(&group), index_requests));
+        tokio::spawn(crate::read_index::serve_rounds(Arc::downgrade(&group), index_requests));
         group
     }
 
-    /// Notes that the group was used, so that it is kept and watched.
+    /// Records that the group is used, so that it stays held and watched.
     pub(crate) fn touch(&self) {
         *self.used_at.lock() = Instant::now();
     }
@@ -144,7 +142,7 @@
         self.used_at.lock().elapsed()
     }
 
-    /// Asks a server for its status and notes the answer, or the silence.
+    /// Queries a server's status, and records the answer or the silence.
     pub(crate) async fn query_status(
         &self,
         server: ServerId,
@@ -154,7 +152,7 @@
         answer
     }
 
-    /// Tells a server to change its standing and notes the answer.
+    /// Runs a statement that changes a server's role, and records the answer.
     pub(crate) async fn run_statement(
         &self,
         server: ServerId,
@@ -174,7 +172,7 @@
         }
     }
 
-    /// Notes a status, wherever it came from.
+    /// Records a status from any source.
     pub(crate) fn record_status(
         &self,
         server: ServerId,
@@ -186,24 +184,24 @@
         }
     }
 
-    /// Notes the status that came with a job, unless it tells nothing new.
+    /// Records the status that came with a job's answer, unless it is already known.
     pub(crate) fn record_job_status(&self, server: ServerId, status: &ServerStatus) {
         if !self.view.read().is_already_known(server, status) {
             self.record_status(server, Arc::new(status.clone()), Instant::now());
         }
     }
 
-    /// Notes that a server failed a request by not answering.
+    /// Records that a server failed to answer a request.
     pub(crate) fn record_failure(&self, server: ServerId) {
         self.view.write().record_silence(server, Instant::now());
     }
 
-    /// Returns a number that changes from call to call.
+    /// Returns a number that differs from call to call.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Lists the servers as the choice for a read needs them.
+    /// Returns the servers as candidates for a read.
     pub(crate) fn candidates(&self, context: &Context) -> Vec<Candidate> {
         let in_force = self.in_force.load();
         let view = self.view.read();
@@ -230,7 +228,7 @@
             .collect()
     }
 
-    /// Waits until enough other servers confirm a write or a position of the primary.
+    /// Waits until the evidence is decisive or the deadline passes.
     pub(crate) async fn wait_for_evidence(&self, request: EvidenceRequest<'_>) -> Evidence {
         loop {
             match self.query_evidence(&request).await {
@@ -244,7 +242,7 @@
         }
     }
 
-    /// Asks every other server once, ending as soon as the answers suffice.
+    /// Queries every other server once. Returns as soon as the answers are decisive.
     async fn query_evidence(&self, request: &EvidenceRequest<'_>) -> Evidence {
         let servers = self.links.len();
         let mut answers: Vec<Arc<ServerStatus>> = Vec::with_capacity(servers);
@@ -266,22 +264,22 @@
         evidence
     }
 
-    /// Waits until the primary or the term changes, or the deadline passes.
+    /// Waits until the primary or the term changes, or the deadline passes. May return earlier.
     pub(crate) async fn wait_for_change(&self, deadline: Instant) {
         let until = tokio::time::Instant::from_std(deadline);
-        // A short bound makes up for a change between the look at the board and the wait.
+        // A change between the caller's check and this wait is not notified, so the wait is short.
         let until = until.min(tokio::time::Instant::now() + Duration::from_millis(20));
         let _ = tokio::time::timeout_at(until, self.changed.notified()).await;
     }
 
-    /// Ends the group's pools; running work is finished.
+    /// Closes the group's pools. Running work is finished.
     pub(crate) fn close(&self) {
         for pool in &self.pools {
             pool.close();
         }
     }
 
-    /// Builds the refusal for a write that finds no primary.
+    /// Returns the refusal for a request that finds no primary.
     pub(crate) fn no_primary(&self) -> Refusal {
         Refusal::not_run(
             RefusalReason::NoPrimary,
@@ -291,10 +289,10 @@
     }
 }
 
-/// When a request that found no primary may try again; a promotion takes about this long.
+/// Retry delay for a request that finds no primary, about the duration of a promotion.
 const NO_PRIMARY_RETRY_MS: u64 = 1_000;
 
-/// Counts something that runs for as long as it lives.
+/// Counts a write as running until it is dropped.
 pub(crate) struct WritingGuard {
     group: Arc<GroupState>,
 }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -1,4 +1,5 @@
-//! The primary's position, with proof that it still leads, shared by everyone who waits for it.
+//! The read index: a position of the primary with evidence that it still leads, shared by all
+//! requests that wait for it.
 
 use std::{
     sync::{Arc, Weak},
@@ -11,24 +12,24 @@
 
 use crate::group_state::{EvidenceRequest, GroupState};
 
-/// Requests that may wait for the next round.
+/// Capacity of the queue for the next round.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// How long one round may take.
+/// Timeout of one round.
 const ROUND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no index.
+/// Why there is no read index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadIndexError {
     /// No primary is known, or it does not answer.
     NoPrimary,
-    /// Too few servers confirm that it still leads.
+    /// Too few servers confirm that the primary still leads.
     NotConfirmed,
 }
 
 type IndexReply = flume::Sender<Result<LogPoint, ReadIndexError>>;
 
-/// The asking end.
+/// A handle for requesting the read index.
 #[derive(Debug)]
 pub(crate) struct ReadIndex {
     requests: flume::Sender<IndexReply>,
@@ -40,7 +41,7 @@
         (ReadIndex { requests: sender }, requests)
     }
 
-    /// Returns a point that covers everything acknowledged before the call.
+    /// Returns a log point that covers every write acknowledged before the call.
     pub(crate) async fn get(&self) -> Result<LogPoint, ReadIndexError> {
         let (reply, answer) = flume::bounded(1);
         self.requests.send_async(reply).await.map_err(|_| ReadIndexError::NoPrimary)?;
@@ -48,21 +49,21 @@
     }
 }
 
-/// Serves rounds until the group is dropped. Each round begins after its requests were made.
-pub(crate) async fn serve(group: Weak<GroupState>, requests: flume::Receiver<IndexReply>) {
+/// Serves rounds until the group is dropped. Each round starts after its requests were made.
+pub(crate) async fn serve_rounds(group: Weak<GroupState>, requests: flume::Receiver<IndexReply>) {
     while let Ok(first) = requests.recv_async().await {
         let mut waiting = vec![first];
         waiting.extend(requests.drain());
         let Some(group) = group.upgrade() else { return };
-        let index = round(&group).await;
+        let index = run_round(&group).await;
         for reply in waiting {
-            // Whoever asked may have given up.
+            // The requester may have given up.
             let _ = reply.send(index);
         }
     }
 }
 
-async fn round(group: &Arc<GroupState>) -> Result<LogPoint, ReadIndexError> {
+async fn run_round(group: &Arc<GroupState>) -> Result<LogPoint, ReadIndexError> {
     let primary = group.view.read().primary.ok_or(ReadIndexError::NoPrimary)?;
     let answer = group.query_status(primary).await.map_err(|_| ReadIndexError::NoPrimary)?;
     let point = answer.status.held();
