--- a/crates/daemon/src/caller_log_in.rs
+++ b/crates/daemon/src/caller_log_in.rs
@@ -1,4 +1,4 @@
-//! A caller's log-in: what it asks for, and whether it may.
+//! Log-in of a caller: start-up parameters, permissions and authentication.
 
 use std::{
     collections::BTreeMap,
@@ -11,7 +11,7 @@
 
 use crate::{context::Context, relay::relay_cancel};
 
-/// Start-up parameters with those from `options` taken apart.
+/// Start-up parameters, with those in `options` split into entries of their own.
 pub(crate) type Parameters = BTreeMap<String, String>;
 
 pub(crate) async fn log_in(
@@ -27,8 +27,8 @@
         }
         Err(_) => return None,
     };
-    let fatal = check_start(context, &mut parameters, encrypted);
-    if let Err((code, message)) = fatal {
+    let denied = validate_start(context, &mut parameters, encrypted);
+    if let Err((code, message)) = denied {
         send_fatal(stream, code, &message).await;
         return None;
     }
@@ -42,7 +42,7 @@
             Ok(()) => {}
             Err(LogInError::Stream(_)) => return None,
             Err(LogInError::Denied) => {
-                log::warn!(user = user.as_str(); "a log-in was denied");
+                log::warn!(user = user.as_str(); "log-in denied");
                 let message = format!("password authentication failed for user \"{user}\"");
                 send_fatal(stream, "28P01", &message).await;
                 return None;
@@ -64,8 +64,8 @@
     }
 }
 
-/// Checks what can be refused before the log-in.
-fn check_start(
+/// Validates the start-up parameters before authentication.
+fn validate_start(
     context: &Context,
     parameters: &mut Parameters,
     encrypted: bool,
@@ -105,17 +105,20 @@
     split_options(parameters)
 }
 
-/// Takes `-c name=value` pairs out of the `options` parameter.
+/// Moves the `-c name=value` pairs of the `options` parameter into entries of their own.
 fn split_options(parameters: &mut Parameters) -> Result<(), (&'static str, String)> {
     let Some(options) = parameters.remove("options") else { return Ok(()) };
-    let mut words = options.split_whitespace();
-    while let Some(word) = words.next() {
-        let pair = match word {
-            "-c" => words.next(),
-            word => word.strip_prefix("-c").or_else(|| word.strip_prefix("--")),
+    let mut arguments = options.split_whitespace();
+    while let Some(argument) = arguments.next() {
+        let pair = match argument {
+            "-c" => arguments.next(),
+            argument => argument.strip_prefix("-c").or_else(|| argument.strip_prefix("--")),
         };
         let Some((name, value)) = pair.and_then(|pair| pair.split_once('=')) else {
-            return Err(("22023", format!("the option `{word}` is not of the form -c name=value")));
+            return Err((
+                "22023",
+                format!("the option `{argument}` is not of the form -c name=value"),
+            ));
         };
         parameters.insert(name.to_owned(), value.to_owned());
     }
@@ -130,6 +133,6 @@
         (b'M', format!("wardtiller: {message}")),
     ];
     stream.add(&PgWireBackendMessage::ErrorResponse(ErrorResponse::new(fields)));
-    // The caller may be gone; then nobody needs the message.
+    // The caller may have disconnected, so a failure is ignored.
     let _ = stream.flush().await;
 }
