--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -1,4 +1,4 @@
-//! One caller's session, from its log-in to its end.
+//! One caller's session, from log-in to disconnect.
 
 mod run_request;
 
@@ -27,7 +27,7 @@
     request::{ExtendedState, Request, RequestError},
 };
 
-/// Messages of one request beyond this number are refused, so that a request stays bounded.
+/// Limits the steps of one request, to bound its memory.
 const MAX_REQUEST_STEPS: usize = 10_000;
 
 /// Serves a caller's connection until it ends.
@@ -36,14 +36,16 @@
     socket: TcpStream,
     tls: Option<Arc<TlsAcceptor>>,
 ) {
-    // Without it small answers would wait for acknowledgements; failing to set it costs only time.
+    // Sends small answers without delay. The session also works if this can't be set.
     let _ = socket.set_nodelay(true);
     let mut stream = CallerStream::new(socket);
-    let login =
+    let login_timeout =
         Duration::from_millis(context.in_force.load().configuration.limits.login_timeout_ms);
-    let login = if login.is_zero() { Duration::from_secs(10) } else { login };
-    let started = tokio::time::timeout(login, log_in(&context, &mut stream, tls.as_ref())).await;
-    let Ok(Some(parameters)) = started else {
+    let login_timeout =
+        if login_timeout.is_zero() { Duration::from_secs(10) } else { login_timeout };
+    let parameters =
+        tokio::time::timeout(login_timeout, log_in(&context, &mut stream, tls.as_ref())).await;
+    let Ok(Some(parameters)) = parameters else {
         stream.close().await;
         return;
     };
@@ -51,7 +53,7 @@
     context.metrics.callers.inc();
     let mut session = CallerSession::new(context.clone(), stream, &parameters);
     if let Err(StreamEnd::Protocol(detail)) = session.run(&parameters).await {
-        log::info!(detail = detail.as_str(); "a caller broke the protocol");
+        log::info!(detail = detail.as_str(); "a caller violated the protocol");
     }
     session.stream.close().await;
     context.cancels.remove(session.process);
@@ -59,27 +61,26 @@
     context.metrics.callers.dec();
 }
 
-/// A session that has been idle for this long is closed by a planned stop. A busy one, whose next
-/// request may be on its way, gets the time to send it.
+/// How long a planned stop keeps an idle session open. A request that is already on its way can
+/// arrive within this time.
 const STOP_IDLE_TIME: Duration = Duration::from_millis(250);
 
-/// Ends when a planned stop has begun and the time for a request to arrive is over.
+/// Returns once a planned stop has begun and `STOP_IDLE_TIME` has passed.
 async fn idle_while_stopping(stopping: &mut tokio::sync::watch::Receiver<bool>) {
-    // The sender lives as long as the daemon, so the wait can't fail before the end.
+    // The sender lives as long as the daemon, so the wait can't fail earlier.
     let _ = stopping.wait_for(|stopping| *stopping).await;
     tokio::time::sleep(STOP_IDLE_TIME).await;
 }
 
-/// What becomes of the session after a request.
+/// What happens to the session after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterRequest {
-    /// It goes on.
     Continue,
-    /// Its transaction was lost with the connection, so going on could mix statements up.
+    /// The transaction was lost with its connection. Statements that the caller has already sent
+    /// must not run outside of it.
     Close,
 }
 
-/// A caller's session.
 pub(crate) struct CallerSession {
     pub(crate) context: Arc<Context>,
     pub(crate) stream: CallerStream,
@@ -89,7 +90,7 @@
     pub(crate) user: Name,
     pub(crate) service_name: Name,
     pub(crate) token: SessionToken,
-    /// Whether the caller carries the token itself.
+    /// Whether the caller passes on the session token itself.
     pub(crate) tracked: bool,
     pub(crate) read_kind: String,
     pub(crate) group_name: Option<String>,
@@ -99,7 +100,7 @@
     /// After an error, extended messages are skipped until the next `Sync`.
     pub(crate) skipping: bool,
     pub(crate) transaction: u8,
-    /// The transaction failed here, without its server knowing.
+    /// The transaction failed in this daemon, without its server knowing.
     pub(crate) aborted_locally: bool,
     pub(crate) pinned: Option<PinnedConnection>,
     pub(crate) relay_pin: Option<Arc<RelayPin>>,
@@ -194,7 +195,7 @@
     }
 
     fn send_session_start(&mut self) {
-        let own = [
+        let parameters = [
             ("server_version", "15.0 (wardtiller)"),
             ("server_encoding", "UTF8"),
             ("client_encoding", "UTF8"),
@@ -204,7 +205,7 @@
             ("integer_datetimes", "on"),
             ("standard_conforming_strings", "on"),
         ];
-        for (name, value) in own {
+        for (name, value) in parameters {
             let value = self.settings.get(&name.to_lowercase()).unwrap_or(value).to_owned();
             self.add_status(name, value);
         }
@@ -297,10 +298,10 @@
         }
     }
 
-    /// Answers what was sent so far, before the request's end.
+    /// Answers a `Flush`, before the `Sync` that ends the request.
     ///
-    /// Preparing and describing change nothing, so they can be answered by themselves; the answers
-    /// to statements belong to a transaction that the `Sync` ends, so they can't.
+    /// Preparing and describing statements changes nothing, so their answers can be sent early. An
+    /// executed statement belongs to a transaction that `Sync` ends, so its answer can't.
     async fn flush(&mut self) -> Result<AfterRequest, StreamEnd> {
         if self.request.error.is_none()
             && (self.request.effects.executes || !self.request.local.is_empty())
@@ -339,7 +340,7 @@
         self.stream.flush().await
     }
 
-    /// Answers a request, without the `ReadyForQuery` that ends it.
+    /// Answers a request, without the final `ReadyForQuery`.
     async fn answer(&mut self, mut request: Request) -> Result<AfterRequest, StreamEnd> {
         if let Some(error) = request.error.take() {
             self.fail(&error);
@@ -361,7 +362,7 @@
         self.run_request(request).await
     }
 
-    /// A transaction that failed here takes nothing but its end.
+    /// Answers a request in a transaction aborted in this daemon. Only its end is accepted.
     async fn answer_aborted(&mut self, request: &Request) -> Result<AfterRequest, StreamEnd> {
         let ends = request.effects.commits || !request.effects.executes;
         if !ends || request.effects.writes {
@@ -369,7 +370,7 @@
             self.fail(&RequestError::new("25P02", message));
             return Ok(AfterRequest::Continue);
         }
-        // Dropping the connection rolls back; it may not be given to anybody else before that.
+        // Dropping the connection rolls the transaction back and keeps others from using it before.
         self.pinned = None;
         self.relay_pin = None;
         self.aborted_locally = false;
@@ -379,7 +380,7 @@
         Ok(AfterRequest::Continue)
     }
 
-    /// Sends an error, which a transaction does not survive.
+    /// Sends an error, which aborts an open transaction.
     fn fail(&mut self, error: &RequestError) {
         let fields = vec![
             (b'S', "ERROR".to_owned()),
