--- a/crates/daemon/src/caller_settings.rs
+++ b/crates/daemon/src/caller_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a caller's session: those carried to connections, and wardtiller's own.
+//! Settings of a caller's session: those passed on to endpoints, and those of wardtiller itself.
 
 use bytes::Bytes;
 use model::{RefusalReason, Verdict};
@@ -11,14 +11,14 @@
 };
 
 impl CallerSession {
-    /// Carries out SET, SHOW and DISCARD, putting their answers into the request's steps.
+    /// Runs SET, SHOW and DISCARD, and puts their answers into the request's steps.
     pub(crate) fn run_local_statements(
         &mut self,
         request: &mut Request,
     ) -> Result<(), RequestError> {
         let effects = std::mem::take(&mut request.local);
         let simple = request.steps.is_empty();
-        let mut places: Vec<usize> = request
+        let mut answer_steps: Vec<usize> = request
             .steps
             .iter()
             .enumerate()
@@ -28,7 +28,7 @@
             .collect();
         for effect in effects {
             let answer = self.local_answer(&effect, simple)?;
-            match places.pop() {
+            match answer_steps.pop() {
                 Some(index) => request.steps[index].message = answer,
                 None => request.steps.push(peer::Step {
                     shape: peer::StepShape::Canned as i32,
@@ -55,7 +55,7 @@
                 Ok(Answer::default().complete("DISCARD ALL").finish())
             }
             Effect::Show { name } => {
-                let value = self.show(name)?;
+                let value = self.show_setting(name)?;
                 let (description, row) = row_answer(name, &value);
                 let mut answer = Vec::new();
                 if describe {
@@ -78,7 +78,7 @@
             .map_err(|error| RequestError::new("0A000", format!("wardtiller: {error}")))
     }
 
-    /// Changes one of the session's own settings.
+    /// Changes a `wardtiller.*` setting of the session.
     pub(crate) fn set_wardtiller_setting(
         &mut self,
         name: &str,
@@ -93,7 +93,7 @@
                         RequestError::new(reason.sqlstate(Verdict::NotRun), error.to_string())
                     })?;
                 self.tracked = true;
-                // An empty token begins a new session; any other joins what was seen already.
+                // An empty token starts a new session. Any other is merged into the present one.
                 if token.is_empty() {
                     self.token = token;
                 } else {
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    fn show(&self, name: &str) -> Result<String, RequestError> {
+    fn show_setting(&self, name: &str) -> Result<String, RequestError> {
         match name {
             "wardtiller.session" => Ok(self.token.to_string()),
             "wardtiller.read_kind" => Ok(self.read_kind.clone()),
