--- a/crates/daemon/src/configuration_sync.rs
+++ b/crates/daemon/src/configuration_sync.rs
@@ -22,13 +22,13 @@
     peers::Peers,
 };
 
-/// Daemons that do not watch the store look at it this often, should they hear from nobody.
+/// How often a daemon that does not watch the store reads the head, in case no gossip reaches it.
 const UNWATCHED_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How long a failed call to the store is waited after.
+/// Pause after a failed call to the store.
 const STORE_RETRY: Duration = Duration::from_millis(500);
 
-/// What the store's threads tell the configuration task.
+/// Updates from the store's threads for the configuration task.
 pub(crate) enum StoreUpdate {
     /// The head changed.
     Head(Entry),
@@ -36,7 +36,7 @@
     Hosts(u64, Vec<HostEntry>),
 }
 
-/// Watches the head, on a thread of its own, until the daemon stops.
+/// Watches the head until the daemon stops. Runs on a thread of its own.
 pub(crate) fn watch_head<P: KeyValueStore>(
     context: &Context,
     store: &P,
@@ -48,7 +48,7 @@
     let mut first = true;
     while !context.is_stopping() {
         let watcher = is_store_watcher(context);
-        // The first look and the rare ones of a daemon that does not watch return at once.
+        // The first read, and the reads of a daemon that does not watch the store, return at once.
         let found =
             if watcher && !first { store.watch(&key, version, wait) } else { store.get(&key) };
         context.metrics.store_calls.with_label_values(&["head"]).inc();
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads the host list, on a thread of its own, until the daemon stops.
+/// Reads the host list at an interval until the daemon stops. Runs on a thread of its own.
 pub(crate) fn read_hosts<P: HostList>(
     context: &Context,
     store: &P,
@@ -106,19 +106,19 @@
     is_watcher(context.key, context.members.load().all(), count)
 }
 
-/// How long a pause goes on before the stop is looked at.
-const PAUSE_STEP: Duration = Duration::from_millis(50);
+/// How often a pause checks whether the daemon stops.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-fn pause(context: &Context, time: Duration) {
-    let mut left = time;
-    while !left.is_zero() && !context.is_stopping() {
-        let step = left.min(PAUSE_STEP);
+fn pause(context: &Context, duration: Duration) {
+    let mut remaining = duration;
+    while !remaining.is_zero() && !context.is_stopping() {
+        let step = remaining.min(STOP_CHECK_INTERVAL);
         std::thread::sleep(step);
-        left -= step;
+        remaining -= step;
     }
 }
 
-/// Takes news from the store and from other daemons, one after the other.
+/// Applies updates from the store and from other daemons, one at a time.
 pub(crate) async fn sync_configuration<P: KeyValueStore + 'static>(
     context: Arc<Context>,
     peers: Arc<Peers>,
@@ -134,7 +134,9 @@
                 Err(_) => return,
             },
             update = updates.recv_async() => match update {
-                Ok(PeerUpdate::Configuration(address)) => fetch_configuration(&context, &peers, address).await,
+                Ok(PeerUpdate::Configuration(address)) => {
+                    fetch_configuration(&context, &peers, address).await;
+                }
                 Ok(PeerUpdate::HostList(address)) => fetch_hosts(&context, &peers, address).await,
                 Ok(PeerUpdate::Installed) => {
                     let fanout = usize::from(context.settings.control.fanout);
@@ -148,8 +150,8 @@
 
 type Chunks = HashMap<ChunkHash, Arc<ParsedChunk>>;
 
-/// Takes a head that the store gave. The chunks that are missing come from other daemons where one
-/// has them, so that a zone that starts at once does not fall upon the store.
+/// Applies a head read from the store. If many chunks are missing, another daemon is asked first,
+/// to limit the load on the store when a whole availability zone starts.
 async fn apply_head<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
@@ -157,7 +159,7 @@
     entry: &Entry,
 ) {
     let Ok(head) = serde_json::from_slice::<Head>(&entry.value) else {
-        log::error!("the store's head is malformed; the configuration in force stays");
+        log::error!("the head in the store is malformed; keeping the configuration in force");
         return;
     };
     if head.revision <= context.in_force.load().revision {
@@ -178,8 +180,8 @@
             _ => None,
         };
         if !text.is_some_and(|text| add_chunk(&mut chunks, &hash, text)) {
-            log::warn!(revision = head.revision; "a chunk of the configuration can't be read yet");
-            // The head was seen, but not taken; other daemons may have the rest.
+            log::warn!(revision = head.revision; "a configuration chunk is not available yet");
+            // The head can't be applied yet. Other daemons may have the missing chunks.
             push_gossip(context, peers, 1).await;
             return;
         }
@@ -187,7 +189,7 @@
     install(context, head, chunks);
 }
 
-/// More missing chunks than this are asked for at another daemon first.
+/// If more chunks than this are missing, another daemon is asked before the store.
 const MAX_CHUNKS_FROM_STORE: usize = 2;
 
 fn known_chunks(context: &Context, head: &Head) -> Chunks {
@@ -202,10 +204,10 @@
     head.chunks.iter().filter(|hash| !chunks.contains_key(hash)).cloned().collect()
 }
 
-/// Reads a chunk and keeps it; `false` if it does not match its name or can't be read.
+/// Parses a chunk and adds it. Returns `false` if it does not match its hash or can't be parsed.
 fn add_chunk(chunks: &mut Chunks, hash: &ChunkHash, text: String) -> bool {
     if ChunkHash::of(&text) != *hash {
-        log::error!(chunk = hash.to_string().as_str(); "a chunk does not match its name");
+        log::error!(chunk = hash.to_string().as_str(); "a chunk does not match its hash");
         return false;
     }
     match read_part(&text) {
@@ -217,7 +219,7 @@
             let problems = problems.to_string();
             log::error!(
                 problems = problems.as_str();
-                "an accepted chunk can't be read by this version; the configuration in force stays"
+                "this version can't parse an accepted chunk; keeping the configuration in force"
             );
             false
         }
@@ -231,7 +233,7 @@
     others.choose(&mut rand::rng()).map(|member| member.peer_address)
 }
 
-/// Asks another daemon for the chunks that are missing, until it does not have one.
+/// Requests the missing chunks from another daemon, up to the first that it can't provide.
 async fn fetch_chunks(
     context: &Context,
     peers: &Peers,
@@ -249,7 +251,7 @@
     }
 }
 
-/// Gets the configuration from another daemon, moving only what is missing here.
+/// Fetches the configuration from another daemon, requesting only the chunks missing here.
 async fn fetch_configuration(context: &Arc<Context>, peers: &Arc<Peers>, address: SocketAddr) {
     let Some(Body::HeadAnswer(answer)) =
         call_peer(context, peers, address, Body::HeadRequest(HeadRequest {})).await
@@ -275,7 +277,7 @@
         context.configuration_store.replace(head, chunks);
         refresh_leaving(context);
         log::info!(revision; "a configuration is in force");
-        // A full ring will spread it all the same.
+        // If the queue is full, the regular gossip spreads the revision.
         let _ = context.updates.try_send(PeerUpdate::Installed);
     }
 }
@@ -334,7 +336,7 @@
     replace_hosts(context, answer.version, members, leaving);
 }
 
-/// Brings the leaving endpoints in line with the host list and the configuration.
+/// Updates the set of leaving endpoints from the host list and the configuration.
 fn refresh_leaving(context: &Context) {
     let now = std::time::Instant::now();
     let in_force = context.in_force.load();
