--- a/crates/daemon/src/control_link.rs
+++ b/crates/daemon/src/control_link.rs
@@ -1,4 +1,4 @@
-//! The connection by which a server is asked for its standing and told to change it.
+//! The connection for querying a server's status and changing its role.
 
 use std::{
     sync::Arc,
@@ -14,10 +14,10 @@
     endpoint_connection::read_status_row,
 };
 
-/// Requests that may wait for the link.
+/// Capacity of a link's request queue.
 const MAX_QUEUED_REQUESTS: usize = 1_024;
 
-/// A status with the time at which it was asked for.
+/// A status, and when it was requested.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusAnswer {
     pub(crate) status: Arc<ServerStatus>,
@@ -27,12 +27,12 @@
 /// The server did not answer, or answered with an error.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlLinkError {
-    /// The SQLSTATE, if it was the server that refused.
+    /// The SQLSTATE, if the server refused the statement.
     pub(crate) code: Option<String>,
 }
 
 impl ControlLinkError {
-    /// Whether the server says that it is shutting down.
+    /// Whether the server reports that it is shutting down.
     pub(crate) fn is_shutting_down(&self) -> bool {
         matches!(self.code.as_deref(), Some("57P01" | "57P03"))
     }
@@ -41,20 +41,20 @@
 type StatusReply = flume::Sender<Result<StatusAnswer, ControlLinkError>>;
 
 enum LinkRequest {
-    /// Ask for the status; everyone who waits shares one answer.
+    /// Query the status. All waiting requests share one answer.
     Status(StatusReply),
-    /// Run a statement that changes the server's standing and returns its status.
+    /// Run a statement that changes the server's role and returns its status.
     Call(String, StatusReply),
 }
 
-/// The asking end of a link.
+/// A handle for sending requests to a link.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlLink {
     requests: flume::Sender<LinkRequest>,
 }
 
 impl ControlLink {
-    /// Starts a link on the current runtime; it ends when its last asking end is dropped.
+    /// Starts a link on the current runtime. It ends when its last handle is dropped.
     pub(crate) fn start(target: EndpointAddress, timeout: Duration) -> ControlLink {
         let (sender, requests) = flume::bounded(MAX_QUEUED_REQUESTS);
         let link = ControlLinkTask { target, timeout, stream: None, requests };
@@ -62,13 +62,13 @@
         ControlLink { requests: sender }
     }
 
-    /// Asks for the status, sharing the query with everyone who asks before it is sent. The answer
-    /// was asked for after this call began.
+    /// Queries the status. Requests that wait at the same time share one query, which is always
+    /// sent after this call began.
     pub(crate) async fn status(&self) -> Result<StatusAnswer, ControlLinkError> {
         self.send(LinkRequest::Status).await
     }
 
-    /// Runs a statement that changes the server's standing.
+    /// Runs a statement that changes the server's role.
     pub(crate) async fn call(&self, statement: String) -> Result<StatusAnswer, ControlLinkError> {
         self.send(|reply| LinkRequest::Call(statement, reply)).await
     }
@@ -106,7 +106,7 @@
             }
             for (statement, reply) in calls {
                 let answer = self.query(&statement).await;
-                // Whoever asked may have given up.
+                // The requester may have given up.
                 let _ = reply.send(answer);
             }
             if !waiting.is_empty() {
@@ -118,11 +118,12 @@
         }
     }
 
-    /// Asks once. A link that failed is given up, since a late answer could be taken for another.
+    /// Runs one query. Unless the server refused it, a failure closes the connection, since a late
+    /// answer could be mistaken for the next one.
     async fn query(&mut self, statement: &str) -> Result<StatusAnswer, ControlLinkError> {
         let asked_at = Instant::now();
         let timeout = self.timeout;
-        let answer = tokio::time::timeout(timeout, self.query_now(statement)).await;
+        let answer = tokio::time::timeout(timeout, self.query_unbounded(statement)).await;
         let error = match answer {
             Ok(Ok(status)) => return Ok(StatusAnswer { status: Arc::new(status), asked_at }),
             Ok(Err(error)) => error,
@@ -135,11 +136,14 @@
                 None
             }
         };
-        log::debug!(error = error.to_string().as_str(); "a server did not answer its link");
+        log::debug!(
+            error = error.to_string().as_str();
+            "a server did not answer on its control link"
+        );
         Err(ControlLinkError { code })
     }
 
-    async fn query_now(&mut self, statement: &str) -> Result<ServerStatus, EndpointError> {
+    async fn query_unbounded(&mut self, statement: &str) -> Result<ServerStatus, EndpointError> {
         if self.stream.as_ref().is_none_or(EndpointStream::is_stale) {
             self.stream = Some(EndpointStream::connect(&self.target, self.timeout).await?);
         }
