--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of a daemon.
+//! Starts and stops the tasks of a daemon.
 
 use std::{
     net::SocketAddr,
@@ -33,13 +33,14 @@
     show::{ShowReport, show_report},
 };
 
-/// News that may wait for the configuration task.
+/// Capacity of the update queues of the configuration task.
 const MAX_QUEUED_UPDATES: usize = 64;
 
-/// How often a planned stop looks at what still runs.
+/// How often a planned stop checks for running work.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running daemon. Dropping it ends it at once, as a crash would; [`Daemon::stop`] is planned.
+/// A running daemon. Dropping it ends it abruptly, like a crash; [`Daemon::stop`] stops it
+/// gracefully.
 pub struct Daemon {
     context: Arc<Context>,
     serve: Option<Runtime>,
@@ -52,7 +53,7 @@
 }
 
 impl Daemon {
-    /// Starts a daemon on the addresses of its settings (port 0 for any).
+    /// Starts a daemon on the addresses of its settings. Port 0 selects any free port.
     pub fn start<P>(settings: HostSettings, store: Arc<P>) -> eyre::Result<Daemon>
     where
         P: KeyValueStore + HostList + 'static,
@@ -139,32 +140,32 @@
         }
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Returns where other daemons connect.
+    /// Returns the address for other daemons.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Returns where operators connect.
+    /// Returns the address for operators.
     pub fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Returns the daemon's state.
+    /// Returns a report of the daemon's state.
     pub fn show(&self) -> ShowReport {
         show_report(&self.context)
     }
 
-    /// Stops as planned: takes no new callers, finishes every request, closes sessions between
-    /// transactions, tells the other daemons, then ends. Returns whether everything was finished
-    /// within the operators' limit.
+    /// Stops gracefully: accepts no new callers, finishes running requests, closes sessions between
+    /// transactions and notifies other daemons. Returns whether all work finished within the limit
+    /// `stop_ms` of the configuration.
     pub fn stop(mut self) -> bool {
-        let limit = self.context.in_force.load().configuration.limits.stop_ms;
-        let until = Instant::now() + Duration::from_millis(limit);
+        let limit_ms = self.context.in_force.load().configuration.limits.stop_ms;
+        let until = Instant::now() + Duration::from_millis(limit_ms);
         self.context.stopping.send_replace(true);
         self.context.invalidate_members();
         self.announce_stop();
@@ -174,7 +175,7 @@
         finished
     }
 
-    /// Tells the other daemons at once that this one gets no more work.
+    /// Announces to other daemons that this one takes no more work.
     fn announce_stop(&self) {
         let Some(control) = &self.control else { return };
         let context = self.context.clone();
@@ -201,12 +202,12 @@
                 .flat_map(|group| group.pools.iter().map(|pool| pool.in_flight()))
                 .sum();
             if callers == 0 && writing == 0 && in_flight == 0 {
-                // What was answered last may still be on its way to another daemon.
+                // The last answers may still be on their way to another daemon.
                 thread::sleep(STOP_POLL_INTERVAL);
                 return true;
             }
             if Instant::now() >= until {
-                log::warn!(callers, writing; "the time for a planned stop is over");
+                log::warn!(callers, writing; "the time limit of the planned stop has passed");
                 return false;
             }
             thread::sleep(STOP_POLL_INTERVAL);
@@ -214,7 +215,7 @@
     }
 
     fn end(&mut self) {
-        // Threads that wait for the store see this and end by themselves.
+        // The store threads check this flag and end by themselves.
         self.context.stopping.send_replace(true);
         for runtime in [&mut self.serve, &mut self.control, &mut self.watch, &mut self.operator] {
             if let Some(runtime) = runtime.take() {
@@ -230,7 +231,7 @@
     }
 }
 
-/// Daemons that are told of a planned stop at once; the rest hear of it from them.
+/// Daemons that a stopping daemon notifies itself. The others learn of the stop by gossip.
 const MAX_STOP_ANNOUNCEMENTS: usize = 16;
 
 struct Addresses {
@@ -287,7 +288,6 @@
     Ok(builder.thread_name("serve").enable_all().build()?)
 }
 
-/// Makes the runtime of a duty with a single thread.
 fn single_thread_runtime(name: &str) -> eyre::Result<Runtime> {
     Ok(Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()?)
 }
@@ -297,7 +297,7 @@
     Ok(())
 }
 
-/// How long to wait after a socket could not be accepted, as when files have run out.
+/// Pause after a failed accept, such as when file descriptors have run out.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 async fn accept_callers(
@@ -311,7 +311,10 @@
                 tokio::spawn(serve_caller(context.clone(), socket, tls.clone()));
             }
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "a caller can't be accepted");
+                log::warn!(
+                    error = error.to_string().as_str();
+                    "accepting a connection of a caller failed"
+                );
                 tokio::time::sleep(ACCEPT_RETRY).await;
             }
         }
@@ -328,7 +331,10 @@
                 tokio::spawn(peer::serve_connection(socket, id, handler.clone()));
             }
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "a daemon can't be accepted");
+                log::warn!(
+                    error = error.to_string().as_str();
+                    "accepting a connection of a daemon failed"
+                );
                 tokio::time::sleep(ACCEPT_RETRY).await;
             }
         }
