--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! One pooled connection to an endpoint, and the run of a job on it.
+//! A pooled connection to an endpoint, and the execution of jobs on it.
 
 use std::{num::NonZeroUsize, time::Instant};
 
@@ -16,58 +16,55 @@
 
 use crate::dialect::{Dialect, ServerDialect};
 
-/// Where the parts of an answer go as they arrive.
+/// Receives the parts of an answer as they arrive.
 pub(crate) trait AnswerSink: Send {
-    /// Passes whole backend messages on; `false` when nobody takes them any more.
+    /// Passes on whole backend messages. Returns `false` if the receiver is gone.
     fn send(&mut self, messages: Bytes) -> impl Future<Output = bool> + Send;
 
-    /// Whether anything was passed on, so that the job can't be run elsewhere any more.
+    /// Whether any part was passed on, after which the job can't run elsewhere.
     fn has_begun(&self) -> bool;
 }
 
-/// When the server's status is asked for.
+/// When the server's status is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Probe {
-    /// Not at all.
     None,
-    /// Before the job, to prove what its reads can see.
+    /// Before the job, to check what its reads can see.
     Before,
-    /// Behind the job, to learn where its write stands.
+    /// After the job, to learn the position of its write.
     After,
 }
 
-/// How a job's answer is treated while it arrives.
+/// How the answer to a job is handled.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunOptions {
-    /// When the status is asked for.
     pub(crate) probe: Probe,
-    /// Bytes held back until the job may be acknowledged; `None` passes the answer on at once.
+    /// Bytes held back until the job may be acknowledged. `None` passes the answer on at once.
     pub(crate) hold_bytes: Option<usize>,
 }
 
-/// What the caller of [`EndpointConnection::run`] says to a status that came before the answer.
+/// The decision on a status that precedes an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatusCheck {
-    /// Give the answer.
+    /// Pass the answer on.
     Accept,
-    /// Drop the answer; the connection stays usable.
+    /// Drop the answer. The connection stays usable.
     Reject,
 }
 
-/// A job's answer.
 #[derive(Debug)]
 pub(crate) struct JobAnswer {
-    /// What was not passed on yet, without `ReadyForQuery`.
+    /// Messages not yet passed on, without `ReadyForQuery`.
     pub(crate) tail: BytesMut,
     /// The transaction status byte.
     pub(crate) transaction: u8,
-    /// The status before or behind the job.
+    /// The status queried before or after the job.
     pub(crate) status: Option<ServerStatus>,
-    /// Whether any statement was completed.
+    /// Whether any statement completed.
     pub(crate) completed: bool,
-    /// The SQLSTATE of the error that it contains, if it does.
+    /// The SQLSTATE of the error in the answer, if any.
     pub(crate) error_code: Option<String>,
-    /// Whether the answer was dropped, by the proof.
+    /// Whether the status check dropped the answer.
     pub(crate) rejected: bool,
 }
 
@@ -76,41 +73,40 @@
 pub(crate) enum RunError {
     /// The connection failed before any byte of the job was sent.
     NotSent(EndpointError),
-    /// The connection failed after that.
+    /// The connection failed after the job may have been sent.
     Lost(EndpointError),
-    /// The answer outgrew what may be held back.
+    /// The answer exceeds the bytes that may be held back.
     TooLarge,
-    /// Nobody takes the answer any more.
+    /// The receiver of the answer is gone.
     CallerGone,
 }
 
-/// A part of the answer is passed on once it has this size.
+/// Answers are passed on in parts of about this size.
 const CHUNK_BYTES: usize = 32 * 1024;
 
-/// A connection with what was done to it.
+/// A connection with its prepared statements and a fingerprint of its settings.
 #[derive(Debug)]
 pub(crate) struct EndpointConnection {
     stream: EndpointStream,
     prepared: LruCache<u64, ()>,
     settings: u64,
-    /// When it was last given back.
+    /// When the connection was last returned to the pool.
     pub(crate) idle_since: Instant,
 }
 
-/// What the next messages of the endpoint belong to.
+/// An answer that is expected from the endpoint.
 enum ExpectedAnswer {
-    /// A statement that the caller does not know of.
+    /// The answer to a `Parse` that the daemon added because the connection lacks the statement.
     ImplicitParse { statement: u64 },
-    /// The end of a statement that was dropped to make room.
+    /// The answer to a `Close` that the daemon added to evict a statement.
     ImplicitClose,
-    /// A step of the job.
+    /// The answer to a step of the job.
     Step { shape: StepShape, statement: u64 },
-    /// An answer that is known without the endpoint.
+    /// An answer that the daemon provides itself.
     Canned(Bytes),
 }
 
 impl EndpointConnection {
-    /// Connects.
     pub(crate) async fn open(
         target: &EndpointAddress,
         timeout: std::time::Duration,
@@ -126,18 +122,18 @@
         })
     }
 
-    /// Whether the endpoint has closed it or says something unasked.
+    /// Whether the endpoint closed the connection or sent something unexpected.
     pub(crate) fn is_stale(&self) -> bool {
         self.stream.is_stale()
     }
 
-    /// Returns what is needed to cancel what runs on it.
+    /// Returns the key for cancelling the running statement.
     pub(crate) fn cancel_key(&self) -> CancelKey {
         let (address, process, secret) = self.stream.cancel_key();
         CancelKey { address, process, secret }
     }
 
-    /// Runs a job. Unless an error is returned, the connection is in step with the endpoint.
+    /// Runs a job. After an error the connection must not be used again.
     pub(crate) async fn run<S: AnswerSink>(
         &mut self,
         job: &Job,
@@ -182,7 +178,7 @@
         Ok(reader.answer)
     }
 
-    /// Gives the connection the job's settings where it has others.
+    /// Replaces the connection's settings if the job has others. Returns whether it did.
     fn add_settings(&mut self, job: &Job) -> Result<bool, EndpointError> {
         let settings =
             || job.settings.iter().map(|setting| (setting.name.as_str(), setting.value.as_str()));
@@ -196,7 +192,7 @@
         Ok(true)
     }
 
-    /// Adds the job's messages, preparing the statements that this connection does not have.
+    /// Adds the job's messages, and a `Parse` for each statement that the connection lacks.
     fn add_steps(&mut self, job: &Job) -> Result<Vec<ExpectedAnswer>, EndpointError> {
         let mut expected = Vec::with_capacity(job.steps.len() + 1);
         let mut preparing: Vec<u64> = Vec::new();
@@ -205,12 +201,14 @@
             let shape = step.shape();
             extended |= !matches!(shape, StepShape::Query | StepShape::Canned);
             let statement = step.statement;
-            let has = statement == 0
+            let is_prepared = statement == 0
                 || self.prepared.get(&statement).is_some()
                 || preparing.contains(&statement);
             match shape {
                 StepShape::Canned => expected.push(ExpectedAnswer::Canned(step.message.clone())),
-                StepShape::Parse if has => expected.push(ExpectedAnswer::Canned(parse_complete())),
+                StepShape::Parse if is_prepared => {
+                    expected.push(ExpectedAnswer::Canned(parse_complete()))
+                }
                 StepShape::Parse => {
                     self.evict_prepared(&mut expected, preparing.len())?;
                     preparing.push(statement);
@@ -218,7 +216,7 @@
                     expected.push(ExpectedAnswer::Step { shape, statement });
                 }
                 _ => {
-                    if !has {
+                    if !is_prepared {
                         self.evict_prepared(&mut expected, preparing.len())?;
                         preparing.push(statement);
                         self.stream.add_bytes(&find_parse(job, statement)?);
@@ -235,7 +233,7 @@
         Ok(expected)
     }
 
-    /// Drops the statement used longest ago when the connection has as many as it may.
+    /// Closes the least recently used statement if the connection has reached its limit.
     fn evict_prepared(
         &mut self,
         expected: &mut Vec<ExpectedAnswer>,
@@ -289,9 +287,9 @@
         expected: Vec<ExpectedAnswer>,
         reader: &mut AnswerReader<'_, S>,
     ) -> Result<(), RunError> {
-        let mut sent_any = false;
+        let mut any_sent = false;
         for answer in expected {
-            sent_any |= !matches!(answer, ExpectedAnswer::Canned(_));
+            any_sent |= !matches!(answer, ExpectedAnswer::Canned(_));
             if reader.answer.error_code.is_some() {
                 continue;
             }
@@ -316,13 +314,13 @@
                 }
             }
         }
-        if sent_any {
+        if any_sent {
             self.read_until_ready(reader).await?;
         }
         Ok(())
     }
 
-    /// Passes messages on until the endpoint is ready for more.
+    /// Passes messages on until `ReadyForQuery`.
     async fn read_until_ready<S: AnswerSink>(
         &mut self,
         reader: &mut AnswerReader<'_, S>,
@@ -338,7 +336,7 @@
         }
     }
 
-    /// Passes messages on until the step's own answer is complete.
+    /// Passes messages on until the answer to a step is complete.
     async fn read_step<S: AnswerSink>(
         &mut self,
         shape: StepShape,
@@ -354,8 +352,8 @@
         }
     }
 
-    /// Reads an answer that the caller does not know of; `false` when it is an error, which the
-    /// caller gets to know of.
+    /// Reads the answer to a message that the daemon added. Returns `false` for an error, which is
+    /// passed on to the caller.
     async fn read_implicit<S: AnswerSink>(
         &mut self,
         reader: &mut AnswerReader<'_, S>,
@@ -375,7 +373,7 @@
     }
 }
 
-/// What cancels the statement that runs on a connection.
+/// The key for cancelling the statement that runs on a connection.
 #[derive(Clone, Debug)]
 pub(crate) struct CancelKey {
     address: std::net::SocketAddr,
@@ -384,7 +382,7 @@
 }
 
 impl CancelKey {
-    /// Sends the cancellation; that it came too late can't be known.
+    /// Sends the cancellation. It has no answer, so its effect is not known.
     pub(crate) async fn cancel(self) {
         if let Err(error) = EndpointStream::cancel(self.address, self.process, self.secret).await {
             log::debug!(error = error.to_string().as_str(); "a cancellation could not be sent");
@@ -417,7 +415,7 @@
             .map_err(|error| RunError::Lost(EndpointError::Protocol(error.to_string())))?;
         let tail = self.answer.tail.len();
         match self.hold_bytes {
-            // Rows show no commit, so they may go before it; an end of statement may not.
+            // Rows do not reveal a commit, so they may be passed on before it. Completions may not.
             Some(limit) if tail > limit && self.answer.completed => Err(RunError::TooLarge),
             Some(limit) if tail > limit => self.send().await,
             None if tail > CHUNK_BYTES => self.send().await,
@@ -465,7 +463,7 @@
     })
 }
 
-/// Reads the status out of a row with one column, which stands behind its length.
+/// Parses the status from a row with one column, which follows its length.
 pub(crate) fn read_status_row(row: &[u8]) -> Option<ServerStatus> {
     Dialect::read_status(row.get(size_of::<i32>()..)?)
 }
