--- a/crates/daemon/src/group_view.rs
+++ b/crates/daemon/src/group_view.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of a group's servers.
+//! What a daemon has observed of a group's servers.
 
 use std::{
     sync::Arc,
@@ -9,21 +9,20 @@
 use routing::PrimaryView;
 use session::{StalenessSamples, TermHistory};
 
-/// Samples of the primary's position that are kept for each group.
+/// Samples of the primary's position kept for each group.
 const MAX_SAMPLES: usize = 256;
 
-/// What is known of one server.
+/// The last observation of one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedServer {
-    /// Its last status.
     pub(crate) status: Option<Arc<ServerStatus>>,
-    /// When that was asked for.
+    /// When the status was requested.
     pub(crate) asked_at: Option<Instant>,
-    /// Since when it has not answered; `None` while it answers.
+    /// Since when the server has not answered, or `None` while it answers.
     pub(crate) silent_since: Option<Instant>,
 }
 
-/// What is known of a group.
+/// The observed state of a group.
 #[derive(Debug)]
 pub(crate) struct GroupView {
     pub(crate) servers: Vec<ObservedServer>,
@@ -49,57 +48,58 @@
         }
     }
 
-    /// Notes a status. Returns whether the group's primary or term changed with it.
+    /// Records a status. Returns whether the primary or the term changed.
     pub(crate) fn record_status(
         &mut self,
         server: ServerId,
         status: Arc<ServerStatus>,
         asked_at: Instant,
     ) -> bool {
-        let known = &mut self.servers[server.index()];
-        if known.asked_at.is_some_and(|known_at| known_at > asked_at) {
+        let observed = &mut self.servers[server.index()];
+        if observed.asked_at.is_some_and(|known_at| known_at > asked_at) {
             return false;
         }
         self.history.replace_if_newer(&TermHistory::new(status.term_starts.clone()));
-        known.status = Some(status);
-        known.asked_at = Some(asked_at);
-        known.silent_since = None;
+        observed.status = Some(status);
+        observed.asked_at = Some(asked_at);
+        observed.silent_since = None;
         self.update_primary()
     }
 
-    /// Whether a status tells nothing that is not known, so that it need not be noted.
+    /// Whether a status adds nothing to what is known.
     pub(crate) fn is_already_known(&self, server: ServerId, status: &ServerStatus) -> bool {
-        let known = &self.servers[server.index()];
-        known.silent_since.is_none()
-            && known.status.as_ref().is_some_and(|known| {
-                known.promised_term == status.promised_term
-                    && known.log_term == status.log_term
-                    && known.applied_position >= status.applied_position
-                    && known.held_position >= status.held_position
-                    && known.role == status.role
+        let observed = &self.servers[server.index()];
+        observed.silent_since.is_none()
+            && observed.status.as_ref().is_some_and(|last| {
+                last.promised_term == status.promised_term
+                    && last.log_term == status.log_term
+                    && last.applied_position >= status.applied_position
+                    && last.held_position >= status.held_position
+                    && last.role == status.role
             })
     }
 
-    /// Notes that a server did not answer.
+    /// Records that a server did not answer.
     pub(crate) fn record_silence(&mut self, server: ServerId, now: Instant) {
-        let known = &mut self.servers[server.index()];
-        if known.silent_since.is_none() {
-            known.silent_since = Some(known.asked_at.unwrap_or(self.watched_since).min(now));
+        let observed = &mut self.servers[server.index()];
+        if observed.silent_since.is_none() {
+            observed.silent_since = Some(observed.asked_at.unwrap_or(self.watched_since).min(now));
         }
     }
 
-    /// Finds the server that leads in the newest term.
+    /// Sets the primary to the server that leads in the newest term. Returns whether the primary or
+    /// the term changed.
     ///
-    /// A claim to lead counts for nothing once a majority is sealed above its term: no write there
-    /// could be acknowledged, so none is sent.
+    /// A leader is ignored once a majority is sealed above its term, since no write could be
+    /// acknowledged there.
     fn update_primary(&mut self) -> bool {
         let before = (self.primary, self.term);
         let leading = self
             .servers
             .iter()
             .enumerate()
-            .filter_map(|(index, known)| {
-                let status = known.status.as_ref().filter(|status| status.leads())?;
+            .filter_map(|(index, observed)| {
+                let status = observed.status.as_ref().filter(|status| status.leads())?;
                 Some((status.log_term, index))
             })
             .max();
@@ -118,15 +118,15 @@
     }
 
     pub(crate) fn statuses(&self) -> impl Iterator<Item = (ServerId, &Arc<ServerStatus>)> {
-        self.servers.iter().enumerate().filter_map(|(index, known)| {
-            Some((ServerId::from_index(index), known.status.as_ref()?))
+        self.servers.iter().enumerate().filter_map(|(index, observed)| {
+            Some((ServerId::from_index(index), observed.status.as_ref()?))
         })
     }
 
-    /// Whether a server answered when it was last asked.
+    /// Whether a server answered the last query.
     pub(crate) fn is_responding(&self, server: ServerId) -> bool {
-        let known = &self.servers[server.index()];
-        known.silent_since.is_none() && known.status.is_some()
+        let observed = &self.servers[server.index()];
+        observed.silent_since.is_none() && observed.status.is_some()
     }
 
     pub(crate) fn applied(&self, server: ServerId) -> LogPoint {
@@ -134,7 +134,8 @@
         status.map(|status| status.applied()).unwrap_or_default()
     }
 
-    /// Returns what the admission of a write needs; `usable` is for the primary.
+    /// Returns the input for the admission of a write. `usable` says whether the primary may get
+    /// work.
     pub(crate) fn primary_view(&self, usable: bool, now: Instant) -> PrimaryView {
         let held = self.held_until.is_some_and(|until| until > now);
         let in_term = |status: &ServerStatus| status.promised_term == self.term;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// How long a server has not answered.
+    /// Returns for how long a server has not answered.
     pub(crate) fn silent_for(&self, server: ServerId, now: Instant) -> Option<Duration> {
         let since = self.servers[server.index()].silent_since?;
         Some(now.saturating_duration_since(since))
