--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,17 +1,17 @@
-//! Connections to other daemons, made when they are first needed.
+//! Connections to other daemons, opened on first use.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use parking_lot::Mutex;
 use peer::{PeerClient, PeerDisconnected};
 
-/// A connection, or the place for one; held while it is being made, so that it is made once.
-type Slot = Arc<tokio::sync::Mutex<Option<Arc<PeerClient>>>>;
+/// A connection, if one was opened. The lock is held while it is opened, so that it is opened once.
+type ConnectionSlot = Arc<tokio::sync::Mutex<Option<Arc<PeerClient>>>>;
 
-/// The connections, by address.
+/// Connections by address.
 pub(crate) struct Peers {
     timeout: Duration,
-    connections: Mutex<HashMap<SocketAddr, Slot>>,
+    connections: Mutex<HashMap<SocketAddr, ConnectionSlot>>,
 }
 
 impl Peers {
@@ -19,7 +19,7 @@
         Peers { timeout, connections: Mutex::default() }
     }
 
-    /// Returns the connection to a daemon, making it if there is none that stands.
+    /// Returns the connection to a daemon, opening one if none is alive.
     pub(crate) async fn get(
         &self,
         address: SocketAddr,
