--- a/crates/daemon/src/planned_switch.rs
+++ b/crates/daemon/src/planned_switch.rs
@@ -1,4 +1,4 @@
-//! A planned switch: the primary is replaced without an error for anybody.
+//! A planned switch: replaces the primary without errors for callers.
 
 use std::{
     sync::Arc,
@@ -19,13 +19,13 @@
     peers::Peers,
 };
 
-/// How often running work and the target's position are looked at during a hold.
+/// How often running work and the target's position are checked during a hold.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Replaces a leaving primary: holds new transactions back at every owner, lets running ones finish,
-/// waits for the target to hold everything, then promotes it.
+/// Replaces a leaving primary: holds back new transactions at every owner, lets running ones
+/// finish, waits until the target has caught up, then promotes it.
 ///
-/// When running work does not finish in time, the hold ends and the switch is tried again later.
+/// If running work does not finish in time, the hold ends and the switch is tried again later.
 pub(crate) async fn switch_primary<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
@@ -51,13 +51,13 @@
     );
 }
 
-/// One owner switches, so that holds do not cross.
+/// Only the first owner switches, so that holds of several owners do not interfere.
 fn is_first_owner(context: &Context, group: &GroupState) -> bool {
     let owners = context.owners_of(&group.in_force.load().group);
     owners.first().is_none_or(|owner| owner.key == context.key)
 }
 
-/// Chooses the server that is furthest along among those that stay.
+/// Selects the most advanced server among those that stay.
 fn choose_target(context: &Context, group: &GroupState) -> Option<ServerId> {
     let in_force = group.in_force.load();
     let view = group.view.read();
@@ -81,9 +81,10 @@
     until: Instant,
 ) -> bool {
     while Instant::now() < until {
-        let left = u64::try_from((until - Instant::now()).as_millis()).unwrap_or(u64::MAX);
-        // The hold outlasts the drain by the time that the promotion itself may take.
-        let running = hold_at_all_owners(context, peers, group, left + PROMOTION_HOLD_MS).await;
+        let remaining_ms = u64::try_from((until - Instant::now()).as_millis()).unwrap_or(u64::MAX);
+        // The hold must last until the promotion that follows the drain has ended.
+        let running =
+            hold_at_all_owners(context, peers, group, remaining_ms + PROMOTION_HOLD_MS).await;
         if running == Some(0) && has_caught_up(group, target).await {
             return true;
         }
@@ -92,10 +93,11 @@
     false
 }
 
-/// The time that a promotion under a hold may take.
+/// Time allowed for a promotion under a hold.
 const PROMOTION_HOLD_MS: u64 = 2_000;
 
-/// Sets or ends the hold at every owner, returning what still runs; `None` if an owner is silent.
+/// Sets or ends the hold at every owner. Returns how much work still runs, or `None` if an owner
+/// does not answer.
 async fn hold_at_all_owners(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
@@ -122,7 +124,7 @@
     others.into_iter().try_fold(own.running, |running, other| Some(running + other?))
 }
 
-/// Whether the target holds everything that the primary has.
+/// Whether the target has reached the primary's position.
 async fn has_caught_up(group: &GroupState, target: ServerId) -> bool {
     let Some(primary) = group.view.read().primary else { return false };
     let position = async |server: ServerId| -> Option<Position> {
