--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections of this daemon to one server.
+//! A pool of connections to one server.
 
 use std::{
     collections::HashMap,
@@ -16,26 +16,25 @@
 
 use crate::endpoint_connection::EndpointConnection;
 
-/// PostgreSQL's code for a server that grants no more connections.
+/// SQLSTATE of a server that accepts no more connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// How long a request waits after its server granted no connection.
+/// Retry delay after a server accepted no more connections.
 const TOO_MANY_CONNECTIONS_RETRY: Duration = Duration::from_millis(5);
 
-/// How long a connection may take to be made.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a waiting request is told.
+/// What a waiting request receives.
 enum Grant {
-    /// Here is a connection.
     Connection(Box<EndpointConnection>),
-    /// It may open one of its own.
+    /// Permission to open a connection.
     Open,
-    /// Its place was given to a more urgent request, or its deadline has passed.
+    /// The request was displaced by a more urgent one, or its deadline has passed.
     Refused(Refusal),
 }
 
-/// What a request gets at once.
+/// The immediate result of a request for a connection.
 enum Acquisition {
     Connection(Box<EndpointConnection>),
     Open,
@@ -44,9 +43,9 @@
 
 struct PoolState {
     idle: Vec<EndpointConnection>,
-    /// Connections in use, idle or being made.
+    /// Connections in use, idle or being opened.
     open: u32,
-    /// The most that may be open.
+    /// The maximum of `open`.
     share: u32,
     queue: AdmissionQueue,
     waiting: HashMap<Ticket, flume::Sender<Grant>>,
@@ -87,12 +86,12 @@
         })
     }
 
-    /// Returns the average answering time.
+    /// Returns the average response time.
     pub(crate) fn latency(&self) -> &LatencyAverage {
         &self.latency
     }
 
-    /// Returns how many requests it works on or has waiting.
+    /// Returns the number of running and waiting requests.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_use.load(Ordering::Relaxed) + self.waiting.load(Ordering::Relaxed)
     }
@@ -102,38 +101,38 @@
         self.in_flight()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Returns how many connections are open and how many may be.
+    /// Returns the number of open connections and its maximum.
     pub(crate) fn open_and_share(&self) -> (u32, u32) {
         let state = self.state.lock();
         (state.open, state.share)
     }
 
-    /// Changes how many connections may be open; idle ones beyond that are closed.
+    /// Sets the maximum of open connections. Idle ones beyond it are closed.
     pub(crate) fn set_share(&self, share: u32) {
         let mut state = self.state.lock();
-        let grew = share > state.share;
+        let share_grew = share > state.share;
         state.share = share;
         while state.open > state.share && state.idle.pop().is_some() {
             state.open -= 1;
         }
-        if grew {
+        if share_grew {
             while state.open < state.share && self.grant_open(&mut state) {}
         }
     }
 
-    /// Changes the limits that operators set.
+    /// Sets the limits from the configuration.
     pub(crate) fn set_limits(&self, queue_length: u32, prepared_statements: u32) {
         let mut state = self.state.lock();
         state.queue.set_capacity(queue_length as usize);
         state.prepared_statements = prepared_statements;
     }
 
-    /// Closes connections that have been idle for long, down to `keep` open ones.
+    /// Closes connections that have been idle for `idle_for`, as long as more than `keep` are open.
     pub(crate) fn close_idle(&self, idle_for: Duration, keep: u32) {
         let mut state = self.state.lock();
         let now = Instant::now();
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Takes no more work; idle connections are closed, running work is finished.
+    /// Accepts no more work and closes idle connections. Running work is finished.
     pub(crate) fn close(&self) {
         let mut state = self.state.lock();
         state.closed = true;
@@ -205,14 +204,14 @@
         queued.wait().await
     }
 
-    /// Takes the server at its word that it has no more connections than those that are open; the
-    /// next division among the owners may give more.
+    /// Lowers the share to the open connections, since the server accepts no more. The next
+    /// division among the owners may raise it again.
     fn limit_share_to_open(&self) {
         let mut state = self.state.lock();
         state.share = state.share.min(state.open.max(1));
     }
 
-    /// Takes an idle connection, the right to open one, or a place in the queue.
+    /// Takes an idle connection, permission to open one, or a place in the queue.
     fn try_acquire(&self, request: Request) -> Result<Acquisition, Refusal> {
         let mut state = self.state.lock();
         if state.closed {
@@ -243,7 +242,7 @@
                         RefusalReason::Overloaded,
                         "the queue is full of more urgent requests",
                     );
-                    let _ = waiter.send(Grant::Refused(refusal.retry_after(DISPLACED_RETRY_MS)));
+                    let _ = waiter.send(Grant::Refused(refusal.retry_after(QUEUE_RETRY_MS)));
                 }
                 ticket
             }
@@ -260,10 +259,10 @@
         Ok((ticket, answer))
     }
 
-    /// Opens a connection whose place was counted already.
+    /// Opens a connection that is already counted.
     async fn open(self: &Arc<ServerPool>) -> Result<PooledConnection, EndpointError> {
         let prepared = self.state.lock().prepared_statements;
-        // The count is given back if the request is dropped while it connects.
+        // Dropping the slot corrects the count if the request is dropped while it connects.
         let slot = OpeningSlot { pool: self, counted: true };
         let connection = EndpointConnection::open(&self.target, CONNECT_TIMEOUT, prepared).await?;
         slot.keep();
@@ -291,7 +290,7 @@
         while let Some(waiter) = next_waiter(&mut state) {
             match waiter.send(grant) {
                 Ok(()) => return,
-                Err(flume::SendError(back)) => grant = back,
+                Err(flume::SendError(returned)) => grant = returned,
             }
         }
         if let Grant::Connection(connection) = grant {
@@ -299,7 +298,7 @@
         }
     }
 
-    /// Gives up a place for a connection, letting the next waiting request open one.
+    /// Releases the slot of a connection, and lets the next waiting request open one.
     fn release_slot(&self) {
         let mut state = self.state.lock();
         state.open -= 1;
@@ -319,8 +318,8 @@
     }
 }
 
-/// When a request that was displaced may try again.
-const DISPLACED_RETRY_MS: u64 = 100;
+/// Retry delay for a request that was displaced or got no connection in time.
+const QUEUE_RETRY_MS: u64 = 100;
 
 fn take_idle(state: &mut PoolState) -> Option<EndpointConnection> {
     while let Some(connection) = state.idle.pop() {
@@ -332,7 +331,7 @@
     None
 }
 
-/// Takes the next waiting request, refusing those whose deadlines have passed.
+/// Takes the next waiting request, and refuses those whose deadlines have passed.
 fn next_waiter(state: &mut PoolState) -> Option<flume::Sender<Grant>> {
     loop {
         match state.queue.next(Instant::now()) {
@@ -356,10 +355,10 @@
         RefusalReason::DeadlinePassed,
         "no connection to the group became free in time",
     )
-    .retry_after(DISPLACED_RETRY_MS)
+    .retry_after(QUEUE_RETRY_MS)
 }
 
-/// A request's place in the queue; dropping it leaves the queue and returns what came too late.
+/// A waiting request. Dropping it leaves the queue and releases a connection granted too late.
 struct QueuedRequest<'a> {
     pool: &'a Arc<ServerPool>,
     request: Request,
@@ -400,7 +399,7 @@
     }
 }
 
-/// A counted place for a connection that is being made.
+/// The counted slot of a connection that is being opened.
 struct OpeningSlot<'a> {
     pool: &'a Arc<ServerPool>,
     counted: bool,
@@ -420,7 +419,8 @@
     }
 }
 
-/// A connection lent to a request. Unless it is given back, it is closed: it may owe an answer.
+/// A connection checked out by a request. Unless it is released it is closed, since answers may be
+/// pending.
 pub(crate) struct PooledConnection {
     pool: Arc<ServerPool>,
     connection: Option<EndpointConnection>,
@@ -431,12 +431,12 @@
     /// Returns the connection.
     ///
     /// # Panics
-    /// Never: the connection is only taken out when the loan ends.
+    /// Never: the connection is only taken out on release.
     pub(crate) fn get(&mut self) -> &mut EndpointConnection {
-        self.connection.as_mut().expect("the loan has not ended")
+        self.connection.as_mut().expect("the connection is checked out")
     }
 
-    /// Gives the connection back for others to use. It must be idle and in step.
+    /// Returns the connection to the pool. It must be idle, without pending answers.
     pub(crate) fn release(mut self) {
         if let Some(connection) = self.connection.take() {
             self.pool.in_use.fetch_sub(1, Ordering::Relaxed);
