--- a/crates/daemon/src/apply.rs
+++ b/crates/daemon/src/apply.rs
@@ -1,4 +1,4 @@
-//! Puts a configuration into the store: whole or not at all.
+//! Applies configurations to the store. A compare-and-swap of the head makes a change atomic.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -8,20 +8,20 @@
 /// Why a configuration was not applied.
 #[derive(Debug)]
 pub enum ApplyError {
-    /// It has mistakes.
+    /// The configuration is invalid.
     Invalid(Problems),
-    /// Another configuration was applied since the base.
+    /// Another configuration was applied after the base revision.
     Conflict {
-        /// The revision in force now.
+        /// The revision now in force.
         revision: u64,
-        /// The sections that differ between the base and what is in force now.
+        /// The sections that differ between the submitted text and the configuration in force.
         changed: Vec<String>,
     },
-    /// The store can't be reached; nothing was applied.
+    /// The store can't be reached. Nothing was applied.
     Store(StoreError),
-    /// The store's answers were lost; whether it was applied can't be told.
+    /// The store's answers were lost, so it is unknown whether the configuration was applied.
     OutcomeUnknown {
-        /// Made up for this attempt; the head names it if it was applied.
+        /// The id of this attempt. The head carries it if the configuration was applied.
         change_id: String,
     },
 }
@@ -55,22 +55,20 @@
     }
 }
 
-/// How often a lost answer is looked up before the outcome is called unclear.
+/// How often the head is read to find out whether a write with a lost answer took effect.
 const MAX_OUTCOME_READS: usize = 5;
 
-/// Returns the key of the head.
 pub(crate) fn head_key(prefix: &str) -> String {
     format!("{prefix}/head")
 }
 
-/// Returns the key of a chunk.
 pub(crate) fn chunk_key(prefix: &str, hash: &ChunkHash) -> String {
     format!("{prefix}/chunks/{hash}")
 }
 
-/// Applies a configuration on top of the revision `base`, or of the present one if `None`.
+/// Applies a configuration on top of the revision `base`, or of the current revision if `None`.
 ///
-/// Returns the revision under which it is accepted. `change_id` must be new for each attempt.
+/// Returns the new revision. `change_id` must be unique for each attempt.
 pub fn apply_configuration<P: KeyValueStore>(
     store: &P,
     prefix: &str,
@@ -113,7 +111,7 @@
     Ok(head.revision)
 }
 
-/// Finds out by reading whether a change whose answer was lost took effect.
+/// Reads the head to find out whether a write with a lost answer took effect.
 fn resolve_outcome<P: KeyValueStore>(
     store: &P,
     prefix: &str,
@@ -126,7 +124,7 @@
             return Ok(());
         }
         if found.revision < head.revision {
-            // The lost write did not take effect, and it can't any more once this one read.
+            // The head has the old revision, so the lost write had no effect and can't have one later.
             return Err(ApplyError::Store(StoreError::Unreachable(
                 "the store did not take the change".to_owned(),
             )));
@@ -147,7 +145,8 @@
     Ok((entry.version, head))
 }
 
-/// Writes a chunk. It is named by its content, so a conflict or a lost answer is settled by a look.
+/// Writes a chunk. Its key is the hash of its content, so a conflict means that the chunk is stored
+/// already, and a read settles a lost answer.
 fn write_chunk<P: KeyValueStore>(store: &P, key: &str, text: &str) -> Result<(), StoreError> {
     match store.compare_and_swap(key, 0, text.as_bytes()) {
         Ok(_) => Ok(()),
@@ -159,12 +158,12 @@
     }
 }
 
-/// Removes chunks that neither the new head nor the one before names.
+/// Removes the chunks that neither the new head nor the previous one references.
 fn remove_unused<P: KeyValueStore>(store: &P, prefix: &str, before: &Head, head: &Head) {
     let needed: BTreeSet<&ChunkHash> =
         head.chunks.iter().chain(&head.superseded).chain(&before.chunks).collect();
     for hash in before.superseded.iter().filter(|hash| !needed.contains(hash)) {
-        // What is left over costs room only, and the change itself is in force.
+        // A chunk that is left over only takes up space. The change itself is in force.
         let _ = store.delete(&chunk_key(prefix, hash));
     }
 }
