--- a/crates/daemon/src/cancel.rs
+++ b/crates/daemon/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Which statement a caller's cancellation is for.
+//! Finds the statement that a caller's cancellation is for.
 
 use std::{
     collections::HashMap,
@@ -9,25 +9,25 @@
 
 use crate::executor::RunningStatement;
 
-/// What is needed to cancel for a caller.
+/// What is needed to cancel a caller's statement.
 #[derive(Clone)]
 pub(crate) struct CancelTarget {
     secret: i32,
     pub(crate) session_id: u64,
-    /// What runs on this daemon.
+    /// The statement that runs in this daemon.
     pub(crate) running: Weak<RunningStatement>,
     /// The daemon that the session's statements are relayed to.
     pub(crate) relayed_to: Arc<Mutex<Option<u64>>>,
 }
 
-/// The callers of this daemon by the process numbers given to them.
+/// The callers of this daemon by process number.
 #[derive(Default)]
 pub(crate) struct CancelRegistry {
     targets: Mutex<HashMap<i32, CancelTarget>>,
 }
 
 impl CancelRegistry {
-    /// Registers a caller, returning the process number and the secret that it is to be told.
+    /// Registers a caller. Returns the process number and the secret to send to it.
     pub(crate) fn register(
         &self,
         session_id: u64,
@@ -52,12 +52,11 @@
         }
     }
 
-    /// Forgets a caller.
     pub(crate) fn remove(&self, process: i32) {
         self.targets.lock().remove(&process);
     }
 
-    /// Finds the caller that a cancellation is for, if the secret is right.
+    /// Finds the caller that a cancellation is for. Returns `None` if the secret is wrong.
     pub(crate) fn find(&self, process: i32, secret: i32) -> Option<CancelTarget> {
         let targets = self.targets.lock();
         targets.get(&process).filter(|target| target.secret == secret).cloned()
