--- a/crates/daemon/src/configuration_store.rs
+++ b/crates/daemon/src/configuration_store.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration as chunks, kept to be passed on to other daemons.
+//! The accepted configuration as chunks, which other daemons can request.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,12 +11,10 @@
     chunks: HashMap<ChunkHash, Arc<ParsedChunk>>,
 }
 
-/// A chunk with what it says, so that it is read once and not with every change of another.
+/// A chunk with its parsed content, so that a change of another chunk does not parse it again.
 #[derive(Debug)]
 pub(crate) struct ParsedChunk {
-    /// Its text.
     pub(crate) text: String,
-    /// What it says.
     pub(crate) part: ConfigurationPart,
 }
 
@@ -27,17 +25,17 @@
 }
 
 impl ConfigurationStore {
-    /// Returns the head in force; revision 0 before there is any.
+    /// Returns the head in force. Its revision is 0 before a configuration is accepted.
     pub(crate) fn head(&self) -> Head {
         self.contents.read().head.clone()
     }
 
-    /// Finds a chunk of the head in force.
+    /// Returns a chunk of the head in force.
     pub(crate) fn chunk(&self, hash: &ChunkHash) -> Option<Arc<ParsedChunk>> {
         self.contents.read().chunks.get(hash).cloned()
     }
 
-    /// Takes over a newer head; chunks that it does not name are forgotten.
+    /// Replaces the head with a newer one, and drops the chunks that it does not reference.
     pub(crate) fn replace(&self, head: Head, mut chunks: HashMap<ChunkHash, Arc<ParsedChunk>>) {
         let mut contents = self.contents.write();
         if head.revision <= contents.head.revision {
