--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a daemon shares.
+//! The state shared by all parts of a daemon.
 
 use std::{
     collections::HashMap,
@@ -34,7 +34,6 @@
     pub(crate) configuration: Arc<Configuration>,
 }
 
-/// The shared state of a daemon.
 pub(crate) struct Context {
     pub(crate) settings: HostSettings,
     pub(crate) key: u64,
@@ -44,13 +43,13 @@
     pub(crate) classifier: Classifier,
     pub(crate) in_force: ArcSwap<ConfigurationInForce>,
     pub(crate) configuration_store: ConfigurationStore,
-    /// Replaced as a whole, so that no reader holds anything up.
+    /// Replaced as a whole, so that readers never block.
     pub(crate) members: ArcSwap<MemberList>,
-    /// Endpoints that the platform's list names as leaving.
+    /// Endpoints that the platform's host list marks as leaving.
     pub(crate) listed_leaving: RwLock<Vec<SocketAddr>>,
     pub(crate) leaving: RwLock<LeavingEndpoints>,
     pub(crate) groups: RwLock<HashMap<GroupId, Arc<GroupState>>>,
-    /// What other owners want of shared connections: by group, by owner's key.
+    /// Connections that other owners want, by group and by the key of the owner.
     pub(crate) demands: Mutex<HashMap<GroupId, HashMap<u64, ReportedDemand>>>,
     pub(crate) relay_peers: Peers,
     pub(crate) cancels: CancelRegistry,
@@ -60,44 +59,44 @@
     pub(crate) next_session: AtomicU64,
     pub(crate) watch_runtime: Handle,
     pub(crate) started_at: Instant,
-    /// Where news from other daemons goes.
+    /// The queue of updates for the configuration task.
     pub(crate) updates: flume::Sender<PeerUpdate>,
     owner_cache: Mutex<OwnerCache>,
 }
 
-/// Something that another daemon knows and this one does not.
+/// An update for the configuration task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerUpdate {
-    /// A newer configuration.
+    /// The daemon at this address has a newer configuration.
     Configuration(SocketAddr),
-    /// A newer host list.
+    /// The daemon at this address has a newer host list.
     HostList(SocketAddr),
-    /// This daemon has put a newer configuration in force, which others may not know of.
+    /// A newer configuration is in force here and has to be announced.
     Installed,
 }
 
-/// The demand of another owner, with the time at which it was told.
+/// The demand of another owner, and when it was reported.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedDemand {
     pub(crate) wanted: Vec<u32>,
     pub(crate) reported_at: Instant,
 }
 
-/// Owner sets worked out for the present members.
+/// Owner sets computed for the current members.
 #[derive(Default)]
 struct OwnerCache {
     members: Arc<Vec<Member>>,
     computed_at: Option<Instant>,
     list_version: u64,
     sets: HashMap<GroupId, Arc<Vec<Member>>>,
-    /// How often the members have changed.
+    /// How often the usable members have changed.
     changes: u64,
 }
 
-/// Suspicions come and go without a new list, so the members are looked at again this often.
+/// How long owner sets are cached. Suspicions change the usable members without a new host list.
 const OWNER_CACHE_TTL: Duration = Duration::from_millis(250);
 
-/// The pieces from which a context is made.
+/// The parts from which a context is built.
 pub(crate) struct ContextParts {
     pub(crate) settings: HostSettings,
     pub(crate) endpoint_password: Option<String>,
@@ -128,7 +127,7 @@
             stopping: watch::Sender::new(false),
             store_reachable: AtomicBool::new(false),
             callers: AtomicU32::new(0),
-            // Sessions of a daemon that restarts under its name must differ from its earlier ones.
+            // Random, so that a restarted daemon does not reuse its earlier session ids.
             next_session: AtomicU64::new(rand::random::<u64>() | 1),
             watch_runtime: parts.watch_runtime,
             started_at: Instant::now(),
@@ -143,7 +142,7 @@
         *self.stopping.borrow()
     }
 
-    /// Names a new session.
+    /// Returns the id of a new session.
     pub(crate) fn new_session(&self) -> u64 {
         self.next_session.fetch_add(1, Ordering::Relaxed)
     }
@@ -157,7 +156,7 @@
         self.work_allowed(address, configuration) == WorkAllowed::All
     }
 
-    /// Says what an endpoint may be used for.
+    /// Returns what an endpoint may be used for.
     pub(crate) fn work_allowed(
         &self,
         address: &SocketAddr,
@@ -172,14 +171,14 @@
         )
     }
 
-    /// Returns the daemons that may get work, this one among them unless it is leaving.
+    /// Returns the daemons that may get work, without this one while it stops.
     pub(crate) fn usable_members(&self) -> Arc<Vec<Member>> {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
         cache.members.clone()
     }
 
-    /// Returns a group's owners, best first.
+    /// Returns a group's owners in order of preference.
     pub(crate) fn owners_of(&self, group: &Group) -> Arc<Vec<Member>> {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
@@ -195,7 +194,7 @@
         set
     }
 
-    /// Leaves out the daemons of other regions, where the service names its own.
+    /// Leaves out the daemons of other regions if the service is bound to a region.
     fn members_for(&self, group: &Group, members: &Arc<Vec<Member>>) -> Arc<Vec<Member>> {
         let in_force = self.in_force.load();
         let service = in_force.configuration.services.get(&group.id.service);
@@ -227,19 +226,19 @@
         }
     }
 
-    /// Returns a number that changes whenever this daemon may own other groups than before.
+    /// Returns a version that changes whenever this daemon may own other groups than before.
     pub(crate) fn ownership_version(&self) -> (u64, u64) {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
         (self.in_force.load().revision, cache.changes)
     }
 
-    /// Makes the next look at the members a fresh one, as when this daemon stops.
+    /// Makes the next use compute the members again.
     pub(crate) fn invalidate_members(&self) {
         self.owner_cache.lock().computed_at = None;
     }
 
-    /// Forgets the owners of groups that a configuration has changed.
+    /// Drops the cached owners of groups that a new configuration changes.
     fn invalidate_changed_owners(&self, before: &Configuration, after: &Configuration) {
         let same = |id: &GroupId| {
             let group = before.groups.get(id).zip(after.groups.get(id));
@@ -250,13 +249,13 @@
         self.owner_cache.lock().sets.retain(|id, _| same(id));
     }
 
-    /// Whether this daemon owns a group; a daemon that knows no others owns every group.
+    /// Whether this daemon owns a group. While no members are known, it owns every group.
     pub(crate) fn owns(&self, group: &Group) -> bool {
         let owners = self.owners_of(group);
         owners.is_empty() || owners.iter().any(|owner| owner.key == self.key)
     }
 
-    /// Returns the state of a group, making it if it is configured and not there yet.
+    /// Returns the state of a configured group, creating it if needed.
     pub(crate) fn group(&self, id: &GroupId) -> Option<Arc<GroupState>> {
         if let Some(group) = self.groups.read().get(id) {
             return Some(group.clone());
@@ -274,12 +273,12 @@
         Some(group)
     }
 
-    /// Lists the groups that are held now.
+    /// Returns the groups whose state this daemon holds.
     pub(crate) fn held_groups(&self) -> Vec<Arc<GroupState>> {
         self.groups.read().values().cloned().collect()
     }
 
-    /// Puts a newer configuration in force; an older or equal one changes nothing.
+    /// Puts a newer configuration in force. Returns `false` for an older or equal revision.
     pub(crate) fn install(&self, revision: u64, configuration: Configuration) -> bool {
         let mut groups = self.groups.write();
         if revision <= self.in_force.load().revision {
@@ -301,7 +300,7 @@
                 group.in_force.store(Arc::new(options));
                 true
             }
-            // A group whose servers changed is made anew; work that runs in the old one ends there.
+            // A group whose servers changed gets a new state. Running work ends in the old one.
             _ => {
                 group.close();
                 false
@@ -338,7 +337,7 @@
         }
     }
 
-    /// Changes what is noted of the members. The change may be tried again, so it must only change.
+    /// Changes the member list. `change` may run more than once, so it must have no side effects.
     pub(crate) fn change_members(&self, change: impl Fn(&mut MemberList)) {
         self.members.rcu(|members| {
             let mut changed = MemberList::clone(members);
@@ -347,17 +346,16 @@
         });
     }
 
-    /// Returns the name of this daemon's host.
     pub(crate) fn host(&self) -> &Name {
         &self.settings.daemon.host
     }
 }
 
-/// Connections that an owner is taken to want beyond those that it can use at the moment. All owners
-/// count alike, so that their shares add up to no more than there is.
+/// Connections added to the demand of every owner. All owners get the same amount, so that their
+/// shares together stay within the limit.
 const DEMAND_HEADROOM: u32 = 4;
 
-/// A demand that was told longer ago is taken for none.
+/// How long a reported demand is used.
 const DEMAND_TTL: Duration = Duration::from_secs(5);
 
 fn wanted_by_owner(reported: Option<&ReportedDemand>, server: usize) -> u32 {
