--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -1,4 +1,4 @@
-//! Answers to what other daemons ask beside jobs.
+//! Answers to requests from other daemons, except jobs.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
     group_state::GroupState,
 };
 
-/// Answers a request; `None` for messages that have no answer.
+/// Answers a request. Returns `None` for messages without an answer.
 pub(crate) async fn answer_control(context: &Context, body: Body) -> Option<Body> {
     match body {
         Body::Gossip(note) => Some(Body::Gossip(exchange_notes(context, &note))),
@@ -76,7 +76,7 @@
     let Some(group) = group else { return ViewAnswer { reachable: false, term: 0 } };
     let in_force = group.in_force.load();
     let rules = &in_force.configuration.failover;
-    // An answer from before the primary fell silent says nothing of it now.
+    // An older answer may be from before the primary failed.
     let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
     let view = group.view.read();
     let reachable = view.primary.is_some_and(|primary| {
@@ -86,7 +86,7 @@
     ViewAnswer { reachable, term: view.term.0 }
 }
 
-/// Asks a group's servers at once, since another owner says that one of them leads a new term.
+/// Queries a group's servers at once when another owner announces a new term.
 async fn refresh_for_term(context: &Context, notice: &TermNotice) {
     let id = GroupId::new(notice.service.as_str(), notice.group.as_str());
     let group = context.groups.read().get(&id).cloned();
@@ -97,10 +97,10 @@
     query_all_servers(&group).await;
 }
 
-/// Holds new transactions of a group back, or lets them go on.
+/// Holds back new transactions of a group, or releases them.
 ///
-/// Before they go on, the servers are asked: a transaction that began at the old primary, because
-/// the news had not come yet, would fail.
+/// The servers are queried before a release: a transaction would fail if it started at the old
+/// primary.
 pub(crate) async fn set_hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
     let id = GroupId::new(request.service.as_str(), request.group.as_str());
     let group = context.groups.read().get(&id).cloned();
@@ -123,7 +123,7 @@
     futures::future::join_all(queries).await;
 }
 
-/// Notes what another owner wants of the groups that it shares with this daemon.
+/// Records the demands of another owner for the groups that it shares with this daemon.
 pub(crate) fn record_demands(context: &Context, owner: u64, note: &GossipNote) {
     let mut demands = context.demands.lock();
     for demand in &note.demands {
