--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -1,28 +1,28 @@
-//! How daemons ask a server for its standing and change it.
+//! Statements for querying a server's status and changing its role.
 //!
-//! The trait is the seam for database systems whose groups have terms and positions; the statements
-//! of [`StatusFunctions`] are documented in `docs/ENDPOINTS.md`.
+//! The trait is the extension point for database systems whose groups have terms and positions. The
+//! statements of [`StatusFunctions`] are documented in `docs/ENDPOINTS.md`.
 
 use std::net::SocketAddr;
 
 use model::{ServerStatus, Term};
 
-/// The statements by which a server is asked and told.
+/// The statements that a daemon runs on a server's control link.
 pub trait ServerDialect: Send + Sync + 'static {
-    /// Asks for the server's status.
+    /// Queries the server's status.
     const STATUS: &'static str;
 
-    /// Seals the server: it refuses lower terms from then on.
+    /// Seals the server, which refuses lower terms from then on.
     fn seal(term: Term) -> String;
-    /// Opens the server as primary of a term that it was sealed at.
+    /// Promotes the server to primary of a term that it was sealed at.
     fn promote(term: Term) -> String;
     /// Makes the server follow the primary of a term.
     fn follow(term: Term, primary: SocketAddr) -> String;
-    /// Reads the status out of the single column of the answer's single row.
+    /// Parses the status from the single column of the answer's single row.
     fn read_status(column: &[u8]) -> Option<ServerStatus>;
 }
 
-/// Servers that offer four functions, each of which returns the status as JSON.
+/// Servers with four SQL functions, each of which returns the status as JSON.
 #[derive(Debug)]
 pub struct StatusFunctions;
 
@@ -46,5 +46,5 @@
     }
 }
 
-/// The dialect that this build speaks.
+/// The dialect of this build.
 pub type Dialect = StatusFunctions;
