--- a/crates/daemon/src/failover_runner.rs
+++ b/crates/daemon/src/failover_runner.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a change of primary.
+//! Runs the steps of a failover.
 
 use std::{
     sync::Arc,
@@ -21,36 +21,36 @@
     peers::Peers,
 };
 
-/// Why the primary is changed.
+/// Why the primary is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailoverReason {
-    /// It has failed.
+    /// The primary has failed.
     Failure,
-    /// Operators or the platform take it out.
+    /// Operators or the platform take the primary out of service.
     Switch {
-        /// The server that is to lead.
+        /// The server to promote.
         target: ServerId,
     },
 }
 
-/// Once a majority is sealed, the rest get this long to answer.
+/// How long the remaining servers may take to answer once a majority is sealed.
 const SEAL_GRACE: Duration = Duration::from_millis(20);
 
-/// A step count that no sound change of primary comes near; it ends a driver that goes in circles.
+/// Limits the steps of one failover, in case the driver does not terminate.
 const MAX_STEPS: usize = 64;
 
-/// The changes of one group's primary, as far as this daemon drives them.
+/// Runs the failovers of one group that this daemon drives.
 pub(crate) struct FailoverRunner<P> {
     context: Arc<Context>,
     store: Arc<P>,
     group: Arc<GroupState>,
     peers: Arc<Peers>,
-    /// The record last read and when it was first seen, to tell whether its driver has stalled.
+    /// The record last read and when it was first seen, to detect a stalled driver.
     last_record: Option<(LeadershipRecord, Instant)>,
     warned_at: Option<Instant>,
 }
 
-/// A standing complaint is written to the log this often.
+/// Minimum time between two warnings.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
 impl<P: KeyValueStore + 'static> FailoverRunner<P> {
@@ -63,7 +63,7 @@
         FailoverRunner { context, store, group, peers, last_record: None, warned_at: None }
     }
 
-    /// Writes to the log that nothing can be promoted, now and then.
+    /// Logs that no server can be promoted, at most once per `WARNING_INTERVAL`.
     pub(crate) fn warn_no_majority(&mut self) {
         self.warn_throttled("too few servers answer to choose a new primary");
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Drives a change until it is over, one way or another.
+    /// Runs a failover to its end.
     pub(crate) async fn run(&mut self, reason: FailoverReason) -> FailoverOutcome {
         let claim_id = format!("{}-{:016x}", self.context.host(), rand::random::<u64>());
         let host = self.context.host().to_string();
@@ -99,7 +99,7 @@
             log::info!(
                 group = self.group.id.to_string().as_str(), step = stage.as_str(),
                 took_us = step_began.elapsed().as_micros() as u64;
-                "a step of a change of primary"
+                "failover step finished"
             );
             driver.on_event(event);
         }
@@ -120,7 +120,7 @@
             FailoverOutcome::Promoted { primary, term } => log::warn!(
                 group = self.group.id.to_string().as_str(), server = primary.0, term = term.0,
                 took_ms = began.elapsed().as_millis() as u64;
-                "a new primary leads"
+                "promoted a new primary"
             ),
             FailoverOutcome::DrivenElsewhere => {}
             _ => self.warn_throttled(&format!("the primary could not be changed: {label}")),
@@ -207,7 +207,8 @@
         FailoverEvent::Record { record: Some(record), version: entry.version, stalled }
     }
 
-    /// Whether nobody is at work on a record: its change is over, or it has stood still for long.
+    /// Whether the failover of a record is finished, or has made no progress for
+    /// `takeover_after_ms`.
     fn has_stalled(&mut self, record: &LeadershipRecord) -> bool {
         let finished =
             record.stage != RecordStage::Claimed && self.group.view.read().term >= record.term;
@@ -238,7 +239,7 @@
         let written = tokio::task::spawn_blocking(move || {
             match store.compare_and_swap(&key, expected_version, &value)? {
                 CasOutcome::Conflict => Ok(None),
-                // The version is needed for the next step, and only a read tells it.
+                // The next step needs the version, which only a read returns.
                 CasOutcome::Applied => {
                     let entry = store.get(&key)?;
                     Ok(entry.filter(|entry| entry.value == value).map(|entry| entry.version))
@@ -249,14 +250,17 @@
         match written {
             Ok(Ok(Some(version))) => FailoverEvent::Written { version },
             Ok(Ok(None) | Err(StoreError::AnswerLost(_) | StoreError::Malformed(_))) => {
-                log::info!(claim = claim_id.as_str(); "a leadership record has to be read back");
+                log::info!(
+                    claim = claim_id.as_str();
+                    "the write of a leadership record is uncertain; reading it back"
+                );
                 FailoverEvent::WriteUncertain
             }
             Ok(Err(StoreError::Unreachable(_))) | Err(_) => FailoverEvent::StoreUnreachable,
         }
     }
 
-    /// Seals every server that answers; once a majority has, the rest get little time.
+    /// Seals all servers that answer. Once a majority is sealed, the rest get only `SEAL_GRACE`.
     async fn seal(&self, term: Term) -> Vec<(ServerId, ServerStatus)> {
         let step_timeout_ms = self.group.in_force.load().configuration.failover.step_timeout_ms;
         let mut until = tokio::time::Instant::now() + Duration::from_millis(step_timeout_ms);
@@ -279,7 +283,7 @@
         sealed
     }
 
-    /// Tells the other owners that there is a new primary, so that none waits for its heartbeat.
+    /// Notifies the other owners of a new primary, so that they need not wait for a heartbeat.
     fn notify_owners(&self, term: Term) {
         let notice = TermNotice {
             service: self.group.id.service.to_string(),
@@ -291,7 +295,7 @@
             let (peers, address) = (self.peers.clone(), owner.peer_address);
             let notice = Body::TermNotice(notice.clone());
             tokio::spawn(async move {
-                // An owner that can't be told finds out by its heartbeat.
+                // An owner that can't be reached learns of the new primary by its own heartbeat.
                 if let Ok(client) = peers.get(address).await {
                     let _ = client.notify(notice).await;
                 }
@@ -299,7 +303,8 @@
         }
     }
 
-    /// Tells the others to follow; those that can't be told now are told by the watch later.
+    /// Makes the other servers follow the primary. The group watch repeats this for those that
+    /// fail.
     async fn follow(&self, primary: ServerId, term: Term) {
         let address = self.group.in_force.load().group.servers[primary.index()].address;
         for server in (0..self.group.links.len()).map(ServerId::from_index) {
