--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Daemons compare notes in pairs, so that news reaches everyone without a sender that knows all.
+//! Gossip: daemons exchange notes in pairs, so that updates reach all of them without a central
+//! sender.
 
 use std::{
     net::SocketAddr,
@@ -16,7 +17,7 @@
     peers::Peers,
 };
 
-/// Writes this daemon's note for another.
+/// Builds this daemon's note for another one.
 pub(crate) fn build_note(context: &Context, to_host: &str) -> GossipNote {
     GossipNote {
         host: context.host().to_string(),
@@ -27,7 +28,7 @@
     }
 }
 
-/// Lists the demands for the groups that both daemons own.
+/// Returns the demands for the groups that both daemons own.
 fn demands_for(context: &Context, to_host: &str) -> Vec<GroupDemand> {
     let mut demands = Vec::new();
     for group in context.held_groups() {
@@ -44,7 +45,7 @@
     demands
 }
 
-/// Takes in another daemon's note.
+/// Applies another daemon's note.
 pub(crate) fn apply_note(context: &Context, note: &GossipNote) {
     let sender = {
         let members = context.members.load();
@@ -66,7 +67,7 @@
 }
 
 fn request_updates(context: &Context, note: &GossipNote, address: SocketAddr) {
-    // A full ring holds the same news already.
+    // If the queue is full, a later note announces the update again.
     if note.revision > context.in_force.load().revision {
         let _ = context.updates.try_send(PeerUpdate::Configuration(address));
     }
@@ -75,7 +76,7 @@
     }
 }
 
-/// Compares notes with one daemon at a time, at the configured interval.
+/// Exchanges notes with one random daemon at the configured interval.
 pub(crate) async fn gossip(context: Arc<Context>, peers: Arc<Peers>) {
     let interval = Duration::from_millis(context.settings.control.gossip_ms.max(1));
     loop {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Passes news on to some daemons at once.
+/// Exchanges notes with several random daemons at once.
 pub(crate) async fn push_gossip(context: &Arc<Context>, peers: &Arc<Peers>, count: usize) {
     for target in targets(context, count) {
         let (context, peers) = (context.clone(), peers.clone());
@@ -97,7 +98,7 @@
     }
 }
 
-/// Whom to compare notes with: listed daemons, or the seeds while none is listed.
+/// Selects daemons to exchange notes with: members, or the seeds while no member is listed.
 fn targets(context: &Context, count: usize) -> Vec<Target> {
     let members = context.members.load();
     let others: Vec<&Member> =
@@ -141,7 +142,7 @@
     match answer {
         Some(Body::Gossip(note)) => {
             apply_note(context, &note);
-            // A seed is not listed yet, but what it knows is wanted all the more.
+            // A seed may not be listed yet, but its updates are needed.
             request_updates(context, &note, target.address);
         }
         _ => {
@@ -152,7 +153,7 @@
     }
 }
 
-/// Asks a daemon something that has one answer.
+/// Sends a daemon a request that has one answer.
 pub(crate) async fn call_peer(
     context: &Context,
     peers: &Peers,
