--- a/crates/daemon/src/group_watch.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -21,20 +21,20 @@
     planned_switch::switch_primary,
 };
 
-/// How often the groups to be watched are looked up.
+/// How often the set of watched groups is updated.
 const GROUP_SCAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A group that is neither owned nor used for this long is given up.
+/// A group that is neither owned nor used for this long is dropped.
 const UNUSED_GROUP_TTL: Duration = Duration::from_secs(5);
 
-/// Starts and ends the watch of each group.
+/// Starts a watch for each held group, and drops unused groups.
 pub(crate) async fn watch_groups<P: KeyValueStore + 'static>(context: Arc<Context>, store: Arc<P>) {
     let timeout = Duration::from_millis(context.settings.control.peer_timeout_ms);
     let peers = Arc::new(Peers::new(timeout));
     let mut watched: HashSet<GroupId> = HashSet::new();
     let mut scanned_version = None;
     loop {
-        // With many groups configured, looking at all of them is only worth it after a change.
+        // With many groups configured, a scan of all of them is only worth it after a change.
         let version = context.ownership_version();
         if scanned_version.replace(version) != Some(version) {
             load_owned_groups(&context);
@@ -58,8 +58,8 @@
     }
 }
 
-/// Takes up the groups that this daemon is to own. Until it knows the other daemons it would take all
-/// of them for its own, and hold connections that the true owners need.
+/// Creates the state of the groups that this daemon owns. While no members are known it would own
+/// all groups, and use connections that the real owners need, so it waits.
 fn load_owned_groups(context: &Context) {
     if context.members.load().all().is_empty() {
         return;
@@ -67,7 +67,7 @@
     let in_force = context.in_force.load_full();
     for (id, group) in &in_force.configuration.groups {
         if context.owns(group) {
-            // Only the state matters here; the group is watched from the next look on.
+            // Creating the state is enough. The next scan starts the watch.
             let _ = context.group(id);
         }
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Whether a group is still the one that the daemon holds under its name.
+/// Whether the daemon still holds this state for the group.
 fn is_held(context: &Context, group: &Arc<GroupState>) -> bool {
     context.groups.read().get(&group.id).is_some_and(|held| Arc::ptr_eq(held, group))
 }
@@ -96,7 +96,7 @@
     Duration::from_millis(group.in_force.load().configuration.failover.heartbeat_ms)
 }
 
-/// Watches one group until it is given up or made anew.
+/// Watches one group until its state is dropped or replaced.
 async fn watch_group<P: KeyValueStore + 'static>(
     context: Arc<Context>,
     peers: Arc<Peers>,
@@ -123,11 +123,11 @@
     }
 }
 
-/// Takes a sample of the primary's position at each heartbeat, with proof that it still leads.
+/// Samples the primary's position at each heartbeat, with evidence that it still leads.
 async fn sample_primary(context: Arc<Context>, group: Arc<GroupState>) {
     while is_held(&context, &group) {
         if group.view.read().primary.is_some() {
-            // The answer is noted as a sample; a failure shows in the servers' silence.
+            // A success is recorded as a sample. A failure shows as silence of the servers.
             let _ = group.read_index.get().await;
             tokio::time::sleep(heartbeat_of(&group)).await;
         } else {
@@ -136,8 +136,8 @@
     }
 }
 
-/// Asks one server whenever its last answer is older than a heartbeat. Each server has a loop of its
-/// own, so that a silent one does not keep the others waiting.
+/// Queries one server whenever its last answer is older than half a heartbeat. Each server has a
+/// loop of its own, so that a silent one does not delay the others.
 async fn watch_server(context: Arc<Context>, group: Arc<GroupState>, server: ServerId) {
     while is_held(&context, &group) {
         let heartbeat = heartbeat_of(&group);
@@ -148,7 +148,7 @@
                 || known.asked_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
         };
         if due && group.query_status(server).await.is_err_and(|error| error.is_shutting_down()) {
-            // A server that shuts down says so before the platform's list does.
+            // A server reports its shutdown earlier than the platform's host list does.
             let address = group.in_force.load().group.servers[server.index()].address;
             context.leaving.write().mark_leaving(address, Instant::now());
         }
@@ -156,7 +156,7 @@
     }
 }
 
-/// Judges the primary and repairs what is wrong.
+/// Assesses the primary, and starts a failover, a planned switch or repairs as needed.
 async fn check_primary<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
@@ -176,7 +176,7 @@
             log::warn!(
                 group = group.id.to_string().as_str(), silent_ms,
                 leaderless = !observation.has_leader;
-                "the primary is taken to have failed"
+                "the primary is considered failed"
             );
             failover.run(FailoverReason::Failure).await;
         }
@@ -236,7 +236,8 @@
     futures::future::join_all(requests).await
 }
 
-/// Makes servers follow the primary that don't: an old primary, or one that missed the change.
+/// Makes servers follow the primary that don't, such as a former primary or one that missed a
+/// failover.
 async fn reattach_followers(group: &GroupState, rules: SuspicionRules) {
     let (primary, term, detached) = {
         let view = group.view.read();
