--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The wardtiller daemon as a library.
 //!
-//! [`Daemon`] starts a thread for each duty: `serve` (callers, endpoints, other daemons), `watch`
-//! (servers and changes of primary), `control` (gossip and configuration), `head` and `hosts` (the
-//! store), `operator` (HTTP) and `trace` (spans). `docs/ARCHITECTURE.md` shows how they are joined.
+//! [`Daemon`] starts threads for these tasks: `serve` (callers, endpoints, other daemons), `watch`
+//! (servers and failover), `control` (gossip and configuration), `head` and `hosts` (the store),
+//! `operator` (HTTP) and `trace` (spans). `docs/ARCHITECTURE.md` shows how they interact.
 
 mod apply;
 mod caller_log_in;
