--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' address: metrics, health and the daemon's state.
+//! The HTTP address for operators: metrics, health and the daemon's state.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,7 +16,7 @@
     show::{ShowReport, show_report},
 };
 
-/// Serves the operators' address until the runtime ends.
+/// Serves operators until the runtime ends.
 pub(crate) async fn serve_operators(context: Arc<Context>, listener: TcpListener) {
     let router = Router::new()
         .route("/metrics", get(metrics))
@@ -25,11 +25,10 @@
         .route("/show", get(show))
         .with_state(context);
     if let Err(error) = axum::serve(listener, router).await {
-        log::error!(error = error.to_string().as_str(); "the operators' address is not served");
+        log::error!(error = error.to_string().as_str(); "serving the operators' address failed");
     }
 }
 
-/// Binds the operators' address.
 pub(crate) async fn bind_operators(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
@@ -49,7 +48,7 @@
     ([(header::CONTENT_TYPE, "text/plain; version=0.0.4")], context.metrics.render())
 }
 
-/// Ready means that new callers are welcome; the balancer should ask for this.
+/// Reports whether new callers are accepted. Load balancers should query this path.
 async fn ready(State(context): State<Arc<Context>>) -> impl IntoResponse {
     if context.is_stopping() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
