--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -1,4 +1,4 @@
-//! Builds a job out of a caller's messages.
+//! Builds requests for endpoints from a caller's messages.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -14,16 +14,16 @@
 };
 use wire::{Answer, Classified, Effect, Prepared, PreparedStatements, endpoint_statement_name};
 
-/// What the statements of one request do together.
+/// The combined effects of a request's statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestEffects {
-    /// Some statement may change data.
+    /// A statement may change data.
     pub(crate) writes: bool,
-    /// A transaction that may change data is begun.
+    /// A transaction that may change data is started.
     pub(crate) begins_writing: bool,
-    /// Some statement ends a transaction and keeps its changes.
+    /// A statement ends a transaction and keeps its changes.
     pub(crate) commits: bool,
-    /// Some statement is executed at all.
+    /// A statement is executed.
     pub(crate) executes: bool,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A request made of messages for an endpoint.
+/// A request in the form of messages for an endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
     pub(crate) steps: Vec<Step>,
@@ -54,13 +54,13 @@
     pub(crate) effects: RequestEffects,
     pub(crate) read_kind: Option<String>,
     pub(crate) traceparent: Option<String>,
-    /// What the daemon has to do itself, in order.
+    /// Effects that the daemon handles itself, in order.
     pub(crate) local: Vec<Effect>,
-    /// The error that the whole request is answered with, by SQLSTATE and message.
+    /// The error that answers the whole request.
     pub(crate) error: Option<RequestError>,
 }
 
-/// An error found before anything was sent.
+/// An error found before anything was sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestError {
     pub(crate) code: &'static str,
@@ -72,7 +72,7 @@
         RequestError { code, message: message.into() }
     }
 
-    /// Returns the error that a text is answered with before anything is sent, if any.
+    /// Returns the error of a statement that can't be run, if any.
     fn for_statement(classified: &Classified) -> Option<RequestError> {
         if let Some(message) = classified.invalid() {
             return Some(RequestError::new("42601", format!("wardtiller: {message}")));
@@ -86,7 +86,7 @@
 }
 
 impl Request {
-    /// Builds a request out of a simple query.
+    /// Builds a request from a simple query.
     pub(crate) fn simple(query: Query, classified: &Classified) -> Request {
         let mut request = Request::default();
         if let Some(error) = RequestError::for_statement(classified) {
@@ -110,7 +110,6 @@
         self.steps.iter().all(|step| step.shape() == StepShape::Canned)
     }
 
-    /// Whether there is nothing to do.
     pub(crate) fn is_empty(&self) -> bool {
         self.steps.is_empty() && self.local.is_empty() && self.error.is_none()
     }
@@ -143,23 +142,22 @@
     }
 }
 
-/// The statements and portals that a caller has named.
+/// The prepared statements and portals of a session.
 #[derive(Debug, Default)]
 pub(crate) struct ExtendedState {
     pub(crate) prepared: PreparedStatements,
     portals: HashMap<String, Arc<Prepared>>,
 }
 
-/// Portals of one transaction beyond this number are refused.
+/// Limits the portals of one transaction.
 const MAX_PORTALS: usize = 1_024;
 
 impl ExtendedState {
-    /// Forgets the portals, which end with the transaction.
+    /// Drops the portals, which end with the transaction.
     pub(crate) fn end_transaction(&mut self) {
         self.portals.clear();
     }
 
-    /// Adds a `Parse`.
     pub(crate) fn parse(
         &mut self,
         request: &mut Request,
@@ -186,7 +184,6 @@
         request.add_step(StepShape::Parse, prepared.parse.clone(), prepared.id);
     }
 
-    /// Adds a `Bind`.
     pub(crate) fn bind(&mut self, request: &mut Request, bind: Bind) {
         let name = bind.statement_name.clone().unwrap_or_default();
         let Some(prepared) = self.prepared.get(&name).cloned() else {
@@ -217,7 +214,6 @@
         }
     }
 
-    /// Adds a `Describe`.
     pub(crate) fn describe(&mut self, request: &mut Request, describe: Describe) {
         let name = describe.name.clone().unwrap_or_default();
         let is_statement = describe.target_type == b'S';
@@ -247,7 +243,6 @@
         }
     }
 
-    /// Adds an `Execute`.
     pub(crate) fn execute(&mut self, request: &mut Request, execute: &Execute) {
         let name = execute.name.clone().unwrap_or_default();
         let Some(prepared) = self.portals.get(&name).cloned() else {
@@ -257,7 +252,7 @@
         if prepared.classified.is_local() {
             for effect in &prepared.classified.effects {
                 request.local.push(effect.clone());
-                // The answer is put in when the effect is carried out.
+                // `run_local_statements` fills in the answer.
                 request.add_step(StepShape::Canned, Bytes::new(), 0);
             }
             return;
@@ -272,7 +267,6 @@
         }
     }
 
-    /// Adds a `Close`.
     pub(crate) fn close(&mut self, request: &mut Request, close: &Close) {
         let name = close.name.clone().unwrap_or_default();
         if close.target_type == b'S' {
