--- a/crates/daemon/src/show.rs
+++ b/crates/daemon/src/show.rs
@@ -1,4 +1,4 @@
-//! What `wardtiller show` tells of a daemon.
+//! The report of `wardtiller show`.
 
 use std::{sync::atomic::Ordering, time::Instant};
 
@@ -14,24 +14,24 @@
     pub host: String,
     /// Its availability zone.
     pub availability_zone: String,
-    /// For how long the daemon has run.
+    /// How long the daemon has run.
     pub up_ms: u64,
     /// Whether a planned stop has begun.
     pub stopping: bool,
     /// The configuration revision in force.
     pub revision: u64,
-    /// The change that it came with.
+    /// The id of the change that introduced the revision.
     pub change_id: String,
-    /// Whether the platform's store answered the last call. Without it the configuration is frozen
-    /// but for what other daemons know, and nothing is promoted.
+    /// Whether the last call to the platform's store succeeded. Otherwise configurations come only
+    /// from other daemons, and no server is promoted.
     pub store_reachable: bool,
-    /// Daemons listed.
+    /// Daemons in the host list.
     pub members_listed: usize,
-    /// Daemons listed that may get work.
+    /// Daemons in the host list that may get work.
     pub members_usable: usize,
-    /// Callers connected.
+    /// Connected callers.
     pub callers: u32,
-    /// Configured groups that this daemon is to own.
+    /// Configured groups that this daemon owns.
     pub groups_to_own: usize,
     /// The groups that this daemon holds.
     pub groups: Vec<ShowGroup>,
@@ -50,7 +50,7 @@
     pub primary: Option<String>,
     /// Whether a planned switch holds new transactions back.
     pub held: bool,
-    /// Requests that wait for connections.
+    /// Requests that wait for a connection.
     pub waiting: u32,
     /// The servers.
     pub servers: Vec<ShowServer>,
@@ -63,7 +63,7 @@
     pub server: String,
     /// Its address.
     pub address: String,
-    /// Whether it answered when it was last asked.
+    /// Whether it answered the last query.
     pub answers: bool,
     /// Whether it may get new work.
     pub gets_work: bool,
@@ -71,13 +71,13 @@
     pub applied_position: u64,
     /// The position that it holds.
     pub held_position: u64,
-    /// How old its data can be; unknown without a sample.
+    /// The maximum age of its data, or `None` without a sample.
     pub staleness_ms: Option<u64>,
-    /// Connections open from here.
+    /// Connections open from this daemon.
     pub connections: u32,
-    /// Connections that may be open from here.
+    /// Connections that this daemon may open.
     pub connection_share: u32,
-    /// The average answering time.
+    /// The average response time.
     pub latency_us: u32,
 }
 
