--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -30,7 +30,7 @@
     Connection(Box<EndpointConnection>),
     /// Permission to open a connection.
     Open,
-    /// The request was displaced by a more urgent one, or its deadline has passed.
+    /// The request was displaced by a more urgent one, its deadline has passed or the pool closed.
     Refused(Refusal),
 }
 
