--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -150,7 +150,7 @@
             return Ok(());
         }
         self.send_session_start();
-        self.ready().await?;
+        self.send_ready().await?;
         let mut stopping = self.context.stopping.subscribe();
         loop {
             let idle = self.transaction == b'I' && self.request.is_empty();
@@ -230,15 +230,15 @@
                 let Some(request) = request else {
                     self.stream
                         .add(&PgWireBackendMessage::EmptyQueryResponse(EmptyQueryResponse::new()));
-                    self.ready().await?;
+                    self.send_ready().await?;
                     return Ok(AfterRequest::Continue);
                 };
-                self.finish(request).await
+                self.finish_request(request).await
             }
             M::Sync(_) => {
                 self.skipping = false;
                 let request = std::mem::take(&mut self.request);
-                self.finish(request).await
+                self.finish_request(request).await
             }
             M::Flush(_) => self.flush().await,
             M::CopyData(_) | M::CopyDone(_) | M::CopyFail(_) => Ok(AfterRequest::Continue),
@@ -318,7 +318,7 @@
         Ok(after)
     }
 
-    async fn finish(&mut self, request: Request) -> Result<AfterRequest, StreamEnd> {
+    async fn finish_request(&mut self, request: Request) -> Result<AfterRequest, StreamEnd> {
         let after = self.answer(request).await?;
         if self.transaction == b'I' {
             self.extended.end_transaction();
@@ -326,11 +326,11 @@
         if after == AfterRequest::Close {
             return Ok(after);
         }
-        self.ready().await?;
+        self.send_ready().await?;
         Ok(after)
     }
 
-    async fn ready(&mut self) -> Result<(), StreamEnd> {
+    async fn send_ready(&mut self) -> Result<(), StreamEnd> {
         let status = match (self.aborted_locally, self.transaction) {
             (true, _) | (_, b'E') => TransactionStatus::Error,
             (_, b'T') => TransactionStatus::Transaction,
--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -66,7 +66,7 @@
     let deadline = Instant::now() + Duration::from_millis(job.remaining_ms);
     let run = JobRun { context, group, running, job, in_force: &in_force, deadline };
     if job.in_transaction {
-        return run.in_transaction(pinned, sink).await;
+        return run.run_in_transaction(pinned, sink).await;
     }
     // The caller does not know of this transaction any more, so it must not get new statements.
     *pinned = None;
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -56,9 +56,9 @@
         let Some(held) = pin.take() else { return Err(transaction_lost()) };
         *relayed_to.lock() = Some(held.owner);
         let (client, owner) = (held.client.clone(), held.owner);
-        let end = relay_to(&client, job, sink).await.map_err(|failure| failure.refusal)?;
-        keep_pin(pin, &client, owner, job, &end, Some(held));
-        return Ok(end);
+        let result = relay_to(&client, job, sink).await.map_err(|failure| failure.refusal)?;
+        keep_pin(pin, &client, owner, job, &result, Some(held));
+        return Ok(result);
     }
     *pin = None;
     let started = Instant::now();
@@ -80,9 +80,9 @@
         let remaining_ms = job.remaining_ms.saturating_sub(elapsed_ms);
         let job = Job { remaining_ms, ..job.clone() };
         match relay_to(&client, &job, sink).await {
-            Ok(end) => {
-                keep_pin(pin, &client, owner.key, &job, &end, None);
-                return Ok(end);
+            Ok(result) => {
+                keep_pin(pin, &client, owner.key, &job, &result, None);
+                return Ok(result);
             }
             Err(failure) if failure.try_next && !sink.has_begun() => {
                 context.change_members(|members| members.suspect(owner.key, Instant::now()));
@@ -99,10 +99,10 @@
     client: &Arc<peer::PeerClient>,
     owner: u64,
     job: &Job,
-    end: &JobResult,
+    result: &JobResult,
     held: Option<Arc<RelayPin>>,
 ) {
-    if end.transaction == b'I' {
+    if result.transaction == b'I' {
         return;
     }
     let session_id = job.session_id;
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -145,26 +145,26 @@
 
     /// Checks that the primary's term contains the session's writes, which a transaction must see.
     async fn check_session(&self, term: Term) -> Result<(), Refusal> {
-        let Some(seen) = self.min_point() else { return Ok(()) };
-        let write_status = self.group.view.read().history.write_status(seen);
+        let Some(min_point) = self.min_point() else { return Ok(()) };
+        let write_status = self.group.view.read().history.write_status(min_point);
         match write_status {
             WriteStatus::Kept => Ok(()),
             WriteStatus::Lost => Err(self.write_lost_refusal()),
-            WriteStatus::UnknownTerm if seen.term <= term => Ok(()),
+            WriteStatus::UnknownTerm if min_point.term <= term => Ok(()),
             WriteStatus::UnknownTerm => {
                 // The session token has a newer term than this daemon knows, so the servers are
                 // queried.
                 for index in 0..self.group.links.len() {
                     let _ = self.group.query_status(ServerId::from_index(index)).await;
                 }
-                if self.group.view.read().term >= seen.term {
+                if self.group.view.read().term >= min_point.term {
                     return Ok(());
                 }
                 Err(Refusal::not_run(
                     RefusalReason::NoFreshServer,
                     format!(
                         "the session has seen the term {}, which no server here knows",
-                        seen.term
+                        min_point.term
                     ),
                 )
                 .retry_after(NO_FRESH_SERVER_RETRY_MS))
@@ -227,7 +227,7 @@
         }
     }
 
-    pub(crate) async fn in_transaction<S: AnswerSink>(
+    pub(crate) async fn run_in_transaction<S: AnswerSink>(
         &self,
         pinned: &mut Option<PinnedConnection>,
         sink: &mut S,
