--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -17,7 +17,7 @@
 use session::SessionToken;
 use tokio::net::TcpStream;
 use tokio_rustls::TlsAcceptor;
-use wire::{Answer, CallerStream, SessionSettings, StreamEnd, split_tags};
+use wire::{CallerStream, ResponseBuilder, SessionSettings, StreamEnd, split_tags};
 
 use crate::{
     caller_log_in::{Parameters, log_in, send_fatal},
@@ -154,7 +154,7 @@
         let mut stopping = self.context.stopping.subscribe();
         loop {
             let idle = self.transaction == b'I' && self.request.is_empty();
-            let message = match self.stream.take()? {
+            let message = match self.stream.try_next()? {
                 Some(message) => message,
                 None if idle => {
                     tokio::select! {
@@ -261,7 +261,7 @@
         Some(request)
     }
 
-    fn classify(&self, sql: &str) -> Arc<wire::Classified> {
+    fn classify(&self, sql: &str) -> Arc<wire::Classification> {
         let in_force = self.context.in_force.load();
         let service = in_force.configuration.services.get(&self.service_name);
         let functions: Vec<&str> = service
@@ -375,7 +375,7 @@
         self.relay_pin = None;
         self.aborted_locally = false;
         self.transaction = b'I';
-        let answer = Answer::default().complete("ROLLBACK").finish();
+        let answer = ResponseBuilder::default().complete("ROLLBACK").finish();
         self.stream.add_bytes(&answer);
         Ok(AfterRequest::Continue)
     }
--- a/crates/daemon/src/caller_settings.rs
+++ b/crates/daemon/src/caller_settings.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use model::{RefusalReason, Verdict};
 use session::SessionToken;
-use wire::{Answer, Effect, row_answer};
+use wire::{Effect, ResponseBuilder, single_row_response};
 
 use crate::{
     caller_session::CallerSession,
@@ -44,25 +44,25 @@
         match effect {
             Effect::Set { name, value } => {
                 self.set(name, value.as_deref())?;
-                Ok(Answer::default().complete("SET").finish())
+                Ok(ResponseBuilder::default().complete("SET").finish())
             }
             Effect::ResetAll => {
                 self.settings.reset_all();
-                Ok(Answer::default().complete("RESET").finish())
+                Ok(ResponseBuilder::default().complete("RESET").finish())
             }
             Effect::Discard => {
                 self.discard()?;
-                Ok(Answer::default().complete("DISCARD ALL").finish())
+                Ok(ResponseBuilder::default().complete("DISCARD ALL").finish())
             }
             Effect::Show { name } => {
                 let value = self.show_setting(name)?;
-                let (description, row) = row_answer(name, &value);
+                let (description, row) = single_row_response(name, &value);
                 let mut answer = Vec::new();
                 if describe {
                     answer.extend_from_slice(&description);
                 }
                 answer.extend_from_slice(&row);
-                answer.extend_from_slice(&Answer::default().complete("SHOW").finish());
+                answer.extend_from_slice(&ResponseBuilder::default().complete("SHOW").finish());
                 Ok(Bytes::from(answer))
             }
             _ => Err(RequestError::new("XX000", "not a statement that is answered here")),
--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -453,7 +453,7 @@
 fn parse_complete() -> Bytes {
     use pgwire::messages::extendedquery::ParseComplete;
     let message = PgWireBackendMessage::ParseComplete(ParseComplete::new());
-    wire::Answer::default().with(&message).finish()
+    wire::ResponseBuilder::default().with(&message).finish()
 }
 
 fn find_parse(job: &Job, statement: u64) -> Result<Bytes, EndpointError> {
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -12,7 +12,10 @@
     },
     simplequery::Query,
 };
-use wire::{Answer, Classified, Effect, Prepared, PreparedStatements, endpoint_statement_name};
+use wire::{
+    Classification, Effect, PreparedStatement, PreparedStatements, ResponseBuilder,
+    endpoint_statement_name,
+};
 
 /// The combined effects of a request's statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,7 +31,7 @@
 }
 
 impl RequestEffects {
-    fn add(&mut self, classified: &Classified) {
+    fn add(&mut self, classified: &Classification) {
         for effect in &classified.effects {
             self.executes = true;
             match effect {
@@ -73,7 +76,7 @@
     }
 
     /// Returns the error of a statement that can't be run, if any.
-    fn for_statement(classified: &Classified) -> Option<RequestError> {
+    fn for_statement(classified: &Classification) -> Option<RequestError> {
         if let Some(message) = classified.invalid() {
             return Some(RequestError::new("42601", format!("wardtiller: {message}")));
         }
@@ -87,7 +90,7 @@
 
 impl Request {
     /// Builds a request from a simple query.
-    pub(crate) fn simple(query: Query, classified: &Classified) -> Request {
+    pub(crate) fn simple(query: Query, classified: &Classification) -> Request {
         let mut request = Request::default();
         if let Some(error) = RequestError::for_statement(classified) {
             request.error = Some(error);
@@ -119,11 +122,11 @@
     }
 
     fn add_canned(&mut self, message: &PgWireBackendMessage) {
-        let message = Answer::default().with(message).finish();
+        let message = ResponseBuilder::default().with(message).finish();
         self.add_step(StepShape::Canned, message, 0);
     }
 
-    fn require_statement(&mut self, prepared: &Prepared) {
+    fn require_statement(&mut self, prepared: &PreparedStatement) {
         if self.statements.iter().all(|known| known.id != prepared.id) {
             self.statements.push(Statement { id: prepared.id, parse: prepared.parse.clone() });
         }
@@ -146,7 +149,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ExtendedState {
     pub(crate) prepared: PreparedStatements,
-    portals: HashMap<String, Arc<Prepared>>,
+    portals: HashMap<String, Arc<PreparedStatement>>,
 }
 
 /// Limits the portals of one transaction.
@@ -162,7 +165,7 @@
         &mut self,
         request: &mut Request,
         parse: Parse,
-        classified: Arc<Classified>,
+        classified: Arc<Classification>,
         read_kind: Option<String>,
     ) {
         if let Some(error) = RequestError::for_statement(&classified) {
@@ -171,7 +174,7 @@
         }
         let name = parse.name.clone().unwrap_or_default();
         let local = classified.is_local();
-        let prepared = Arc::new(Prepared::new(parse, classified, read_kind));
+        let prepared = Arc::new(PreparedStatement::new(parse, classified, read_kind));
         if let Err(message) = self.prepared.insert(&name, prepared.clone()) {
             request.fail(RequestError::new("42P05", message));
             return;
@@ -287,7 +290,7 @@
 }
 
 impl Request {
-    fn add_local_description(&mut self, classified: &Classified, is_statement: bool) {
+    fn add_local_description(&mut self, classified: &Classification, is_statement: bool) {
         if is_statement {
             let types = pgwire::messages::data::ParameterDescription::new(Vec::new());
             self.add_canned(&PgWireBackendMessage::ParameterDescription(types));
@@ -298,7 +301,7 @@
         });
         match shown_setting {
             Some(name) => {
-                let (description, _) = wire::row_answer(name, "");
+                let (description, _) = wire::single_row_response(name, "");
                 self.add_step(StepShape::Canned, description, 0);
             }
             None => self.add_canned(&PgWireBackendMessage::NoData(NoData::new())),
--- a/crates/wire/src/caller_stream.rs
+++ b/crates/wire/src/caller_stream.rs
@@ -167,7 +167,7 @@
     /// Waits for the next message.
     pub async fn next(&mut self) -> Result<PgWireFrontendMessage, StreamEnd> {
         loop {
-            if let Some(message) = self.take()? {
+            if let Some(message) = self.try_next()? {
                 return Ok(message);
             }
             self.fill().await?;
@@ -175,13 +175,13 @@
     }
 
     /// Returns a message that has arrived already.
-    pub fn take(&mut self) -> Result<Option<PgWireFrontendMessage>, StreamEnd> {
+    pub fn try_next(&mut self) -> Result<Option<PgWireFrontendMessage>, StreamEnd> {
         PgWireFrontendMessage::decode(&mut self.incoming, &self.context)
             .map_err(|error| StreamEnd::Protocol(error.to_string()))
     }
 
     /// Waits until the caller is gone, keeping what it sends meanwhile. It may be cancelled.
-    pub async fn gone(&mut self) -> StreamEnd {
+    pub async fn closed(&mut self) -> StreamEnd {
         loop {
             if self.incoming.len() >= READ_AHEAD_BYTES {
                 return std::future::pending().await;
--- a/crates/wire/src/classifier.rs
+++ b/crates/wire/src/classifier.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::{Classified, classify};
+use crate::{Classification, classify};
 
 /// Texts remembered in each part of the memory.
 const TEXTS: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
@@ -20,7 +20,7 @@
 /// A bounded memory of classifications, shared by all threads.
 #[derive(Debug)]
 pub struct Classifier {
-    parts: Vec<Mutex<LruCache<u128, Arc<Classified>>>>,
+    parts: Vec<Mutex<LruCache<u128, Arc<Classification>>>>,
 }
 
 impl Default for Classifier {
@@ -31,7 +31,7 @@
 
 impl Classifier {
     /// Classifies a text, out of memory where it can.
-    pub fn classify(&self, sql: &str, read_functions: &[&str]) -> Arc<Classified> {
+    pub fn classify(&self, sql: &str, read_functions: &[&str]) -> Arc<Classification> {
         if sql.len() > LONGEST_TEXT_BYTES {
             return Arc::new(classify(sql, read_functions));
         }
--- a/crates/wire/src/classify.rs
+++ b/crates/wire/src/classify.rs
@@ -63,12 +63,12 @@
 
 /// The effects of a text's statements, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Classified {
+pub struct Classification {
     /// One effect for each statement; none for an empty text.
     pub effects: Vec<Effect>,
 }
 
-impl Classified {
+impl Classification {
     /// Whether every statement is shown to change nothing.
     pub fn is_read(&self) -> bool {
         !self.effects.is_empty() && self.effects.iter().all(|effect| *effect == Effect::Read)
@@ -112,14 +112,14 @@
 }
 
 /// Classifies a text. `read_functions` are functions that operators declare to change nothing.
-pub fn classify(sql: &str, read_functions: &[&str]) -> Classified {
+pub fn classify(sql: &str, read_functions: &[&str]) -> Classification {
     let effects = match Parser::parse_sql(&PostgreSqlDialect {}, sql) {
         Ok(statements) => {
             statements.iter().map(|statement| statement_effect(statement, read_functions)).collect()
         }
         Err(error) => vec![unparsed_effect(sql, &error.to_string())],
     };
-    Classified { effects }
+    Classification { effects }
 }
 
 fn statement_effect(statement: &Statement, read_functions: &[&str]) -> Effect {
--- a/crates/wire/src/answers.rs
+++ b/crates/wire/src/responses.rs
@@ -13,20 +13,20 @@
 
 /// An answer made of whole backend messages.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ResponseBuilder {
     buffer: BytesMut,
 }
 
-impl Answer {
+impl ResponseBuilder {
     /// Adds a message.
-    pub fn with(mut self, message: &PgWireBackendMessage) -> Answer {
+    pub fn with(mut self, message: &PgWireBackendMessage) -> ResponseBuilder {
         // What the daemon says itself is short, so no limit of the encoding is near.
         let _ = message.encode(&mut self.buffer);
         self
     }
 
     /// Adds the tag that ends a statement's answer.
-    pub fn complete(self, tag: &str) -> Answer {
+    pub fn complete(self, tag: &str) -> ResponseBuilder {
         let message = CommandComplete::new(tag.to_owned());
         self.with(&PgWireBackendMessage::CommandComplete(message))
     }
@@ -44,13 +44,16 @@
 }
 
 /// Builds a description and a single row with one text column.
-pub fn row_answer(name: &str, value: &str) -> (Bytes, Bytes) {
+pub fn single_row_response(name: &str, value: &str) -> (Bytes, Bytes) {
     let description = PgWireBackendMessage::RowDescription(one_column(name));
     let mut data = BytesMut::new();
     data.put_i32(value.len() as i32);
     data.put_slice(value.as_bytes());
     let row = PgWireBackendMessage::DataRow(DataRow::new(data, 1));
-    (Answer::default().with(&description).finish(), Answer::default().with(&row).finish())
+    (
+        ResponseBuilder::default().with(&description).finish(),
+        ResponseBuilder::default().with(&row).finish(),
+    )
 }
 
 /// Builds the error that tells a caller of a refusal, with its verdict as the first detail.
@@ -81,5 +84,7 @@
 
 /// Encodes the error that tells a caller of a refusal.
 pub fn encode_refusal(refusal: &Refusal) -> Bytes {
-    Answer::default().with(&PgWireBackendMessage::ErrorResponse(refusal_response(refusal))).finish()
+    ResponseBuilder::default()
+        .with(&PgWireBackendMessage::ErrorResponse(refusal_response(refusal)))
+        .finish()
 }
