--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -71,7 +71,7 @@
 
 /// What a caller shows of itself when it is placed in a group.
 #[derive(Clone, Copy, Debug)]
-pub struct Placement<'a> {
+pub struct PlacementRequest<'a> {
     /// The group that the caller names, if it does.
     pub named: Option<&'a str>,
     /// The user that it logged in as.
@@ -82,7 +82,7 @@
 
 impl Service {
     /// Places a caller in a group: by the name that it gives, by a rule, or by the default.
-    pub fn place(&self, caller: Placement<'_>) -> Option<&Name> {
+    pub fn place(&self, caller: PlacementRequest<'_>) -> Option<&Name> {
         let wanted = match caller.named {
             Some(named) => Some(named),
             None => self.place_by_rule(caller),
@@ -94,7 +94,7 @@
         }
     }
 
-    fn place_by_rule(&self, caller: Placement<'_>) -> Option<&str> {
+    fn place_by_rule(&self, caller: PlacementRequest<'_>) -> Option<&str> {
         let matches = |wanted: &Option<Name>, found: &str| {
             wanted.as_ref().is_none_or(|wanted| &**wanted == found)
         };
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,9 @@
 
 pub use check::{check_configuration, read_part};
 pub use chunks::{Chunk, ChunkHash, Head, assemble, split};
-pub use configuration::{Configuration, ConfigurationPart, Group, Placement, Server, Service};
+pub use configuration::{
+    Configuration, ConfigurationPart, Group, PlacementRequest, Server, Service,
+};
 pub use host_settings::{
     ControlSettings, DaemonSettings, EndpointSettings, HostSettings, LogSettings, PlatformSettings,
     TlsSettings, TraceSettings,
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -2,7 +2,9 @@
 
 use std::collections::HashMap;
 
-use config::{Head, HostSettings, Placement, assemble, check_configuration, reference_page, split};
+use config::{
+    Head, HostSettings, PlacementRequest, assemble, check_configuration, reference_page, split,
+};
 use proptest::prelude::*;
 
 const GOOD: &str = "\
@@ -77,7 +79,7 @@
         (Some("three"), "desk", None),
     ];
     for (named, user, expected) in rows {
-        let placed = shop.place(Placement { named, user, application_name: "" });
+        let placed = shop.place(PlacementRequest { named, user, application_name: "" });
         assert_eq!(placed.map(|group| &**group), expected, "{named:?} {user}");
     }
 }
--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -1,7 +1,7 @@
 //! Runs one request of a session: selects the group, runs the job and records metrics.
 
 use bytes::Bytes;
-use config::{Placement, Service, UntrackedReads};
+use config::{PlacementRequest, Service, UntrackedReads};
 use model::{GroupId, Refusal, RefusalReason};
 use peer::{Job, Setting};
 use pgwire::messages::PgWireBackendMessage;
@@ -60,7 +60,7 @@
     }
 
     fn select_group(&self, service: &Service) -> Result<GroupId, RequestError> {
-        let placement = Placement {
+        let placement = PlacementRequest {
             named: self.group_name.as_deref(),
             user: &self.user,
             application_name: self.settings.get("application_name").unwrap_or_default(),
