--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -34,7 +34,7 @@
                 return Ok(AfterRequest::Continue);
             }
         };
-        let mut span = self.context.tracer.enter("caller", request.traceparent.as_deref());
+        let mut span = self.context.tracer.start_request("caller", request.traceparent.as_deref());
         let class = if request.effects.is_read_only() { "read" } else { "write" };
         let job = match self.job(request, &service, &group, span.as_ref()) {
             Ok(job) => job,
@@ -46,10 +46,10 @@
         let outcome = self.run_job(&group, &job).await?;
         self.record_metrics(class, &job, &outcome);
         if let Some(mut span) = span.take() {
-            span.set("wardtiller.group", group.to_string());
-            span.set("wardtiller.class", class);
+            span.set_attribute("wardtiller.group", group.to_string());
+            span.set_attribute("wardtiller.class", class);
             if let Err(refusal) = &outcome {
-                span.set("wardtiller.verdict", refusal.verdict.as_str());
+                span.set_attribute("wardtiller.verdict", refusal.verdict.as_str());
             }
             self.context.tracer.finish(span);
         }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -306,12 +306,12 @@
     reply: &Reply,
 ) -> RelayEnd {
     let parent = SpanContext::parse(&job.traceparent);
-    let mut span = parent.map(|parent| context.tracer.child("owner", parent));
+    let mut span = parent.map(|parent| context.tracer.start_child("owner", parent));
     let outcome = execute_relayed_job(context, session, job, reply).await;
     if let Some(mut span) = span.take() {
-        span.set("wardtiller.group", format!("{}/{}", job.service, job.group));
+        span.set_attribute("wardtiller.group", format!("{}/{}", job.service, job.group));
         if let Ok(end) = &outcome {
-            span.set("wardtiller.served_by", end.served_by.as_str());
+            span.set_attribute("wardtiller.served_by", end.served_by.as_str());
         }
         context.tracer.finish(span);
     }
--- a/crates/telemetry/src/trace.rs
+++ b/crates/telemetry/src/trace.rs
@@ -60,7 +60,7 @@
 
 impl Span {
     /// Adds a fact.
-    pub fn set(&mut self, key: &'static str, value: impl Into<String>) {
+    pub fn set_attribute(&mut self, key: &'static str, value: impl Into<String>) {
         self.attributes.push((key, value.into()));
     }
 }
@@ -79,19 +79,19 @@
     }
 
     /// Starts the span of an entering request; `None` when it is not traced.
-    pub fn enter(&self, name: &'static str, traceparent: Option<&str>) -> Option<Span> {
+    pub fn start_request(&self, name: &'static str, traceparent: Option<&str>) -> Option<Span> {
         match traceparent.and_then(SpanContext::parse) {
-            Some(parent) => Some(self.child(name, parent)),
+            Some(parent) => Some(self.start_child(name, parent)),
             None if self.sample > 0.0 && rand::rng().random::<f64>() < self.sample => {
                 let trace_id = rand::rng().random_range(1..u128::MAX);
-                Some(self.child(name, SpanContext { trace_id, span_id: 0 }))
+                Some(self.start_child(name, SpanContext { trace_id, span_id: 0 }))
             }
             None => None,
         }
     }
 
     /// Starts a span beneath another.
-    pub fn child(&self, name: &'static str, parent: SpanContext) -> Span {
+    pub fn start_child(&self, name: &'static str, parent: SpanContext) -> Span {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Span {
             context: SpanContext {
