--- a/crates/wire/src/responses.rs
+++ b/crates/wire/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the daemon gives itself.
+//! Backend messages that the daemon builds itself.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use model::{Refusal, Verdict};
@@ -8,24 +8,24 @@
     response::{CommandComplete, ErrorResponse},
 };
 
-/// The type of text columns.
+/// The PostgreSQL type OID of `text`.
 const TEXT_OID: u32 = 25;
 
-/// An answer made of whole backend messages.
+/// Encodes a sequence of whole backend messages.
 #[derive(Debug, Default)]
 pub struct ResponseBuilder {
     buffer: BytesMut,
 }
 
 impl ResponseBuilder {
-    /// Adds a message.
+    /// Appends a message.
     pub fn with(mut self, message: &PgWireBackendMessage) -> ResponseBuilder {
-        // What the daemon says itself is short, so no limit of the encoding is near.
+        // Encoding fails only for messages beyond the protocol's size limits, and these are short.
         let _ = message.encode(&mut self.buffer);
         self
     }
 
-    /// Adds the tag that ends a statement's answer.
+    /// Appends a `CommandComplete` message with this tag.
     pub fn complete(self, tag: &str) -> ResponseBuilder {
         let message = CommandComplete::new(tag.to_owned());
         self.with(&PgWireBackendMessage::CommandComplete(message))
@@ -37,15 +37,14 @@
     }
 }
 
-/// Describes one text column.
-fn one_column(name: &str) -> RowDescription {
+fn text_column_description(name: &str) -> RowDescription {
     let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
     RowDescription::new(vec![field])
 }
 
-/// Builds a description and a single row with one text column.
+/// Encodes a row description with one text column, and a single row for it.
 pub fn single_row_response(name: &str, value: &str) -> (Bytes, Bytes) {
-    let description = PgWireBackendMessage::RowDescription(one_column(name));
+    let description = PgWireBackendMessage::RowDescription(text_column_description(name));
     let mut data = BytesMut::new();
     data.put_i32(value.len() as i32);
     data.put_slice(value.as_bytes());
@@ -56,7 +55,7 @@
     )
 }
 
-/// Builds the error that tells a caller of a refusal, with its verdict as the first detail.
+/// Builds the error response for a refusal; its detail field holds the verdict and the reason.
 pub fn refusal_response(refusal: &Refusal) -> ErrorResponse {
     let mut fields = vec![
         (b'S', "ERROR".to_owned()),
@@ -82,7 +81,7 @@
     }
 }
 
-/// Encodes the error that tells a caller of a refusal.
+/// Encodes the error response for a refusal.
 pub fn encode_refusal(refusal: &Refusal) -> Bytes {
     ResponseBuilder::default()
         .with(&PgWireBackendMessage::ErrorResponse(refusal_response(refusal)))
