--- a/crates/wire/src/caller_stream.rs
+++ b/crates/wire/src/caller_stream.rs
@@ -1,4 +1,4 @@
-//! The messages of one caller's connection.
+//! Protocol messages of a caller's connection.
 
 use std::{collections::BTreeMap, fmt, io, sync::Arc};
 
@@ -15,11 +15,11 @@
 
 use crate::CallerSocket;
 
-/// How much is read at a time.
+/// Free space in the receive buffer before each read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// While a request runs, no more than this is read ahead of it.
-const READ_AHEAD_BYTES: usize = 1024 * 1024;
+/// Limit on what is buffered from the caller while a request runs.
+const MAX_READ_AHEAD_BYTES: usize = 1024 * 1024;
 
 /// Why a connection ended.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     Closed,
     /// The socket failed.
     Io(io::Error),
-    /// The caller broke the protocol.
+    /// The caller violated the protocol.
     Protocol(String),
 }
 
@@ -50,26 +50,26 @@
     }
 }
 
-/// What a caller's first messages ask for.
+/// The request made by a caller's start-up messages.
 #[derive(Debug)]
 pub enum StartupRequest {
-    /// A session, with the parameters given.
+    /// Opens a session.
     Session {
         /// The start-up parameters.
         parameters: BTreeMap<String, String>,
-        /// Whether the connection is under TLS.
+        /// Whether the connection uses TLS.
         tls: bool,
     },
-    /// To cancel what another connection runs.
+    /// Cancels the statement that another connection runs.
     Cancel {
-        /// The process number given to that connection.
+        /// The process id from that connection's `BackendKeyData`.
         process: i32,
-        /// Its secret.
+        /// The secret key from the same message.
         secret: i32,
     },
 }
 
-/// A caller's connection.
+/// A caller's connection, with its send and receive buffers.
 #[derive(Debug)]
 pub struct CallerStream {
     socket: Option<CallerSocket>,
@@ -79,7 +79,7 @@
 }
 
 impl CallerStream {
-    /// Takes over a socket that was just accepted.
+    /// Wraps a newly accepted socket.
     pub fn new(socket: TcpStream) -> CallerStream {
         CallerStream {
             socket: Some(CallerSocket::Plain(socket)),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads the first messages, going over to TLS where the caller asks and `tls` allows.
+    /// Reads the start-up messages and switches to TLS if the caller asks for it and `tls` is given.
     pub async fn start(
         &mut self,
         tls: Option<&Arc<TlsAcceptor>>,
@@ -104,12 +104,12 @@
                         self.accept_tls(acceptor).await?;
                         encrypted = true;
                     }
-                    _ => self.decline(SslResponse::Refuse).await?,
+                    _ => self.send_ssl_response(SslResponse::Refuse).await?,
                 },
                 PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::PostgresGss(
                     _,
                 )) => {
-                    self.decline(SslResponse::Refuse).await?;
+                    self.send_ssl_response(SslResponse::Refuse).await?;
                 }
                 PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
                     self.context.awaiting_frontend_ssl = false;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Answers a caller that asks for a newer minor version with the one that is spoken here.
+    /// Offers protocol 3.0 to a caller that asks for a newer minor version.
     fn negotiate(&mut self, major: u16, minor: u16) -> Result<(), StreamEnd> {
         if major != 3 {
             return Err(StreamEnd::Protocol(format!("protocol version {major}.{minor}")));
@@ -144,8 +144,8 @@
     }
 
     async fn accept_tls(&mut self, acceptor: &TlsAcceptor) -> Result<(), StreamEnd> {
-        self.decline(SslResponse::Accept).await?;
-        // Bytes sent before the handshake would not be under TLS, so they must not be believed.
+        self.send_ssl_response(SslResponse::Accept).await?;
+        // Plaintext sent ahead of the handshake could be injected by an attacker (CVE-2021-23214).
         if !self.incoming.is_empty() {
             return Err(StreamEnd::Protocol("data before the TLS handshake".to_owned()));
         }
@@ -159,7 +159,7 @@
         }
     }
 
-    async fn decline(&mut self, response: SslResponse) -> Result<(), StreamEnd> {
+    async fn send_ssl_response(&mut self, response: SslResponse) -> Result<(), StreamEnd> {
         self.add(&PgWireBackendMessage::SslResponse(response));
         self.flush().await
     }
@@ -170,29 +170,29 @@
             if let Some(message) = self.try_next()? {
                 return Ok(message);
             }
-            self.fill().await?;
+            self.read_more().await?;
         }
     }
 
-    /// Returns a message that has arrived already.
+    /// Returns the next message if it has fully arrived, without waiting.
     pub fn try_next(&mut self) -> Result<Option<PgWireFrontendMessage>, StreamEnd> {
         PgWireFrontendMessage::decode(&mut self.incoming, &self.context)
             .map_err(|error| StreamEnd::Protocol(error.to_string()))
     }
 
-    /// Waits until the caller is gone, keeping what it sends meanwhile. It may be cancelled.
+    /// Waits until the connection ends and buffers what arrives meanwhile. This method is cancel safe.
     pub async fn closed(&mut self) -> StreamEnd {
         loop {
-            if self.incoming.len() >= READ_AHEAD_BYTES {
+            if self.incoming.len() >= MAX_READ_AHEAD_BYTES {
                 return std::future::pending().await;
             }
-            if let Err(end) = self.fill().await {
+            if let Err(end) = self.read_more().await {
                 return end;
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), StreamEnd> {
+    async fn read_more(&mut self) -> Result<(), StreamEnd> {
         let socket = self.socket.as_mut().ok_or(StreamEnd::Closed)?;
         self.incoming.reserve(READ_BYTES);
         match socket.read_buf(&mut self.incoming).await? {
@@ -201,23 +201,23 @@
         }
     }
 
-    /// Adds a message to what is to be sent.
+    /// Appends a message to the send buffer.
     pub fn add(&mut self, message: &PgWireBackendMessage) {
-        // Only a message beyond the protocol's own limits fails to encode, and none is built here.
+        // Encoding fails only for messages beyond the protocol's size limits, and none is built here.
         let _ = message.encode(&mut self.outgoing);
     }
 
-    /// Adds encoded messages to what is to be sent.
+    /// Appends encoded messages to the send buffer.
     pub fn add_bytes(&mut self, messages: &Bytes) {
         self.outgoing.extend_from_slice(messages);
     }
 
-    /// Returns how many bytes wait to be sent.
-    pub fn waiting_bytes(&self) -> usize {
+    /// Returns the size of the send buffer.
+    pub fn buffered_bytes(&self) -> usize {
         self.outgoing.len()
     }
 
-    /// Sends everything added.
+    /// Sends the whole send buffer.
     pub async fn flush(&mut self) -> Result<(), StreamEnd> {
         let socket = self.socket.as_mut().ok_or(StreamEnd::Closed)?;
         socket.write_all(&self.outgoing).await?;
@@ -226,10 +226,10 @@
         Ok(())
     }
 
-    /// Closes the connection after what was sent.
+    /// Shuts the connection down for writing.
     pub async fn close(&mut self) {
         if let Some(socket) = self.socket.as_mut() {
-            // The caller may be gone already, which is what was wanted.
+            // An error here means that the caller has already disconnected.
             let _ = socket.shutdown().await;
         }
     }
