--- a/crates/wire/src/endpoint_stream.rs
+++ b/crates/wire/src/endpoint_stream.rs
@@ -1,4 +1,4 @@
-//! The messages of one connection to an endpoint.
+//! Protocol messages of a connection to an endpoint.
 
 use std::{fmt, io, net::SocketAddr, time::Duration};
 
@@ -21,13 +21,13 @@
     net::TcpStream,
 };
 
-/// How much is read at a time.
+/// Free space in the receive buffer before each read.
 const READ_BYTES: usize = 32 * 1024;
 
-/// Where an endpoint is and as whom to log in.
+/// The address of an endpoint and the parameters of the log-in there.
 #[derive(Clone, Debug)]
 pub struct EndpointAddress {
-    /// Its address.
+    /// The socket address.
     pub address: SocketAddr,
     /// The user.
     pub user: String,
@@ -35,25 +35,25 @@
     pub database: String,
     /// The password, if the endpoint asks for one.
     pub password: Option<String>,
-    /// What the connection says that it is for.
+    /// The `application_name` start-up parameter.
     pub application_name: String,
 }
 
-/// Why an endpoint's connection failed.
+/// Why a connection to an endpoint failed.
 #[derive(Debug)]
 pub enum EndpointError {
-    /// The socket failed or was closed.
+    /// The socket failed or the endpoint closed it.
     Io(io::Error),
-    /// No answer came in time.
+    /// Connecting and logging in took longer than the timeout.
     TimedOut,
-    /// The endpoint answered with an error.
+    /// The endpoint sent an error response.
     Refused {
         /// The SQLSTATE.
         code: String,
         /// The message.
         message: String,
     },
-    /// The endpoint broke the protocol.
+    /// The endpoint violated the protocol, or needs something unsupported.
     Protocol(String),
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns a field of an error, empty if it is missing.
+/// Returns a field of an error response, or an empty text if the field is missing.
 fn error_field(error: &ErrorResponse, field: u8) -> String {
     let found = error.fields.iter().find(|(key, _)| *key == field);
     found.map(|(_, value)| value.clone()).unwrap_or_default()
@@ -90,7 +90,7 @@
     }
 }
 
-/// A connection to an endpoint.
+/// A connection to an endpoint, with its send and receive buffers.
 #[derive(Debug)]
 pub struct EndpointStream {
     socket: TcpStream,
@@ -103,17 +103,17 @@
 }
 
 impl EndpointStream {
-    /// Connects and logs in.
+    /// Connects and logs in, both within `timeout`.
     pub async fn connect(
         target: &EndpointAddress,
         timeout: Duration,
     ) -> Result<EndpointStream, EndpointError> {
-        tokio::time::timeout(timeout, EndpointStream::connect_now(target))
+        tokio::time::timeout(timeout, EndpointStream::connect_and_log_in(target))
             .await
             .map_err(|_| EndpointError::TimedOut)?
     }
 
-    async fn connect_now(target: &EndpointAddress) -> Result<EndpointStream, EndpointError> {
+    async fn connect_and_log_in(target: &EndpointAddress) -> Result<EndpointStream, EndpointError> {
         let socket = TcpStream::connect(target.address).await?;
         socket.set_nodelay(true)?;
         let mut context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
@@ -186,7 +186,7 @@
     ) -> Result<(), EndpointError> {
         let protocol = |error: &dyn fmt::Display| EndpointError::Protocol(error.to_string());
         let scram = ScramClientAuth::new(target.user.clone(), password);
-        let (first, waiting) = scram.build_client_first().map_err(|error| protocol(&error))?;
+        let (first, exchange) = scram.build_client_first().map_err(|error| protocol(&error))?;
         let initial =
             SASLInitialResponse::new("SCRAM-SHA-256".to_owned(), Some(first.into_bytes().into()));
         let message = PasswordMessageFamily::SASLInitialResponse(initial);
@@ -197,41 +197,41 @@
             PgWireBackendMessage::ErrorResponse(error) => return Err((&error).into()),
             _ => return Err(EndpointError::Protocol("expected a SCRAM challenge".to_owned())),
         };
-        let (last, waiting) =
-            waiting.build_client_final(&challenge).map_err(|error| protocol(&error))?;
+        let (last, exchange) =
+            exchange.build_client_final(&challenge).map_err(|error| protocol(&error))?;
         let response = SASLResponse::new(last.into_bytes().into());
         let message = PasswordMessageFamily::SASLResponse(response);
         self.add_message(&PgWireFrontendMessage::PasswordMessageFamily(message))?;
         self.flush().await?;
         match self.next().await? {
             PgWireBackendMessage::Authentication(Authentication::SASLFinal(proof)) => {
-                waiting.verify_server_final(&proof).map_err(|error| protocol(&error))
+                exchange.verify_server_final(&proof).map_err(|error| protocol(&error))
             }
             PgWireBackendMessage::ErrorResponse(error) => Err((&error).into()),
             _ => Err(EndpointError::Protocol("expected the end of SCRAM".to_owned())),
         }
     }
 
-    /// Adds a message to what is to be sent.
+    /// Appends a message to the send buffer.
     pub fn add_message(&mut self, message: &PgWireFrontendMessage) -> Result<(), EndpointError> {
         message
             .encode(&mut self.outgoing)
             .map_err(|error| EndpointError::Protocol(error.to_string()))
     }
 
-    /// Adds a simple query to what is to be sent.
+    /// Appends a simple query to the send buffer.
     pub fn add_query(&mut self, sql: &str) -> Result<(), EndpointError> {
         Query::new(sql.to_owned())
             .encode(&mut self.outgoing)
             .map_err(|error| EndpointError::Protocol(error.to_string()))
     }
 
-    /// Adds encoded messages to what is to be sent.
+    /// Appends encoded messages to the send buffer.
     pub fn add_bytes(&mut self, messages: &Bytes) {
         self.outgoing.extend_from_slice(messages);
     }
 
-    /// Sends everything added.
+    /// Sends the whole send buffer.
     pub async fn flush(&mut self) -> Result<(), EndpointError> {
         self.socket.write_all(&self.outgoing).await?;
         self.outgoing.clear();
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Whether the endpoint has closed the connection or sent something unasked.
+    /// Whether the endpoint has closed this idle connection or sent unexpected data on it.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0; 1];
         !self.incoming.is_empty()
@@ -263,12 +263,12 @@
             )
     }
 
-    /// Returns what is needed to cancel what runs on this connection.
+    /// Returns the address, process id and secret key for [`EndpointStream::cancel`].
     pub fn cancel_key(&self) -> (SocketAddr, i32, SecretKey) {
         (self.address, self.process, self.secret.clone())
     }
 
-    /// Asks an endpoint to cancel what runs on another connection.
+    /// Sends a cancel request for the statement that another connection runs.
     pub async fn cancel(address: SocketAddr, process: i32, secret: SecretKey) -> io::Result<()> {
         let mut buffer = BytesMut::new();
         CancelRequest::new(process, secret)
