--- a/crates/wire/src/comment.rs
+++ b/crates/wire/src/comment.rs
@@ -1,20 +1,20 @@
-//! Facts that a caller attaches to a statement in a trailing SQL comment.
+//! Tags that a caller attaches to a statement in a trailing SQL comment, in the sqlcommenter format.
 
 use std::borrow::Cow;
 
-/// What a trailing comment of the form `/* key='value', … */` says, as far as it is of use here.
+/// The known tags of a trailing comment of the form `/* key='value', … */`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tags {
-    /// The kind of read, from `wardtiller.read_kind`.
+    /// The kind of read, from the key `wardtiller.read_kind`.
     pub read_kind: Option<String>,
-    /// The W3C trace context, from `traceparent`.
+    /// The W3C trace context, from the key `traceparent`.
     pub traceparent: Option<String>,
 }
 
 /// Splits a statement from its trailing comment.
 ///
-/// The comment varies from call to call with the trace, so the statement without it is what
-/// classifications are remembered under. A text whose end is not a comment is returned whole.
+/// The trace context differs from call to call, so [`crate::Classifier`] caches by the text without
+/// the comment. A text that does not end with a comment is returned unchanged.
 pub fn split_tags(sql: &str) -> (&str, Tags) {
     let trimmed = sql.trim_end().trim_end_matches(';').trim_end();
     if !trimmed.ends_with("*/") {
@@ -22,10 +22,10 @@
     }
     let Some(start) = trimmed.rfind("/*") else { return (sql, Tags::default()) };
     let inner = &trimmed[start + 2..trimmed.len() - 2];
-    (trimmed[..start].trim_end(), read_tags(inner))
+    (trimmed[..start].trim_end(), parse_tags(inner))
 }
 
-fn read_tags(inner: &str) -> Tags {
+fn parse_tags(inner: &str) -> Tags {
     let mut tags = Tags::default();
     for pair in inner.split(',') {
         let Some((key, value)) = pair.split_once('=') else { continue };
