--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -12,12 +12,12 @@
 };
 use tokio_rustls::server::TlsStream;
 
-/// The socket.
+/// A plain or encrypted TCP socket.
 #[derive(Debug)]
 pub enum CallerSocket {
-    /// Without TLS.
+    /// A socket without TLS.
     Plain(TcpStream),
-    /// With TLS.
+    /// A socket with TLS.
     Tls(Box<TlsStream<TcpStream>>),
 }
 
