--- a/crates/wire/src/log_in.rs
+++ b/crates/wire/src/log_in.rs
@@ -1,4 +1,4 @@
-//! Log-in by SCRAM-SHA-256; no password and no verifier is ever written to a log.
+//! Log-in by SCRAM-SHA-256. Passwords and verifiers must never be logged.
 
 use std::fmt;
 
@@ -20,9 +20,9 @@
 /// Why a log-in failed.
 #[derive(Debug)]
 pub enum LogInError {
-    /// The caller went away or broke the protocol.
+    /// The connection ended, or the caller violated the protocol.
     Stream(StreamEnd),
-    /// The password is wrong, or the user has none.
+    /// The password is wrong, the user has no verifier, or the exchange is malformed.
     Denied,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Makes the verifier of a password, in the form that PostgreSQL stores.
+/// Derives the verifier of a password with a random salt, in the format that PostgreSQL stores.
 pub fn make_verifier(password: &str) -> String {
     let salt: [u8; SALT_BYTES] = rand::rng().random();
     let salted = gen_salted_password(password, &salt, SCRAM_ITERATIONS);
@@ -58,7 +58,7 @@
     }
 }
 
-fn read_verifier(verifier: &str) -> Option<ScramSecret> {
+fn parse_verifier(verifier: &str) -> Option<ScramSecret> {
     let rest = verifier.strip_prefix(MECHANISM)?.strip_prefix('$')?;
     let (parameters, keys) = rest.split_once('$')?;
     let (iterations, salt) = parameters.split_once(':')?;
@@ -71,13 +71,15 @@
     })
 }
 
-/// Logs a caller in. An unknown user goes through the same exchange and is denied at its end, so
-/// that the answer does not tell which users exist.
+/// Authenticates a caller by SCRAM-SHA-256.
+///
+/// Without a usable verifier the whole exchange runs with a random one and is denied at its end, so
+/// that a caller can't find out which users exist.
 pub async fn scram_log_in(
     stream: &mut CallerStream,
     verifier: Option<&str>,
 ) -> Result<(), LogInError> {
-    let known = verifier.and_then(read_verifier);
+    let known = verifier.and_then(parse_verifier);
     let denied = known.is_none();
     let secret = match known {
         Some(secret) => secret,
@@ -101,7 +103,7 @@
         return Err(LogInError::Denied);
     }
     let data = initial.data.unwrap_or_default();
-    let (server_first, waiting) = ScramServerAuth::new()
+    let (server_first, exchange) = ScramServerAuth::new()
         .on_client_first_message_with_secret(&data, secret)
         .map_err(|_| LogInError::Denied)?;
     let challenge = Authentication::SASLContinue(server_first.into_bytes().into());
@@ -110,7 +112,7 @@
     let last = next_password_message(stream).await?;
     let response = last.into_sasl_response().map_err(|_| LogInError::Denied)?;
     let server_final =
-        waiting.on_client_final_message(&response.data).map_err(|_| LogInError::Denied)?;
+        exchange.on_client_final_message(&response.data).map_err(|_| LogInError::Denied)?;
     if denied {
         return Err(LogInError::Denied);
     }
