--- a/crates/wire/src/classify.rs
+++ b/crates/wire/src/classify.rs
@@ -1,7 +1,7 @@
-//! What a statement may do.
+//! Classifies statements by their effect.
 //!
-//! The rule is to be safe by default: only what is shown to change nothing is a read, and session
-//! state that pooled connections can't carry is refused rather than silently lost.
+//! Only a provably read-only statement counts as a read, and a statement that needs session state
+//! beyond the replayed settings is refused, since pooling would silently lose that state.
 
 use sqlparser::{
     ast::{
@@ -13,25 +13,25 @@
     tokenizer::{Token, Tokenizer},
 };
 
-use crate::read_check::{changes_nothing, uses_session_function};
+use crate::read_check::{is_read_only, uses_session_function};
 
 /// The effect of one statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Shown to change nothing.
+    /// Provably read-only.
     Read,
     /// May change data.
     Write,
-    /// Only concerns the transaction that it stands in, such as a savepoint.
+    /// Affects only the current transaction, such as a savepoint.
     Neutral,
     /// Begins a transaction.
     Begin {
-        /// Whether it declares to change nothing.
+        /// Whether the transaction is declared `READ ONLY`.
         read_only: bool,
     },
-    /// Ends a transaction, keeping its changes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction, dropping its changes.
+    /// Rolls a transaction back.
     Rollback,
     /// Sets a session setting.
     Set {
@@ -47,16 +47,16 @@
         /// The setting's name in lower case.
         name: String,
     },
-    /// Drops all session state.
+    /// Discards all session state.
     Discard,
-    /// No statement at all, as far as can be told.
+    /// Not a valid statement.
     Invalid {
-        /// What the parser says.
+        /// The parser's error.
         message: String,
     },
-    /// Can't be carried by pooled connections.
+    /// Not supported on pooled connections.
     Refused {
-        /// What it is, for the message to the caller.
+        /// The unsupported feature, for the message to the caller.
         what: &'static str,
     },
 }
@@ -64,12 +64,12 @@
 /// The effects of a text's statements, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Classification {
-    /// One effect for each statement; none for an empty text.
+    /// One effect per statement; empty for an empty text.
     pub effects: Vec<Effect>,
 }
 
 impl Classification {
-    /// Whether every statement is shown to change nothing.
+    /// Whether every statement is provably read-only.
     pub fn is_read(&self) -> bool {
         !self.effects.is_empty() && self.effects.iter().all(|effect| *effect == Effect::Read)
     }
@@ -79,12 +79,12 @@
         self.effects.contains(&Effect::Write)
     }
 
-    /// Whether the daemon answers every statement itself.
+    /// Whether the daemon itself answers every statement.
     pub fn is_local(&self) -> bool {
         !self.effects.is_empty() && self.effects.iter().all(is_local)
     }
 
-    /// Returns what is wrong with the text, if it is no statement.
+    /// Returns the parser's error if the text is not valid.
     pub fn invalid(&self) -> Option<&str> {
         self.effects.iter().find_map(|effect| match effect {
             Effect::Invalid { message } => Some(message.as_str()),
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Returns what can't be carried out here, if anything.
+    /// Returns the first unsupported feature, including a mix of local and other statements.
     pub fn refused(&self) -> Option<&'static str> {
         let refused = self.effects.iter().find_map(|effect| match effect {
             Effect::Refused { what } => Some(*what),
@@ -111,13 +111,13 @@
     }
 }
 
-/// Classifies a text. `read_functions` are functions that operators declare to change nothing.
+/// Classifies a text. `read_functions` are additional functions that operators declare read-only.
 pub fn classify(sql: &str, read_functions: &[&str]) -> Classification {
     let effects = match Parser::parse_sql(&PostgreSqlDialect {}, sql) {
         Ok(statements) => {
             statements.iter().map(|statement| statement_effect(statement, read_functions)).collect()
         }
-        Err(error) => vec![unparsed_effect(sql, &error.to_string())],
+        Err(error) => vec![effect_by_keyword(sql, &error.to_string())],
     };
     Classification { effects }
 }
@@ -127,14 +127,14 @@
         return Effect::Refused { what: "a function that changes or reads session state" };
     }
     match statement {
-        Statement::Query(_) if changes_nothing(statement, read_functions) => Effect::Read,
+        Statement::Query(_) if is_read_only(statement, read_functions) => Effect::Read,
         Statement::Explain { analyze: false, options: None, .. } => Effect::Read,
         Statement::ShowVariable { variable } => {
             let parts: Vec<String> = variable.iter().map(|ident| ident.value.clone()).collect();
             Effect::Show { name: parts.join(".").to_lowercase() }
         }
         Statement::StartTransaction { modes, statements, .. } if statements.is_empty() => {
-            Effect::Begin { read_only: is_read_only(modes) }
+            Effect::Begin { read_only: has_read_only_mode(modes) }
         }
         Statement::Commit { chain: false, .. } => Effect::Commit,
         Statement::Rollback { chain: false, savepoint: None } => Effect::Rollback,
@@ -172,7 +172,7 @@
                        statements work)",
             }
         }
-        Statement::Declare { stmts, .. } if stmts.iter().any(keeps_cursor) => {
+        Statement::Declare { stmts, .. } if stmts.iter().any(is_with_hold) => {
             Effect::Refused { what: "a cursor WITH HOLD" }
         }
         Statement::Commit { .. } | Statement::Rollback { .. } => {
@@ -182,11 +182,11 @@
     }
 }
 
-fn keeps_cursor(declare: &Declare) -> bool {
+fn is_with_hold(declare: &Declare) -> bool {
     declare.hold == Some(true)
 }
 
-fn is_read_only(modes: &[TransactionMode]) -> bool {
+fn has_read_only_mode(modes: &[TransactionMode]) -> bool {
     modes.contains(&TransactionMode::AccessMode(TransactionAccessMode::ReadOnly))
 }
 
@@ -195,11 +195,12 @@
         Set::SingleAssignment { scope: Some(ContextModifier::Local), .. }
         | Set::SetTimeZone { local: true, .. } => Effect::Neutral,
         Set::SetTransaction { session: false, .. } => Effect::Neutral,
-        Set::SingleAssignment { variable, values, .. } => {
-            Effect::Set { name: variable.to_string().to_lowercase(), value: plain_values(values) }
-        }
+        Set::SingleAssignment { variable, values, .. } => Effect::Set {
+            name: variable.to_string().to_lowercase(),
+            value: setting_text_of_list(values),
+        },
         Set::SetTimeZone { value, .. } => {
-            Effect::Set { name: "timezone".to_owned(), value: plain_value(value) }
+            Effect::Set { name: "timezone".to_owned(), value: setting_text(value) }
         }
         Set::SetNames { charset_name, .. } => Effect::Set {
             name: "client_encoding".to_owned(),
@@ -209,13 +210,13 @@
     }
 }
 
-fn plain_values(values: &[Expr]) -> Option<String> {
-    let parts: Option<Vec<String>> = values.iter().map(plain_value).collect();
+fn setting_text_of_list(values: &[Expr]) -> Option<String> {
+    let parts: Option<Vec<String>> = values.iter().map(setting_text).collect();
     parts.map(|parts| parts.join(", "))
 }
 
 /// Returns a setting's value as text; `None` for `DEFAULT`.
-fn plain_value(value: &Expr) -> Option<String> {
+fn setting_text(value: &Expr) -> Option<String> {
     match value {
         Expr::Value(value) => match &value.value {
             Value::SingleQuotedString(text) | Value::DoubleQuotedString(text) => Some(text.clone()),
@@ -227,15 +228,15 @@
     }
 }
 
-/// Statements that the parser may not know every form of, and that only change data.
-const PLAIN_WRITES: [&str; 27] = [
+/// First keywords of statements that have no effect on session state, except with `TEMP`.
+const WRITE_KEYWORDS: [&str; 27] = [
     "INSERT", "UPDATE", "DELETE", "MERGE", "SELECT", "WITH", "CREATE", "ALTER", "DROP", "TRUNCATE",
     "GRANT", "REVOKE", "COMMENT", "VACUUM", "ANALYZE", "REINDEX", "CALL", "DO", "EXPLAIN",
     "REFRESH", "LOCK", "VALUES", "TABLE", "CLUSTER", "REASSIGN", "SECURITY", "NOTIFY",
 ];
 
-/// First words of statements that may change session state in a form that the parser does not know.
-const SESSION_WORDS: [&str; 16] = [
+/// First keywords of statements that may change session state.
+const SESSION_KEYWORDS: [&str; 16] = [
     "LISTEN",
     "UNLISTEN",
     "PREPARE",
@@ -256,9 +257,12 @@
 
 const UNKNOWN_STATEMENT: &str = "a statement that can't be shown to be safe on pooled connections";
 
-/// Judges a text that the parser can't read: by its first word, and only if it is one statement.
-fn unparsed_effect(sql: &str, problem: &str) -> Effect {
-    let invalid = || Effect::Invalid { message: problem.to_owned() };
+/// Classifies a text that the parser rejects by its first keyword.
+///
+/// The parser does not know every form of every statement. A single statement with a write keyword
+/// counts as a write, any other text with a known keyword is refused, and the rest is invalid.
+fn effect_by_keyword(sql: &str, parse_error: &str) -> Effect {
+    let invalid = || Effect::Invalid { message: parse_error.to_owned() };
     let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, sql).tokenize() else {
         return invalid();
     };
@@ -267,7 +271,8 @@
         Some(Token::Word(word)) => word.value.to_uppercase(),
         _ => return invalid(),
     };
-    let known = PLAIN_WRITES.contains(&first.as_str()) || SESSION_WORDS.contains(&first.as_str());
+    let known =
+        WRITE_KEYWORDS.contains(&first.as_str()) || SESSION_KEYWORDS.contains(&first.as_str());
     if !known {
         return invalid();
     }
@@ -278,7 +283,7 @@
         matches!(token, Token::Word(word) if ["TEMP", "TEMPORARY"]
             .contains(&word.value.to_uppercase().as_str()))
     });
-    if single && !temporary && PLAIN_WRITES.contains(&first.as_str()) {
+    if single && !temporary && WRITE_KEYWORDS.contains(&first.as_str()) {
         Effect::Write
     } else {
         Effect::Refused { what: UNKNOWN_STATEMENT }
--- a/crates/wire/src/read_check.rs
+++ b/crates/wire/src/read_check.rs
@@ -1,13 +1,13 @@
-//! Shows that a query changes nothing, or fails to.
+//! Checks whether a statement is provably read-only.
 
 use std::ops::ControlFlow;
 
 use sqlparser::ast::{Expr, Query, Select, Statement, TableFactor, Visit, Visitor};
 
-/// Functions that neither change anything nor depend on the session.
+/// Functions that neither change data nor depend on the session.
 ///
-/// A name that is missing here only costs a read its replica; operators add to it with
-/// `read_functions`.
+/// A query that calls any other function counts as a write and runs on the primary. Operators extend
+/// the list with `read_functions`.
 const READ_FUNCTIONS: [&str; 92] = [
     "abs",
     "age",
@@ -103,7 +103,7 @@
     "upper",
 ];
 
-/// Functions whose effect or answer belongs to one connection.
+/// Functions that read or change the state of one connection.
 const SESSION_FUNCTIONS: [&str; 9] = [
     "currval",
     "lastval",
@@ -116,17 +116,18 @@
     "set_config",
 ];
 
-/// Whether a statement is shown to change nothing.
-pub(crate) fn changes_nothing(statement: &Statement, read_functions: &[&str]) -> bool {
+/// Whether a statement is provably read-only.
+pub(crate) fn is_read_only(statement: &Statement, read_functions: &[&str]) -> bool {
     let mut visitor = ReadVisitor { read_functions, statements: 0 };
     statement.visit(&mut visitor).is_continue()
 }
 
-/// Whether a statement calls a function that belongs to one connection.
+/// Whether a statement calls one of [`SESSION_FUNCTIONS`].
 pub(crate) fn uses_session_function(statement: &Statement) -> bool {
     statement.visit(&mut SessionVisitor).is_break()
 }
 
+/// Stops at the first part of a statement that is not provably read-only.
 struct ReadVisitor<'a> {
     read_functions: &'a [&'a str],
     statements: usize,
@@ -136,7 +137,7 @@
     type Break = ();
 
     fn pre_visit_statement(&mut self, _: &Statement) -> ControlFlow<()> {
-        // A statement inside the query is a data change in a common table expression.
+        // A nested statement is a data-modifying common table expression.
         self.statements += 1;
         if self.statements > 1 { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
     }
@@ -151,8 +152,10 @@
 
     fn pre_visit_table_factor(&mut self, table: &TableFactor) -> ControlFlow<()> {
         match table {
-            TableFactor::Table { name, args: Some(_), .. } => self.check(&name.to_string()),
-            TableFactor::Function { name, .. } => self.check(&name.to_string()),
+            TableFactor::Table { name, args: Some(_), .. } => {
+                self.check_function(&name.to_string())
+            }
+            TableFactor::Function { name, .. } => self.check_function(&name.to_string()),
             TableFactor::TableFunction { .. } => ControlFlow::Break(()),
             _ => ControlFlow::Continue(()),
         }
@@ -160,21 +163,22 @@
 
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
         match expr {
-            Expr::Function(function) => self.check(&function.name.to_string()),
+            Expr::Function(function) => self.check_function(&function.name.to_string()),
             _ => ControlFlow::Continue(()),
         }
     }
 }
 
 impl ReadVisitor<'_> {
-    fn check(&self, name: &str) -> ControlFlow<()> {
-        let name = plain_name(name);
+    fn check_function(&self, name: &str) -> ControlFlow<()> {
+        let name = normalize_function_name(name);
         let known = READ_FUNCTIONS.contains(&name.as_str())
             || self.read_functions.iter().any(|known| known.eq_ignore_ascii_case(&name));
         if known { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
     }
 }
 
+/// Stops at the first call of a session function.
 struct SessionVisitor;
 
 impl Visitor for SessionVisitor {
@@ -182,22 +186,24 @@
 
     fn pre_visit_table_factor(&mut self, table: &TableFactor) -> ControlFlow<()> {
         match table {
-            TableFactor::Table { name, args: Some(_), .. } => check_session(&name.to_string()),
-            TableFactor::Function { name, .. } => check_session(&name.to_string()),
+            TableFactor::Table { name, args: Some(_), .. } => {
+                check_session_function(&name.to_string())
+            }
+            TableFactor::Function { name, .. } => check_session_function(&name.to_string()),
             _ => ControlFlow::Continue(()),
         }
     }
 
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
         match expr {
-            Expr::Function(function) => check_session(&function.name.to_string()),
+            Expr::Function(function) => check_session_function(&function.name.to_string()),
             _ => ControlFlow::Continue(()),
         }
     }
 }
 
-fn check_session(name: &str) -> ControlFlow<()> {
-    let name = plain_name(name);
+fn check_session_function(name: &str) -> ControlFlow<()> {
+    let name = normalize_function_name(name);
     if SESSION_FUNCTIONS.contains(&name.as_str()) {
         ControlFlow::Break(())
     } else {
@@ -205,7 +211,7 @@
     }
 }
 
-fn plain_name(name: &str) -> String {
+fn normalize_function_name(name: &str) -> String {
     let name = name.to_lowercase();
     name.strip_prefix("pg_catalog.").unwrap_or(&name).to_owned()
 }
