--- a/crates/wire/src/classifier.rs
+++ b/crates/wire/src/classifier.rs
@@ -1,4 +1,4 @@
-//! Remembers classifications, since callers send the same texts again and again.
+//! Caches classifications, since callers send the same texts repeatedly.
 
 use std::{num::NonZeroUsize, sync::Arc};
 
@@ -8,43 +8,45 @@
 
 use crate::{Classification, classify};
 
-/// Texts remembered in each part of the memory.
-const TEXTS: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
+/// Cached classifications per shard.
+const ENTRIES_PER_SHARD: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
 
-/// Parts, so that threads seldom wait for each other.
-const PARTS: usize = 16;
+/// Shards of the cache, each with its own lock, to limit contention.
+const SHARDS: usize = 16;
 
-/// Longer texts are classified each time, so that a few of them can't fill the memory.
-const LONGEST_TEXT_BYTES: usize = 64 * 1024;
+/// Longer texts are not cached.
+const MAX_CACHED_TEXT_BYTES: usize = 64 * 1024;
 
-/// A bounded memory of classifications, shared by all threads.
+/// A bounded cache of classifications, shared by all threads.
 #[derive(Debug)]
 pub struct Classifier {
-    parts: Vec<Mutex<LruCache<u128, Arc<Classification>>>>,
+    shards: Vec<Mutex<LruCache<u128, Arc<Classification>>>>,
 }
 
 impl Default for Classifier {
     fn default() -> Classifier {
-        Classifier { parts: (0..PARTS).map(|_| Mutex::new(LruCache::new(TEXTS))).collect() }
+        Classifier {
+            shards: (0..SHARDS).map(|_| Mutex::new(LruCache::new(ENTRIES_PER_SHARD))).collect(),
+        }
     }
 }
 
 impl Classifier {
-    /// Classifies a text, out of memory where it can.
+    /// Classifies a text, from the cache if possible.
     pub fn classify(&self, sql: &str, read_functions: &[&str]) -> Arc<Classification> {
-        if sql.len() > LONGEST_TEXT_BYTES {
+        if sql.len() > MAX_CACHED_TEXT_BYTES {
             return Arc::new(classify(sql, read_functions));
         }
         let mut hash = xxh3_128(sql.as_bytes());
         for function in read_functions {
             hash = hash.rotate_left(1) ^ xxh3_128(function.as_bytes());
         }
-        let part = &self.parts[(hash % PARTS as u128) as usize];
-        if let Some(known) = part.lock().get(&hash) {
-            return known.clone();
+        let shard = &self.shards[(hash % SHARDS as u128) as usize];
+        if let Some(cached) = shard.lock().get(&hash) {
+            return cached.clone();
         }
         let classified = Arc::new(classify(sql, read_functions));
-        part.lock().put(hash, classified.clone());
+        shard.lock().put(hash, classified.clone());
         classified
     }
 }
