--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,11 +1,11 @@
-//! Session settings that are carried from connection to connection.
+//! Session settings that are replayed on each endpoint connection.
 
 use std::{collections::BTreeMap, fmt};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Settings that are replayed on every connection that a session gets.
-const CARRIED: [&str; 16] = [
+/// Settings that are replayed on every endpoint connection of a session.
+const REPLAYED_SETTINGS: [&str; 16] = [
     "application_name",
     "bytea_output",
     "client_encoding",
@@ -24,20 +24,20 @@
     "transform_null_equals",
 ];
 
-/// Longer values are refused, so that a session's state stays small.
-const LONGEST_VALUE_BYTES: usize = 4_096;
+/// Limit on the length of a setting's value.
+const MAX_VALUE_BYTES: usize = 4_096;
 
-/// Why a setting was not taken.
+/// Why a setting was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingError {
-    /// It can't be carried from connection to connection.
-    NotCarried {
-        /// Its name.
+    /// The setting is not one of those that are replayed.
+    NotReplayed {
+        /// The setting's name.
         name: String,
     },
-    /// Its value is too long.
+    /// The value is too long.
     TooLong {
-        /// Its name.
+        /// The setting's name.
         name: String,
     },
 }
@@ -45,14 +45,14 @@
 impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingError::NotCarried { name } => write!(
+            SettingError::NotReplayed { name } => write!(
                 f,
                 "the setting `{name}` is not carried between pooled connections; use SET LOCAL in \
                  a transaction, or one of: {}",
-                CARRIED.join(", ")
+                REPLAYED_SETTINGS.join(", ")
             ),
             SettingError::TooLong { name } => {
-                write!(f, "the value of `{name}` is longer than {LONGEST_VALUE_BYTES} bytes")
+                write!(f, "the value of `{name}` is longer than {MAX_VALUE_BYTES} bytes")
             }
         }
     }
@@ -60,7 +60,7 @@
 
 impl std::error::Error for SettingError {}
 
-/// The settings that a session has changed.
+/// The settings that a session has changed, with their values at start-up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionSettings {
     values: BTreeMap<String, String>,
@@ -68,20 +68,20 @@
 }
 
 impl SessionSettings {
-    /// Takes a setting that the caller gave at start-up, to which `RESET` returns.
+    /// Stores a setting from the caller's start-up message, which becomes the value for `RESET`.
     pub fn set_at_startup(&mut self, name: &str, value: &str) -> Result<(), SettingError> {
         self.set(name, Some(value))?;
         self.at_startup.clone_from(&self.values);
         Ok(())
     }
 
-    /// Changes a setting; `None` returns it to what it was at start-up.
+    /// Changes a setting; `None` resets it to its value at start-up.
     pub fn set(&mut self, name: &str, value: Option<&str>) -> Result<(), SettingError> {
         let name = name.to_lowercase();
-        if !CARRIED.contains(&name.as_str()) {
-            return Err(SettingError::NotCarried { name });
+        if !REPLAYED_SETTINGS.contains(&name.as_str()) {
+            return Err(SettingError::NotReplayed { name });
         }
-        if value.is_some_and(|value| value.len() > LONGEST_VALUE_BYTES) {
+        if value.is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
             return Err(SettingError::TooLong { name });
         }
         match value.or(self.at_startup.get(&name).map(String::as_str)) {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Returns every setting to what it was at start-up.
+    /// Resets every setting to its value at start-up.
     pub fn reset_all(&mut self) {
         self.values.clone_from(&self.at_startup);
     }
@@ -106,7 +106,7 @@
         self.values.get(name).map(String::as_str)
     }
 
-    /// Returns a number that differs when the settings do; 0 when nothing is changed.
+    /// Returns a hash of the settings; 0 if there are none.
     pub fn fingerprint<'a>(settings: impl Iterator<Item = (&'a str, &'a str)>) -> u64 {
         settings.fold(0, |hash: u64, (name, value)| {
             hash.rotate_left(7)
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Returns the statement that gives a clean connection these settings; empty for none.
+    /// Returns the `SET` statements that apply the settings to a connection; empty if there are none.
     pub fn replay_statement<'a>(settings: impl Iterator<Item = (&'a str, &'a str)>) -> String {
         settings.fold(String::new(), |mut sql, (name, value)| {
             sql.push_str("SET ");
