--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! The PostgreSQL protocol towards callers and endpoints.
 //!
-//! Messages and their encoding come from `pgwire`, statements are read by `sqlparser`. What this
-//! crate adds is what a pooling proxy has to know of them: what a statement may do, which session
-//! state can be carried from connection to connection, and how a refusal is told.
+//! `pgwire` encodes and decodes messages, and `sqlparser` parses statements. This crate adds what a
+//! pooling proxy needs on top: the effect of a statement, the session settings that are replayed on
+//! every endpoint connection, and the error responses for refusals.
 
 mod caller_stream;
 mod classifier;
--- a/crates/wire/src/tls.rs
+++ b/crates/wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers.
+//! TLS for connections from callers.
 
 use std::{fmt, path::Path, sync::Arc};
 
@@ -22,22 +22,25 @@
 
 impl std::error::Error for TlsError {}
 
-/// Reads a certificate chain and its key from PEM files.
+/// Builds an acceptor from PEM files with a certificate chain and its private key.
+///
+/// Fails if a file can't be read, or if the key does not belong to the certificate.
 pub fn tls_acceptor(certificate_file: &Path, key_file: &Path) -> Result<TlsAcceptor, TlsError> {
-    let fail = |path: &Path, error: &dyn fmt::Display| TlsError {
+    let tls_error = |path: &Path, error: &dyn fmt::Display| TlsError {
         detail: format!("{}: {error}", path.display()),
     };
     let chain: Vec<CertificateDer<'static>> = CertificateDer::pem_file_iter(certificate_file)
-        .map_err(|error| fail(certificate_file, &error))?
+        .map_err(|error| tls_error(certificate_file, &error))?
         .collect::<Result<_, _>>()
-        .map_err(|error| fail(certificate_file, &error))?;
-    let key = PrivateKeyDer::from_pem_file(key_file).map_err(|error| fail(key_file, &error))?;
+        .map_err(|error| tls_error(certificate_file, &error))?;
+    let key =
+        PrivateKeyDer::from_pem_file(key_file).map_err(|error| tls_error(key_file, &error))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(|error| fail(certificate_file, &error))?
+        .map_err(|error| tls_error(certificate_file, &error))?
         .with_no_client_auth()
         .with_single_cert(chain, key)
-        .map_err(|error| fail(certificate_file, &error))?;
+        .map_err(|error| tls_error(certificate_file, &error))?;
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
