--- a/crates/wire/tests/tls.rs
+++ b/crates/wire/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers: offered where it is set up, declined where it is not.
+//! TLS negotiation with callers, with and without a configured certificate.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 use wire::{CallerStream, StartupRequest, tls_acceptor};
 
-/// The message by which a caller asks for TLS: its length and its code.
+/// The `SSLRequest` message: its length and request code.
 const SSL_REQUEST: [u8; 8] = [0, 0, 0, 8, 4, 210, 22, 47];
 
 fn startup_message() -> Vec<u8> {
@@ -24,12 +24,12 @@
     message
 }
 
-/// Starts the side of the daemon, which reads one start-up.
-async fn serve(
+/// Accepts one connection and reads its start-up messages.
+async fn accept_startup(
     acceptor: Option<Arc<TlsAcceptor>>,
 ) -> (std::net::SocketAddr, tokio::task::JoinHandle<Option<StartupRequest>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     let serving = tokio::spawn(async move {
         let (socket, _) = listener.accept().await.expect("the caller connects");
         CallerStream::new(socket).start(acceptor.as_ref()).await.ok()
@@ -38,18 +38,19 @@
 }
 
 #[tokio::test]
-async fn a_caller_goes_over_to_tls() {
-    let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).expect("a key");
+async fn tls_is_negotiated_with_a_certificate() {
+    let certified = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()])
+        .expect("a key pair is generated");
     let folder = std::env::temp_dir().join(format!("wardtiller-tls-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     let (certificate, key) = (folder.join("cert.pem"), folder.join("key.pem"));
-    std::fs::write(&certificate, made.cert.pem()).expect("written");
-    std::fs::write(&key, made.signing_key.serialize_pem()).expect("written");
-    let acceptor = tls_acceptor(&certificate, &key).expect("the files fit each other");
-    assert!(tls_acceptor(&key, &certificate).is_err(), "the files are mixed up");
-    let (address, serving) = serve(Some(Arc::new(acceptor))).await;
+    std::fs::write(&certificate, certified.cert.pem()).expect("written");
+    std::fs::write(&key, certified.signing_key.serialize_pem()).expect("written");
+    let acceptor = tls_acceptor(&certificate, &key).expect("the key belongs to the certificate");
+    assert!(tls_acceptor(&key, &certificate).is_err(), "swapped files are rejected");
+    let (address, serving) = accept_startup(Some(Arc::new(acceptor))).await;
 
-    let mut socket = TcpStream::connect(address).await.expect("it listens");
+    let mut socket = TcpStream::connect(address).await.expect("the listener accepts");
     socket.write_all(&SSL_REQUEST).await.expect("sent");
     assert_eq!(socket.read_u8().await.expect("an answer"), b'S');
     let mut roots = RootCertStore::empty();
@@ -65,19 +66,19 @@
         TlsConnector::from(Arc::new(config)).connect(name, socket).await.expect("a handshake");
     encrypted.write_all(&startup_message()).await.expect("sent");
     encrypted.flush().await.expect("sent");
-    let started = serving.await.expect("it ends");
+    let started = serving.await.expect("the task completes");
     assert!(matches!(started, Some(StartupRequest::Session { tls: true, .. })), "{started:?}");
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
 #[tokio::test]
-async fn tls_is_declined_where_it_is_not_set_up() {
-    let (address, serving) = serve(None).await;
-    let mut socket = TcpStream::connect(address).await.expect("it listens");
+async fn tls_is_refused_without_a_certificate() {
+    let (address, serving) = accept_startup(None).await;
+    let mut socket = TcpStream::connect(address).await.expect("the listener accepts");
     socket.write_all(&SSL_REQUEST).await.expect("sent");
     assert_eq!(socket.read_u8().await.expect("an answer"), b'N');
     socket.write_all(&startup_message()).await.expect("sent");
-    let started = serving.await.expect("it ends");
+    let started = serving.await.expect("the task completes");
     match started {
         Some(StartupRequest::Session { parameters, tls: false }) => {
             assert_eq!(parameters.get("database").map(String::as_str), Some("shop"));
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Classification, settings, tags, verifiers and refusals.
+//! Classification, session settings, comment tags, SCRAM verifiers and refusals.
 
 use model::{Refusal, RefusalReason, Verdict};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn what_is_not_shown_to_be_a_read_is_none() {
+fn only_provably_read_only_statements_are_reads() {
     let reads = [
         "SELECT 1",
         "SELECT * FROM t WHERE id = $1 ORDER BY id LIMIT 3",
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn transactions_and_settings_are_told_apart() {
+fn transaction_control_and_settings_are_classified() {
     let set = |name: &str, value: Option<&str>| Effect::Set {
         name: name.to_owned(),
         value: value.map(str::to_owned),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn state_that_a_pool_cannot_carry_is_refused() {
+fn unsupported_session_state_is_refused() {
     let refused = [
         "LISTEN a",
         "UNLISTEN *",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_no_statement_is_an_error_and_never_sent() {
+fn invalid_texts_are_neither_reads_nor_writes() {
     for sql in ["SELEC 1", "FROBNICATE", "1 + 1", "'open"] {
         let classified = classify(sql, &[]);
         assert!(classified.invalid().is_some(), "{sql}");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn tags_stand_in_a_trailing_comment() {
+fn tags_are_parsed_from_a_trailing_comment() {
     let (plain, tags) = split_tags(
         "SELECT 1 /* traceparent='00-1-2-01', wardtiller.read_kind='menu', other='x' */;",
     );
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn settings_are_carried_or_refused() {
+fn settings_are_replayed_or_refused() {
     let mut settings = SessionSettings::default();
     settings.set_at_startup("application_name", "desk").unwrap();
     settings.set("TimeZone", Some("it's")).unwrap();
@@ -130,15 +130,15 @@
 }
 
 #[test]
-fn verifiers_hide_the_password() {
+fn verifiers_are_salted_and_do_not_contain_the_password() {
     let (first, second) = (make_verifier("secret"), make_verifier("secret"));
     assert!(first.starts_with("SCRAM-SHA-256$4096:"));
-    assert_ne!(first, second, "each has a salt of its own");
+    assert_ne!(first, second, "each verifier has its own salt");
     assert!(!first.contains("secret"));
 }
 
 #[test]
-fn the_page_for_callers_names_every_refusal() {
+fn refusals_page_lists_every_reason() {
     let page = include_str!("../../../docs/REFUSALS.md");
     for reason in RefusalReason::ALL {
         let code = reason.sqlstate(Verdict::NotRun);
@@ -156,16 +156,16 @@
 
 proptest! {
     #[test]
-    fn no_text_breaks_the_classifier(sql in ".{0,120}") {
+    fn classifier_handles_any_text(sql in ".{0,120}") {
         let classifier = Classifier::default();
         let (plain, _) = split_tags(&sql);
         let first = classifier.classify(plain, &[]);
         prop_assert_eq!(first, classifier.classify(plain, &[]));
     }
 
-    /// However a write is wrapped into a query, it is never taken for a read.
+    /// Guards against a data-modifying statement nested in a query being classified as a read.
     #[test]
-    fn a_wrapped_write_stays_a_write(
+    fn nested_write_is_not_a_read(
         wrapper in prop::sample::select(vec![
             "WITH a AS ({}) SELECT 1",
             "SELECT * FROM (WITH a AS ({}) SELECT 1) b",
