--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the shared configuration, reporting every mistake at once.
+//! Parses and checks the shared configuration, and reports every mistake in it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,13 +13,12 @@
     section::read_section,
 };
 
-/// Reads a configuration.
+/// Parses and checks a configuration. `file` is the file name in reported problems.
 ///
-/// `file` is the name that problems are reported under. Nothing is returned unless the whole text is
-/// free of mistakes, so that a configuration is in force whole or not at all.
+/// Fails with every mistake in the text, so that only a valid configuration is ever applied.
 pub fn check_configuration(file: &str, text: &str) -> Result<Configuration, Problems> {
     let mut problems = ProblemList::new(file);
-    let mut reader = Reader::default();
+    let mut reader = ConfigurationReader::default();
     for section in read_document(text, &mut problems) {
         reader.read(&section, &mut problems);
     }
@@ -29,12 +28,12 @@
     problems.finish(configuration)
 }
 
-/// Reads one chunk of a configuration that was accepted as a whole.
+/// Parses one chunk of an accepted configuration.
 ///
-/// What one chunk says of another, as a user of a service, was checked before it was accepted.
+/// References to other chunks, such as from a user to a service, are not checked again.
 pub fn read_part(text: &str) -> Result<ConfigurationPart, Problems> {
     let mut problems = ProblemList::new("an accepted chunk");
-    let mut reader = Reader::default();
+    let mut reader = ConfigurationReader::default();
     for section in read_document(text, &mut problems) {
         reader.read(&section, &mut problems);
     }
@@ -54,29 +53,29 @@
     FailoverOptions::KIND,
 ];
 
-/// A section's options with the line of its header.
-struct Placed<T> {
+/// The parsed options of a section, with its header.
+struct ParsedSection<T> {
     line: u32,
     header: String,
     options: T,
 }
 
-/// The sections read so far, each under the parts of its name.
+/// Collects the parsed sections, keyed by the parts of their names.
 #[derive(Default)]
-struct Reader {
+struct ConfigurationReader {
     seen: BTreeMap<(String, String), u32>,
-    services: BTreeMap<Name, Placed<ServiceOptions>>,
-    groups: BTreeMap<GroupId, Placed<GroupOptions>>,
-    servers: BTreeMap<(GroupId, Name), Placed<ServerOptions>>,
-    kinds: BTreeMap<(Name, Name), Placed<KindOptions>>,
-    rules: Vec<(Name, Placed<RuleOptions>)>,
+    services: BTreeMap<Name, ParsedSection<ServiceOptions>>,
+    groups: BTreeMap<GroupId, ParsedSection<GroupOptions>>,
+    servers: BTreeMap<(GroupId, Name), ParsedSection<ServerOptions>>,
+    kinds: BTreeMap<(Name, Name), ParsedSection<KindOptions>>,
+    rules: Vec<(Name, ParsedSection<RuleOptions>)>,
     users: BTreeMap<Name, UserOptions>,
     leaving: Option<LeavingOptions>,
     limits: Option<LimitOptions>,
     failover: Option<FailoverOptions>,
 }
 
-impl Reader {
+impl ConfigurationReader {
     fn read(&mut self, section: &RawSection, problems: &mut ProblemList<'_>) {
         let key = (section.kind.clone(), section.name.clone());
         if let Some(first) = self.seen.insert(key, section.line) {
@@ -87,34 +86,34 @@
         }
         match section.kind.as_str() {
             ServiceOptions::KIND => {
-                if let Some((placed, [service])) = read_named(section, problems) {
-                    self.services.insert(service, placed);
+                if let Some((section, [service])) = read_named(section, problems) {
+                    self.services.insert(service, section);
                 }
             }
             GroupOptions::KIND => {
-                if let Some((placed, [service, group])) = read_named(section, problems) {
-                    self.groups.insert(GroupId { service, group }, placed);
+                if let Some((section, [service, group])) = read_named(section, problems) {
+                    self.groups.insert(GroupId { service, group }, section);
                 }
             }
             ServerOptions::KIND => {
-                if let Some((placed, [service, group, server])) = read_named(section, problems) {
-                    self.servers.insert((GroupId { service, group }, server), placed);
+                if let Some((section, [service, group, server])) = read_named(section, problems) {
+                    self.servers.insert((GroupId { service, group }, server), section);
                 }
             }
             KindOptions::KIND => {
-                if let Some((placed, [service, kind])) = read_named(section, problems) {
-                    self.kinds.insert((service, kind), placed);
+                if let Some((section, [service, kind])) = read_named(section, problems) {
+                    self.kinds.insert((service, kind), section);
                 }
             }
             RuleOptions::KIND => {
-                if let Some((placed, [service, _])) = read_named(section, problems) {
-                    self.rules.push((service, placed));
+                if let Some((section, [service, _])) = read_named(section, problems) {
+                    self.rules.push((service, section));
                 }
             }
             UserOptions::KIND => {
-                if let Some((placed, [user])) = read_named(section, problems) {
-                    check_user(&placed, problems);
-                    self.users.insert(user, placed.options);
+                if let Some((section, [user])) = read_named(section, problems) {
+                    check_user(&section, problems);
+                    self.users.insert(user, section.options);
                 }
             }
             LeavingOptions::KIND => self.leaving = Some(read_section(section, problems)),
@@ -144,9 +143,9 @@
         }
     }
 
-    /// Notes every section whose parent is not declared.
+    /// Adds a problem for every section whose service or group is not declared.
     fn check_parents(&self, problems: &mut ProblemList<'_>) {
-        let missing_service =
+        let check_service =
             |service: &Name, line: u32, header: &str, list: &mut ProblemList<'_>| {
                 if !self.services.contains_key(service) {
                     let known = self.services.keys().map(|name| &**name);
@@ -154,21 +153,21 @@
                     list.add_with(line, header, message, suggest(service, known));
                 }
             };
-        for (id, placed) in &self.groups {
-            missing_service(&id.service, placed.line, &placed.header, problems);
+        for (id, section) in &self.groups {
+            check_service(&id.service, section.line, &section.header, problems);
         }
-        for ((service, _), placed) in &self.kinds {
-            missing_service(service, placed.line, &placed.header, problems);
+        for ((service, _), section) in &self.kinds {
+            check_service(service, section.line, &section.header, problems);
         }
-        for (service, placed) in &self.rules {
-            missing_service(service, placed.line, &placed.header, problems);
+        for (service, section) in &self.rules {
+            check_service(service, section.line, &section.header, problems);
         }
-        for ((group, _), placed) in &self.servers {
+        for ((group, _), section) in &self.servers {
             if !self.groups.contains_key(group) {
                 let known: Vec<String> = self.groups.keys().map(GroupId::to_string).collect();
                 let message = format!("there is no [group {group}]");
                 let suggestion = suggest(&group.to_string(), known.iter().map(String::as_str));
-                problems.add_with(placed.line, &placed.header, message, suggestion);
+                problems.add_with(section.line, &section.header, message, suggestion);
             }
         }
     }
@@ -176,26 +175,26 @@
     fn assemble_groups(&mut self, problems: &mut ProblemList<'_>) -> BTreeMap<GroupId, Arc<Group>> {
         let mut servers: BTreeMap<GroupId, Vec<Server>> = BTreeMap::new();
         let mut addresses = BTreeMap::new();
-        for ((group, name), placed) in std::mem::take(&mut self.servers) {
-            let Some(address) = placed.options.address else {
-                problems.add(placed.line, &placed.header, "`address` must be set");
+        for ((group, name), section) in std::mem::take(&mut self.servers) {
+            let Some(address) = section.options.address else {
+                problems.add(section.line, &section.header, "`address` must be set");
                 continue;
             };
-            if let Some(first) = addresses.insert(address, placed.header.clone()) {
+            if let Some(first) = addresses.insert(address, section.header.clone()) {
                 let message = format!("{address} is already the address of [{first}]");
-                problems.add(placed.line, &placed.header, message);
+                problems.add(section.line, &section.header, message);
             }
             servers.entry(group).or_default().push(Server {
                 name,
                 address,
-                availability_zone: placed.options.availability_zone,
-                leaving: placed.options.leaving,
+                availability_zone: section.options.availability_zone,
+                leaving: section.options.leaving,
             });
         }
         let mut groups = BTreeMap::new();
-        for (id, placed) in std::mem::take(&mut self.groups) {
+        for (id, section) in std::mem::take(&mut self.groups) {
             let servers = servers.remove(&id).unwrap_or_default();
-            if let Some(group) = assemble_group(id, placed, servers, problems) {
+            if let Some(group) = assemble_group(id, section, servers, problems) {
                 groups.insert(group.id.clone(), Arc::new(group));
             }
         }
@@ -208,42 +207,42 @@
         problems: &mut ProblemList<'_>,
     ) -> BTreeMap<Name, Arc<Service>> {
         let mut services = BTreeMap::new();
-        let mut names_of: BTreeMap<&Name, Vec<Name>> = BTreeMap::new();
+        let mut group_names: BTreeMap<&Name, Vec<Name>> = BTreeMap::new();
         for id in groups.keys() {
-            names_of.entry(&id.service).or_default().push(id.group.clone());
+            group_names.entry(&id.service).or_default().push(id.group.clone());
         }
-        for (name, placed) in std::mem::take(&mut self.services) {
-            let names = names_of.remove(&name).unwrap_or_default();
+        for (name, section) in std::mem::take(&mut self.services) {
+            let names = group_names.remove(&name).unwrap_or_default();
             if names.is_empty() {
-                problems.add(placed.line, &placed.header, "the service has no usable group");
+                problems.add(section.line, &section.header, "the service has no usable group");
             }
-            check_group_name(placed.options.default_group.as_ref(), &placed, &names, problems);
-            if placed.options.request_deadline_ms == 0 {
-                problems.add(placed.line, "request_deadline_ms", "must be above 0");
+            check_group_name(section.options.default_group.as_ref(), &section, &names, problems);
+            if section.options.request_deadline_ms == 0 {
+                problems.add(section.line, "request_deadline_ms", "must be above 0");
             }
             services.insert(
                 name.clone(),
                 Service {
                     name,
-                    options: placed.options,
+                    options: section.options,
                     groups: names,
                     kinds: BTreeMap::new(),
                     rules: Vec::new(),
                 },
             );
         }
-        for ((service, kind), placed) in std::mem::take(&mut self.kinds) {
+        for ((service, kind), section) in std::mem::take(&mut self.kinds) {
             if let Some(service) = services.get_mut(&service) {
-                service.kinds.insert(kind, placed.options);
+                service.kinds.insert(kind, section.options);
             }
         }
-        for (service, placed) in std::mem::take(&mut self.rules) {
+        for (service, section) in std::mem::take(&mut self.rules) {
             let Some(service) = services.get_mut(&service) else { continue };
-            if placed.options.group.is_none() {
-                problems.add(placed.line, &placed.header, "`group` must be set");
+            if section.options.group.is_none() {
+                problems.add(section.line, &section.header, "`group` must be set");
             }
-            check_group_name(placed.options.group.as_ref(), &placed, &service.groups, problems);
-            service.rules.push(placed.options);
+            check_group_name(section.options.group.as_ref(), &section, &service.groups, problems);
+            service.rules.push(section.options);
         }
         services.into_iter().map(|(name, service)| (name, Arc::new(service))).collect()
     }
@@ -265,8 +264,12 @@
     }
 }
 
-/// Notes users that are given services which don't exist.
-fn check_users(part: &ConfigurationPart, reader: &Reader, problems: &mut ProblemList<'_>) {
+/// Adds a problem for every user with a service that is not declared.
+fn check_users(
+    part: &ConfigurationPart,
+    reader: &ConfigurationReader,
+    problems: &mut ProblemList<'_>,
+) {
     for (user, options) in &part.users {
         for service in &options.services {
             if !part.services.contains_key(service) {
@@ -279,17 +282,19 @@
     }
 }
 
-/// Reads a section whose name has `N` parts joined by slashes.
+/// Parses a section whose name consists of `N` parts separated by slashes.
 fn read_named<T: Section, const N: usize>(
     section: &RawSection,
     problems: &mut ProblemList<'_>,
-) -> Option<(Placed<T>, [Name; N])> {
+) -> Option<(ParsedSection<T>, [Name; N])> {
     let header = format!("{} {}", section.kind, section.name).trim().to_owned();
     let options = read_section(section, problems);
     let parts: Vec<Name> = section.name.split('/').map(Name::from).collect();
     let well_formed = parts.iter().all(|part| is_name(part));
     match <[Name; N]>::try_from(parts) {
-        Ok(parts) if well_formed => Some((Placed { line: section.line, header, options }, parts)),
+        Ok(parts) if well_formed => {
+            Some((ParsedSection { line: section.line, header, options }, parts))
+        }
         _ => {
             problems.add_with(
                 section.line,
@@ -298,7 +303,7 @@
                 Some(format!(
                     "write [{} {}], with letters, digits, `-`, `_` and `.` in each part",
                     T::KIND,
-                    T::NAME_SHAPE
+                    T::NAME_PATTERN
                 )),
             );
             None
@@ -311,44 +316,48 @@
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// Owners keep at least one connection for work and one for control on each server.
-const FEWEST_CONNECTIONS: u32 = 2;
+/// Owners need at least one connection for statements and one for control on each server.
+const MIN_CONNECTIONS: u32 = 2;
 
 fn assemble_group(
     id: GroupId,
-    placed: Placed<GroupOptions>,
+    section: ParsedSection<GroupOptions>,
     servers: Vec<Server>,
     problems: &mut ProblemList<'_>,
 ) -> Option<Group> {
-    if placed.options.connections < FEWEST_CONNECTIONS {
-        let message =
-            format!("must be at least {FEWEST_CONNECTIONS}: one for work, one for control");
-        problems.add(placed.line, "connections", message);
+    if section.options.connections < MIN_CONNECTIONS {
+        let message = format!("must be at least {MIN_CONNECTIONS}: one for work, one for control");
+        problems.add(section.line, "connections", message);
     }
-    if placed.options.slots == 0 {
-        problems.add(placed.line, "slots", "must be above 0");
+    if section.options.slots == 0 {
+        problems.add(section.line, "slots", "must be above 0");
     }
     if servers.is_empty() {
         let message = format!("the group has no [server {id}/…] with an address");
-        problems.add(placed.line, &placed.header, message);
+        problems.add(section.line, &section.header, message);
         return None;
     }
-    let Some(primary) = &placed.options.primary else {
-        problems.add(placed.line, &placed.header, "`primary` must name one of its servers");
+    let Some(primary) = &section.options.primary else {
+        problems.add(section.line, &section.header, "`primary` must name one of its servers");
         return None;
     };
     let Some(index) = servers.iter().position(|server| server.name == *primary) else {
         let known = servers.iter().map(|server| &*server.name);
         let message = format!("there is no [server {id}/{primary}]");
-        problems.add_with(placed.line, "primary", message, suggest(primary, known));
+        problems.add_with(section.line, "primary", message, suggest(primary, known));
         return None;
     };
-    Some(Group { id, options: placed.options, servers, first_primary: ServerId::from_index(index) })
+    Some(Group {
+        id,
+        options: section.options,
+        servers,
+        first_primary: ServerId::from_index(index),
+    })
 }
 
 fn check_group_name<T>(
     wanted: Option<&Name>,
-    placed: &Placed<T>,
+    section: &ParsedSection<T>,
     groups: &[Name],
     problems: &mut ProblemList<'_>,
 ) {
@@ -356,22 +365,22 @@
     if !groups.contains(wanted) {
         let known = groups.iter().map(|group| &**group);
         let message = format!("the service has no group `{wanted}`");
-        problems.add_with(placed.line, &placed.header, message, suggest(wanted, known));
+        problems.add_with(section.line, &section.header, message, suggest(wanted, known));
     }
 }
 
-fn check_user(placed: &Placed<UserOptions>, problems: &mut ProblemList<'_>) {
-    if let Some(verifier) = &placed.options.verifier
+fn check_user(section: &ParsedSection<UserOptions>, problems: &mut ProblemList<'_>) {
+    if let Some(verifier) = &section.options.verifier
         && !verifier.starts_with("SCRAM-SHA-256$")
     {
         problems.add_with(
-            placed.line,
+            section.line,
             "verifier",
             "not a SCRAM-SHA-256 verifier",
             Some("print one with `wardtiller verifier`".to_owned()),
         );
     }
-    if placed.options.weight == 0 {
-        problems.add(placed.line, "weight", "must be above 0");
+    if section.options.weight == 0 {
+        problems.add(section.line, "weight", "must be above 0");
     }
 }
--- a/crates/config/src/reference.rs
+++ b/crates/config/src/reference.rs
@@ -1,4 +1,4 @@
-//! Renders the reference of every option for `docs/CONFIGURATION.md`.
+//! Renders the reference tables in `docs/CONFIGURATION.md`.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
     Section, ServerOptions, ServiceOptions, TlsSettings, TraceSettings, UserOptions,
 };
 
-/// Returns the tables of every section, as the page holds them between its markers.
+/// Returns the tables of every section in Markdown, as they appear on the page.
 pub fn reference_page() -> String {
     let mut page = String::from("## The shared configuration\n\n");
     render_section::<ServiceOptions>(&mut page);
@@ -40,15 +40,15 @@
 }
 
 fn render_section<T: Section>(page: &mut String) {
-    let header = format!("{} {}", T::KIND, T::NAME_SHAPE);
-    let _ = writeln!(page, "### `[{}]`\n\n{}\n", header.trim(), T::MEANING.trim());
+    let header = format!("{} {}", T::KIND, T::NAME_PATTERN);
+    let _ = writeln!(page, "### `[{}]`\n\n{}\n", header.trim(), T::DESCRIPTION.trim());
     page.push_str("| key | default | meaning |\n| --- | --- | --- |\n");
     for option in T::options() {
         let default = match option.default.as_str() {
             "" => "(unset)".to_owned(),
             default => format!("`{default}`"),
         };
-        let _ = writeln!(page, "| `{}` | {default} | {} |", option.key, option.meaning);
+        let _ = writeln!(page, "| `{}` | {default} | {} |", option.key, option.description);
     }
     page.push('\n');
 }
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,36 +1,38 @@
-//! The shape that every section's config struct has.
+//! The trait of config structs, and the macro that declares them.
 
 use crate::{document::RawSection, problem::ProblemList};
 
-/// One option as the reference page shows it.
+/// An option as shown on the reference page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionDoc {
     /// The key.
     pub key: &'static str,
-    /// The default as it would be written; empty where the option is not set by default.
+    /// The default in the syntax of the file; empty if the option is unset by default.
     pub default: String,
-    /// What it does.
-    pub meaning: String,
+    /// What the option does.
+    pub description: String,
 }
 
-/// A config struct that is read from sections of one kind.
+/// A config struct, which holds the options of one kind of section.
 pub trait Section: Default {
     /// The first word of the section's header.
     const KIND: &'static str;
-    /// What follows the kind in the header, such as `SERVICE/GROUP`; empty for none.
-    const NAME_SHAPE: &'static str;
+    /// The form of the name after the kind, such as `SERVICE/GROUP`; empty if the section has no name.
+    const NAME_PATTERN: &'static str;
     /// What the section is for.
-    const MEANING: &'static str;
-    /// Every key that the section takes.
+    const DESCRIPTION: &'static str;
+    /// Every key that is allowed in the section.
     const KEYS: &'static [&'static str];
 
-    /// Sets one option; `None` when the key is not known.
+    /// Parses and sets one option.
+    ///
+    /// Returns `None` if the key is unknown, and a message if the value is invalid.
     fn set(&mut self, key: &str, value: &str) -> Option<Result<(), String>>;
-    /// Lists the options with their defaults.
+    /// Describes every option with its default.
     fn options() -> Vec<OptionDoc>;
 }
 
-/// Reads a section into its config struct, noting every mistake.
+/// Reads a section into its config struct and adds every mistake to `problems`.
 pub(crate) fn read_section<T: Section>(section: &RawSection, problems: &mut ProblemList<'_>) -> T {
     let mut options = T::default();
     let mut seen: Vec<&str> = Vec::new();
@@ -54,18 +56,20 @@
     options
 }
 
-/// Declares a config struct with one field for each option, its default and its meaning.
+/// Declares a config struct with one field per option, with its default and description.
+///
+/// The doc comments are printed into `docs/CONFIGURATION.md`, and the names of fields are the keys.
 macro_rules! section {
     (
         $(#[doc = $outer:literal])*
-        $name:ident in $kind:literal named $shape:literal {
-            $($(#[doc = $meaning:literal])+ $field:ident: $type:ty = $default:expr,)*
+        $name:ident in $kind:literal named $pattern:literal {
+            $($(#[doc = $description:literal])+ $field:ident: $type:ty = $default:expr,)*
         }
     ) => {
         $(#[doc = $outer])*
         #[derive(Clone, Debug, PartialEq)]
         pub struct $name {
-            $($(#[doc = $meaning])+ pub $field: $type,)*
+            $($(#[doc = $description])+ pub $field: $type,)*
         }
 
         impl Default for $name {
@@ -76,8 +80,8 @@
 
         impl crate::section::Section for $name {
             const KIND: &'static str = $kind;
-            const NAME_SHAPE: &'static str = $shape;
-            const MEANING: &'static str = concat!($($outer),*);
+            const NAME_PATTERN: &'static str = $pattern;
+            const DESCRIPTION: &'static str = concat!($($outer),*);
             const KEYS: &'static [&'static str] = &[$(stringify!($field)),*];
 
             fn set(&mut self, key: &str, value: &str) -> Option<Result<(), String>> {
@@ -95,7 +99,7 @@
                 vec![$(crate::section::OptionDoc {
                     key: stringify!($field),
                     default: crate::option_value::OptionValue::render(&defaults.$field),
-                    meaning: concat!($($meaning),+).trim().to_owned(),
+                    description: concat!($($description),+).trim().to_owned(),
                 }),*]
             }
         }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,4 +1,4 @@
-//! The config structs of the shared configuration, one for each kind of section.
+//! The config structs of the shared configuration, one per kind of section.
 
 use std::net::SocketAddr;
 
