--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The shared configuration as the daemons use it.
+//! The shared configuration after parsing and checking.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -12,80 +12,83 @@
 /// A server of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name within the group.
+    /// The name, unique within the group.
     pub name: Name,
-    /// Its address.
+    /// The socket address.
     pub address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// The availability zone of the server.
     pub availability_zone: Name,
-    /// Whether operators are taking it out.
+    /// Whether the server is being drained for removal.
     pub leaving: bool,
 }
 
 /// A database group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Its name.
+    /// The service and the name of the group.
     pub id: GroupId,
-    /// Its options.
+    /// The options of the group's section.
     pub options: GroupOptions,
-    /// Its servers, ordered by name; [`ServerId`] counts in this order.
+    /// The servers, sorted by name; a [`ServerId`] is an index into this list.
     pub servers: Vec<Server>,
-    /// The server that leads in the first term.
+    /// The primary of the group's first term.
     pub first_primary: ServerId,
 }
 
 impl Group {
-    /// Returns how many servers form a majority.
+    /// Returns the number of servers that form a majority.
     pub fn majority(&self) -> usize {
         self.servers.len() / 2 + 1
     }
 
-    /// Whether the servers are the same as another's, so that connections to them can be kept.
+    /// Whether both groups have the same server names and addresses, so connections can be kept.
     pub fn servers_match(&self, other: &Group) -> bool {
         let key = |server: &Server| (server.name.clone(), server.address);
         self.servers.iter().map(key).eq(other.servers.iter().map(key))
     }
 
-    /// Finds a server by its name.
+    /// Returns the id of the server with this name.
     pub fn server_named(&self, name: &str) -> Option<ServerId> {
         let index = self.servers.iter().position(|server| &*server.name == name)?;
         Some(ServerId::from_index(index))
     }
 }
 
-/// A service with all that is named beneath it.
+/// A service with its groups, kinds of read and rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name.
     pub name: Name,
-    /// Its options.
+    /// The options of the service's section.
     pub options: ServiceOptions,
     /// The names of its groups.
     pub groups: Vec<Name>,
-    /// The kinds of read.
+    /// The kinds of read by name.
     pub kinds: BTreeMap<Name, KindOptions>,
-    /// The rules that place callers, in the order of the file.
+    /// The rules that assign callers to groups, in the order of the file.
     pub rules: Vec<RuleOptions>,
 }
 
-/// What a caller shows of itself when it is placed in a group.
+/// The properties of a caller that decide on its group.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The group that the caller names, if it does.
-    pub named: Option<&'a str>,
-    /// The user that it logged in as.
+    /// The group that the caller asks for.
+    pub group: Option<&'a str>,
+    /// The user that the caller logged in as.
     pub user: &'a str,
-    /// Its `application_name`.
+    /// The caller's `application_name`.
     pub application_name: &'a str,
 }
 
 impl Service {
-    /// Places a caller in a group: by the name that it gives, by a rule, or by the default.
-    pub fn place(&self, caller: PlacementRequest<'_>) -> Option<&Name> {
-        let wanted = match caller.named {
-            Some(named) => Some(named),
-            None => self.place_by_rule(caller),
+    /// Returns the group for a caller: the one it asks for, the one of the first matching rule, the default
+    /// group, or the only group.
+    ///
+    /// Returns `None` if there is no such group or the choice is ambiguous.
+    pub fn group_for(&self, caller: PlacementRequest<'_>) -> Option<&Name> {
+        let wanted = match caller.group {
+            Some(group) => Some(group),
+            None => self.group_by_rule_or_default(caller),
         };
         match wanted {
             Some(wanted) => self.groups.iter().find(|group| &***group == wanted),
@@ -94,7 +97,7 @@
         }
     }
 
-    fn place_by_rule(&self, caller: PlacementRequest<'_>) -> Option<&str> {
+    fn group_by_rule_or_default(&self, caller: PlacementRequest<'_>) -> Option<&str> {
         let matches = |wanted: &Option<Name>, found: &str| {
             wanted.as_ref().is_none_or(|wanted| &**wanted == found)
         };
@@ -107,7 +110,7 @@
     }
 }
 
-/// The operators' intent, checked and complete.
+/// A complete and valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     /// The services by name.
@@ -116,18 +119,18 @@
     pub groups: BTreeMap<GroupId, Arc<Group>>,
     /// The users by name.
     pub users: BTreeMap<Name, UserOptions>,
-    /// Rules for leaving endpoints.
+    /// Options for draining servers.
     pub leaving: LeavingOptions,
-    /// Limits of each daemon.
+    /// Limits per daemon.
     pub limits: LimitOptions,
-    /// How failures are found and repaired.
+    /// Options for failure detection and failover.
     pub failover: FailoverOptions,
 }
 
-/// What one chunk of a configuration says.
+/// The parsed content of one chunk of a configuration.
 ///
-/// A service stands in one chunk with everything beneath it, so chunks can be read one by one, and
-/// a change costs in proportion to itself.
+/// All sections of a service are in the same chunk, so a change only needs the changed chunks to be
+/// parsed again.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationPart {
     pub(crate) services: BTreeMap<Name, Arc<Service>>,
@@ -139,7 +142,7 @@
 }
 
 impl Configuration {
-    /// Joins the parts of an accepted configuration, sharing what they hold.
+    /// Merges the parts of an accepted configuration; services and groups are shared with the parts.
     pub fn join<'a>(parts: impl IntoIterator<Item = &'a ConfigurationPart>) -> Configuration {
         let mut whole = Configuration::default();
         for part in parts {
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Mistakes are reported with their place, all at once; chunks join to what was split.
+//! Reports of mistakes, placement of callers, and chunks of a configuration.
 
 use std::collections::HashMap;
 
@@ -32,7 +32,7 @@
 ";
 
 #[test]
-fn every_mistake_is_reported_with_its_place_and_a_suggestion() {
+fn configuration_mistakes_are_reported_with_line_and_suggestion() {
     let bad = "\
 # not a comment
 [service shop]
@@ -57,19 +57,19 @@
 callers
 [limits]
 ";
-    let problems = check_configuration("shop.ini", bad).expect_err("it is full of mistakes");
+    let problems = check_configuration("shop.ini", bad).expect_err("the text is invalid");
     insta::assert_snapshot!(problems.to_string());
 }
 
 #[test]
-fn settings_report_their_mistakes_too() {
+fn settings_mistakes_are_reported_with_line_and_suggestion() {
     let bad = "[daemon]\nlisten = 6432\nhots = a\n[tls]\nrequired = yes\n[platfrom]\n";
-    let problems = HostSettings::read("host.ini", bad).expect_err("it is full of mistakes");
+    let problems = HostSettings::read("host.ini", bad).expect_err("the text is invalid");
     insta::assert_snapshot!(problems.to_string());
 }
 
 #[test]
-fn callers_are_placed_by_name_by_rule_or_by_default() {
+fn callers_are_placed_by_requested_group_rule_or_default() {
     let configuration = check_configuration("shop.ini", GOOD).expect("no mistakes");
     let shop = &configuration.services["shop"];
     let rows = [
@@ -78,14 +78,14 @@
         (None, "anybody", Some("one")),
         (Some("three"), "desk", None),
     ];
-    for (named, user, expected) in rows {
-        let placed = shop.place(PlacementRequest { named, user, application_name: "" });
-        assert_eq!(placed.map(|group| &**group), expected, "{named:?} {user}");
+    for (group, user, expected) in rows {
+        let placed = shop.group_for(PlacementRequest { group, user, application_name: "" });
+        assert_eq!(placed.map(|group| &**group), expected, "{group:?} {user}");
     }
 }
 
 #[test]
-fn the_reference_page_lists_every_option() {
+fn reference_page_matches_the_options() {
     let page = include_str!("../../../docs/CONFIGURATION.md");
     let reference = reference_page();
     assert!(
@@ -94,7 +94,7 @@
     );
 }
 
-fn join(text: &str) -> String {
+fn split_and_assemble(text: &str) -> String {
     let chunks = split(text);
     let head = Head {
         revision: 1,
@@ -103,11 +103,11 @@
     };
     let texts: HashMap<_, _> =
         chunks.iter().map(|chunk| (chunk.hash.clone(), chunk.text.clone())).collect();
-    assemble(&head, |hash| texts.get(hash).map(String::as_str)).expect("every chunk is there")
+    assemble(&head, |hash| texts.get(hash).map(String::as_str)).expect("every chunk is present")
 }
 
-/// A configuration of many services, for the size of chunks.
-fn large(services: usize, staleness_of_7: u32) -> String {
+/// Builds a configuration that is large enough for several chunks.
+fn large_configuration(services: usize, staleness_of_7: u32) -> String {
     let mut text = String::new();
     for service in 0..services {
         let staleness = if service == 7 { staleness_of_7 } else { 1 };
@@ -123,17 +123,18 @@
 }
 
 #[test]
-fn chunks_join_to_the_same_configuration() {
-    for text in [GOOD.to_owned(), large(3_000, 5)] {
+fn assembled_chunks_give_the_same_configuration() {
+    for text in [GOOD.to_owned(), large_configuration(3_000, 5)] {
         let before = check_configuration("before", &text).expect("no mistakes");
-        let after = check_configuration("after", &join(&text)).expect("no mistakes");
+        let after = check_configuration("after", &split_and_assemble(&text)).expect("no mistakes");
         assert_eq!(before, after);
     }
 }
 
 #[test]
-fn a_change_moves_one_chunk() {
-    let (before, after) = (split(&large(3_000, 5)), split(&large(3_000, 6)));
+fn changing_one_service_changes_one_chunk() {
+    let (before, after) =
+        (split(&large_configuration(3_000, 5)), split(&large_configuration(3_000, 6)));
     assert!(before.len() > 4);
     let changed: Vec<_> = after.iter().filter(|chunk| !before.contains(chunk)).collect();
     assert_eq!(changed.len(), 1);
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_damaged_chunk_is_found() {
+fn damaged_and_missing_chunks_are_detected() {
     let chunks = split(GOOD);
     let hash = chunks[0].hash.clone();
     let head = Head { revision: 1, chunks: vec![hash.clone()], ..Head::default() };
@@ -151,9 +152,9 @@
 
 proptest! {
     #[test]
-    fn no_text_breaks_the_check(text in "[\\[\\]a-z/= ;#\\n0-9.:]{0,200}") {
+    fn parsers_handle_any_text(text in "[\\[\\]a-z/= ;#\\n0-9.:]{0,200}") {
         let _ = check_configuration("any", &text);
         let _ = HostSettings::read("any", &text);
-        let _ = join(&text);
+        let _ = split_and_assemble(&text);
     }
 }
--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -61,11 +61,11 @@
 
     fn select_group(&self, service: &Service) -> Result<GroupId, RequestError> {
         let placement = PlacementRequest {
-            named: self.group_name.as_deref(),
+            group: self.group_name.as_deref(),
             user: &self.user,
             application_name: self.settings.get("application_name").unwrap_or_default(),
         };
-        let group = service.place(placement).ok_or_else(|| {
+        let group = service.group_for(placement).ok_or_else(|| {
             let known: Vec<&str> = service.groups.iter().map(|group| &**group).collect();
             RequestError::new(
                 "22023",
