--- a/crates/config/src/chunks.rs
+++ b/crates/config/src/chunks.rs
@@ -1,8 +1,8 @@
-//! Splits a configuration into chunks named by their content, beneath one head.
+//! Splits a configuration into content-addressed chunks that are listed by one head.
 //!
-//! A change then moves bytes in proportion to itself, no value passes the store's limit, and the
-//! change of the head alone decides which configuration is in force. The design and the other ways
-//! weighed are in `docs/CONFIGURATION-SPREAD.md`.
+//! A change transfers only the chunks that it touches, no value exceeds the store's size limit, and
+//! replacing the head switches the whole configuration atomically. The design and its alternatives
+//! are described in `docs/CONFIGURATION-SPREAD.md`.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -14,7 +14,7 @@
 pub struct ChunkHash(pub String);
 
 impl ChunkHash {
-    /// Names a text.
+    /// Returns the hash of a text.
     pub fn of(text: &str) -> ChunkHash {
         ChunkHash(format!("{:032x}", xxh3_128(text.as_bytes())))
     }
@@ -26,42 +26,41 @@
     }
 }
 
-/// A part of a configuration's text.
+/// A chunk of a configuration's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// Its name.
+    /// The hash of the text.
     pub hash: ChunkHash,
-    /// Its text: whole sections.
+    /// The text, which consists of whole sections.
     pub text: String,
 }
 
-/// The one value that says which configuration is in force.
+/// The stored value that defines the active configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Grows by one with each accepted configuration; daemons only move to higher ones.
+    /// Increases by one with each accepted configuration; daemons ignore lower revisions.
     pub revision: u64,
-    /// Made up by whoever applied it, so that a lost answer can be resolved by reading it back.
+    /// A unique id chosen by the command that wrote the head, which reads it back if its answer was lost.
     pub change_id: String,
-    /// The chunks, in order.
+    /// The hashes of the chunks, in order.
     pub chunks: Vec<ChunkHash>,
-    /// Chunks of the configuration before, which daemons may still be reading.
+    /// Chunks of the previous configuration, kept because daemons may still be reading them.
     #[serde(default)]
     pub superseded: Vec<ChunkHash>,
 }
 
-/// The size that chunks are aimed at, far below the store's limit of a megabyte.
-const CHUNK_BYTES: usize = 32 * 1024;
+/// Average size of a chunk, far below the store's limit of 1 MB per value.
+const TARGET_CHUNK_BYTES: usize = 32 * 1024;
 
 /// Splits a text into chunks.
 ///
-/// Sections go to a chunk by the hash of the service that they belong to, so that a change of one
-/// service leaves all other chunks as they are. Rules keep their order, since all rules of a service
-/// are in one chunk.
+/// Sections are assigned to chunks by the hash of their service, so a change of one service leaves
+/// the other chunks unchanged. Rules keep their order, since all rules of a service share a chunk.
 pub fn split(text: &str) -> Vec<Chunk> {
-    let buckets = (text.len() / CHUNK_BYTES).next_power_of_two().max(1) as u64;
+    let buckets = (text.len() / TARGET_CHUNK_BYTES).next_power_of_two().max(1) as u64;
     let mut texts: BTreeMap<u64, String> = BTreeMap::new();
     for section in split_sections(text) {
-        let bucket = xxh3_64(section.owner.as_bytes()) % buckets;
+        let bucket = xxh3_64(section.service.as_bytes()) % buckets;
         let chunk = texts.entry(bucket).or_default();
         chunk.push_str(section.text);
         if !section.text.ends_with('\n') {
@@ -71,9 +70,9 @@
     texts.into_values().map(|text| Chunk { hash: ChunkHash::of(&text), text }).collect()
 }
 
-/// Joins chunks into the text that [`split`] took apart, up to the order of sections.
+/// Reassembles the text from its chunks; sections of different services may change their order.
 ///
-/// Returns the hash of the first chunk that is missing or does not match its name.
+/// Fails with the hash of the first chunk that is missing or does not match its hash.
 pub fn assemble<'a>(
     head: &Head,
     mut find: impl FnMut(&ChunkHash) -> Option<&'a str>,
@@ -89,7 +88,7 @@
 }
 
 struct TextSection<'a> {
-    owner: &'a str,
+    service: &'a str,
     text: &'a str,
 }
 
@@ -107,12 +106,12 @@
         .windows(2)
         .map(|pair| &text[pair[0]..pair[1]])
         .filter(|section| !section.trim().is_empty())
-        .map(|text| TextSection { owner: section_owner(text), text })
+        .map(|text| TextSection { service: section_service(text), text })
         .collect()
 }
 
-/// Returns the first part of the section's name, which is the service where it has one.
-fn section_owner(section: &str) -> &str {
+/// Returns the first part of the section's name, which is the service for sections of a service.
+fn section_service(section: &str) -> &str {
     let header = section.lines().find(|line| line.starts_with('[')).unwrap_or("");
     let header = header.trim().trim_start_matches('[').trim_end_matches(']');
     let name = header.split_once(' ').map_or(header, |(_, name)| name);
