--- a/crates/config/src/option_value.rs
+++ b/crates/config/src/option_value.rs
@@ -1,14 +1,14 @@
-//! How the value of an option is read from text and written back.
+//! Parsing and rendering of option values.
 
 use std::net::SocketAddr;
 
 use model::Name;
 
-/// A type that an option can have.
+/// The type of an option's value.
 pub trait OptionValue: Sized {
-    /// Reads the value, or says what was expected.
+    /// Parses the value; fails with a message that says what was expected.
     fn parse(text: &str) -> Result<Self, String>;
-    /// Writes the value as the reference page shows it; empty for "not set".
+    /// Renders the value in the syntax of the file; empty if unset.
     fn render(&self) -> String;
 }
 
@@ -98,8 +98,8 @@
     }
 }
 
-macro_rules! word_value {
-    ($(#[$outer:meta])* $name:ident { $($(#[$inner:meta])* $variant:ident = $word:literal,)* }) => {
+macro_rules! keyword_value {
+    ($(#[$outer:meta])* $name:ident { $($(#[$inner:meta])* $variant:ident = $keyword:literal,)* }) => {
         $(#[$outer])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum $name {
@@ -109,89 +109,89 @@
         impl OptionValue for $name {
             fn parse(text: &str) -> Result<$name, String> {
                 match text {
-                    $($word => Ok($name::$variant),)*
+                    $($keyword => Ok($name::$variant),)*
                     _ => Err(format!(
                         "expected one of {}, found `{text}`",
-                        [$(concat!("`", $word, "`")),*].join(", "),
+                        [$(concat!("`", $keyword, "`")),*].join(", "),
                     )),
                 }
             }
 
             fn render(&self) -> String {
                 match self {
-                    $($name::$variant => $word.to_owned(),)*
+                    $($name::$variant => $keyword.to_owned(),)*
                 }
             }
         }
     };
 }
 
-word_value! {
-    /// What the acknowledgement of a write waits for; see `docs/ACKNOWLEDGEMENT.md`.
+keyword_value! {
+    /// The condition for acknowledging a write; see `docs/ACKNOWLEDGEMENT.md`.
     Acknowledge {
-        /// A majority of the group holds the write, still in the same term.
+        /// A majority of the group holds the write and is still in the same term.
         Majority = "majority",
         /// A second server is still in the same term; the write may be lost at a failover.
         Term = "term",
     }
 }
 
-word_value! {
-    /// What becomes of a write under `majority` while the replicas are far behind.
+keyword_value! {
+    /// The handling of writes under `majority` while the replicas are far behind.
     WhenBehind {
-        /// It runs and waits for them, up to `acknowledge_timeout_ms`.
+        /// The write runs and waits for the replicas, up to `acknowledge_timeout_ms`.
         Wait = "wait",
-        /// It is refused before it runs.
+        /// The write is refused before it runs.
         Refuse = "refuse",
-        /// It runs and is acknowledged by term evidence alone.
+        /// The write runs and is acknowledged as under `term`.
         Term = "term",
     }
 }
 
-word_value! {
-    /// How a read is served when its session brought no token; see `docs/SESSIONS.md`.
+keyword_value! {
+    /// How a read without a session token is served; see `docs/SESSIONS.md`.
     UntrackedReads {
-        /// The primary's position is asked for first, then any server at that position serves.
+        /// The primary is asked for its position, then any server at that position serves the read.
         ReadIndex = "read-index",
-        /// The primary serves, and a second server confirms that it is not an old one.
+        /// The primary serves the read, and a second server confirms that the primary is current.
         Primary = "primary",
-        /// The connection is taken for the whole session: it sees the writes made over it.
+        /// The connection counts as the session, so reads see the writes made over it.
         Connection = "connection",
     }
 }
 
-word_value! {
+keyword_value! {
     /// How the server of a read is chosen; see `docs/ROUTING.md`.
     ReadPolicy {
-        /// The lowest expected time: latency, requests in flight, availability zone.
+        /// The lowest expected time by latency, requests in flight and availability zone.
         Cost = "cost",
         /// The fewest requests in flight.
         LeastInFlight = "least-in-flight",
         /// Each replica in turn.
         RoundRobin = "round-robin",
-        /// The primary for every session that has written; a baseline for measurements.
+        /// The primary for every session that has written; a baseline for comparisons.
         PrimaryAfterWrite = "primary-after-write",
     }
 }
 
-word_value! {
-    /// The least severe log record that is written.
+keyword_value! {
+    /// The minimum severity of log records.
     LogLevel {
-        /// Failures that need somebody.
+        /// Failures that need an operator.
         Error = "error",
-        /// What may need somebody.
+        /// Conditions that may need an operator.
         Warn = "warn",
-        /// What operators want to follow.
+        /// Events of interest to operators.
         Info = "info",
-        /// What developers want to follow.
+        /// Events of interest to developers.
         Debug = "debug",
-        /// Everything.
+        /// All events.
         Trace = "trace",
     }
 }
 
 impl LogLevel {
-    /// Returns the filter that lets records of this level and graver ones through.
+    /// Returns the filter for records of this level and of more severe ones.
     pub fn filter(self) -> log::LevelFilter {
         match self {
             LogLevel::Error => log::LevelFilter::Error,
@@ -203,7 +203,7 @@
     }
 }
 
-/// How many daemons hold connections to a group.
+/// The number of daemons that hold connections to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerCount {
     /// Derived from the group's connections and the number of daemons.
