--- a/crates/config/examples/reference.rs
+++ b/crates/config/examples/reference.rs
@@ -1,5 +1,5 @@
-//! Prints the reference of every option, to be put into `docs/CONFIGURATION.md`.
-#![allow(clippy::print_stdout, reason = "printing is what it is for")]
+//! Prints the reference tables for `docs/CONFIGURATION.md`.
+#![allow(clippy::print_stdout, reason = "the example prints its result")]
 
 fn main() {
     print!("{}", config::reference_page());
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,10 +1,10 @@
-//! An INI document as sections and entries that remember their lines.
+//! Parses an INI document into sections and entries with their line numbers.
 
 use ini_core::{Item, Parser};
 
 use crate::problem::ProblemList;
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RawEntry {
     pub(crate) line: u32,
@@ -12,7 +12,7 @@
     pub(crate) value: String,
 }
 
-/// A section with its header split into kind and name.
+/// A section, with its header split into kind and name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RawSection {
     pub(crate) line: u32,
@@ -21,7 +21,7 @@
     pub(crate) entries: Vec<RawEntry>,
 }
 
-/// Reads a document; what can't be read is noted and left out.
+/// Parses a document; lines that can't be parsed are added to `problems` and skipped.
 pub(crate) fn read_document(text: &str, problems: &mut ProblemList<'_>) -> Vec<RawSection> {
     let mut sections: Vec<RawSection> = Vec::new();
     let mut parser = Parser::new(text).auto_trim(true);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operators' configuration of wardtiller.
 //!
-//! Two INI files exist: the *configuration*, which is shared by every daemon and applied whole or not
-//! at all ([`Configuration`]), and the *settings* of one host ([`HostSettings`]). Every option is a
-//! field of a small config struct whose `Default` is the documented default; the reference page
-//! `docs/CONFIGURATION.md` is compared with these structs by a test.
+//! There are two INI files: the *configuration*, which all daemons share and apply atomically
+//! ([`Configuration`]), and the *settings* of one host ([`HostSettings`] or [`ProxySettings`]). Every
+//! option is a field of a config struct, and its default comes from the `Default` of that struct. A
+//! test compares the reference page `docs/CONFIGURATION.md` with these structs.
 
 mod check;
 mod chunks;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,11 +1,11 @@
-//! A mistake in a configuration file, with its place and what to write instead.
+//! Mistakes in a configuration file, with their line and a suggested fix.
 
 use std::fmt;
 
-/// One mistake.
+/// A mistake in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file's name as the operator gave it.
+    /// The file name as given by the operator.
     pub file: String,
     /// The line, counted from 1.
     pub line: u32,
@@ -13,7 +13,7 @@
     pub key: String,
     /// What is wrong.
     pub message: String,
-    /// What to write instead, where that can be guessed.
+    /// A suggested fix.
     pub suggestion: Option<String>,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Every mistake of a file, in the order of its lines.
+/// Every mistake in a file, sorted by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems {
     /// The mistakes.
@@ -48,7 +48,7 @@
 
 impl std::error::Error for Problems {}
 
-/// Collects the mistakes of one file.
+/// Collects the mistakes in one file.
 pub(crate) struct ProblemList<'a> {
     file: &'a str,
     list: Vec<Problem>,
@@ -79,6 +79,7 @@
         });
     }
 
+    /// Returns `value`, or the collected mistakes if there are any.
     pub(crate) fn finish<T>(mut self, value: T) -> Result<T, Problems> {
         if self.list.is_empty() {
             return Ok(value);
@@ -88,10 +89,10 @@
     }
 }
 
-/// Below this similarity a name is not offered as the one that was meant.
-const SIMILARITY_FLOOR: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity for suggesting a known word.
+const MIN_SIMILARITY: f64 = 0.7;
 
-/// Suggests the known word closest to one that is not known.
+/// Suggests the most similar known word, or lists all known words if none is similar.
 pub(crate) fn suggest<'a>(
     word: &str,
     known: impl IntoIterator<Item = &'a str> + Clone,
@@ -100,7 +101,7 @@
         .clone()
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(word, candidate), candidate))
-        .filter(|(similarity, _)| *similarity >= SIMILARITY_FLOOR)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((_, candidate)) = best {
         return Some(format!("did you mean `{candidate}`?"));
