--- a/crates/config/src/host_settings.rs
+++ b/crates/config/src/host_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one host: where its daemon listens, where it stands, where the platform is.
+//! The settings of one host: its addresses, its availability zone and the platform's address.
 
 use std::net::SocketAddr;
 
@@ -104,19 +104,19 @@
 /// Every setting of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostSettings {
-    /// The daemon.
+    /// The `[daemon]` section.
     pub daemon: DaemonSettings,
-    /// The platform.
+    /// The `[platform]` section.
     pub platform: PlatformSettings,
-    /// Messages between daemons.
+    /// The `[control]` section.
     pub control: ControlSettings,
-    /// Log-in at endpoints.
+    /// The `[endpoint]` section.
     pub endpoint: EndpointSettings,
-    /// Logs.
+    /// The `[log]` section.
     pub log: LogSettings,
-    /// Traces.
+    /// The `[trace]` section.
     pub trace: TraceSettings,
-    /// TLS towards callers.
+    /// The `[tls]` section.
     pub tls: TlsSettings,
 }
 
@@ -131,7 +131,7 @@
 ];
 
 impl HostSettings {
-    /// Reads a settings file, reporting every mistake in it at once.
+    /// Parses and checks a settings file; fails with every mistake in it.
     pub fn read(file: &str, text: &str) -> Result<HostSettings, Problems> {
         let mut problems = ProblemList::new(file);
         let mut settings = HostSettings::default();
--- a/crates/config/src/proxy_settings.rs
+++ b/crates/config/src/proxy_settings.rs
@@ -1,5 +1,6 @@
-//! The settings of one host whose daemon serves a fleet that keeps everything shared in a metadata
-//! store: see `docs/PLATFORM.md`.
+//! The settings of one host in a fleet that keeps its shared state in a metadata store.
+//!
+//! See `docs/PLATFORM.md`.
 
 use std::net::SocketAddr;
 
@@ -112,7 +113,7 @@
 }
 
 impl ProxyDaemonSettings {
-    /// Returns each availability zone with its region.
+    /// Returns each configured availability zone with its region.
     pub fn region_by_zone(&self) -> impl Iterator<Item = (Name, Name)> {
         let pairs = self.regions.iter().filter_map(|entry| entry.split_once('/'));
         pairs.map(|(zone, region)| (Name::from(zone), Name::from(region)))
@@ -122,17 +123,17 @@
 /// Every setting of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxySettings {
-    /// The daemon.
+    /// The `[daemon]` section.
     pub daemon: ProxyDaemonSettings,
-    /// The metadata store.
+    /// The `[metadata]` section.
     pub metadata: MetadataSettings,
-    /// Who leads.
+    /// The `[leadership]` section.
     pub leadership: LeadershipSettings,
-    /// Limits of client accounts.
+    /// The `[limits]` section.
     pub limits: AccountLimitSettings,
-    /// Decisions under load.
+    /// The `[overload]` section.
     pub overload: OverloadSettings,
-    /// Logs.
+    /// The `[log]` section.
     pub log: LogSettings,
 }
 
@@ -146,7 +147,7 @@
 ];
 
 impl ProxySettings {
-    /// Reads a settings file, reporting every mistake in it at once.
+    /// Parses and checks a settings file; fails with every mistake in it.
     pub fn read(file: &str, text: &str) -> Result<ProxySettings, Problems> {
         let mut problems = ProblemList::new(file);
         let mut settings = ProxySettings::default();
@@ -215,8 +216,8 @@
             problems.add(1, "regions", format!("must name the daemon's own zone `{own_zone}`"));
         }
         zones.sort_unstable();
-        if let Some(twice) = zones.windows(2).find(|pair| pair[0] == pair[1]) {
-            problems.add(1, "regions", format!("names the zone `{}` twice", twice[0]));
+        if let Some(duplicate) = zones.windows(2).find(|pair| pair[0] == pair[1]) {
+            problems.add(1, "regions", format!("names the zone `{}` twice", duplicate[0]));
         }
         if self.leadership.evidence_ms > self.leadership.right_ms {
             problems.add(1, "evidence_ms", "must be at most right_ms");
--- a/crates/config/tests/fleet_settings.rs
+++ b/crates/config/tests/fleet_settings.rs
@@ -1,16 +1,16 @@
-//! The settings of a fleet daemon: what is refused, and why.
+//! Parsing and checks of the settings of a fleet daemon.
 
 use config::ProxySettings;
 
-fn settings(more: &str) -> String {
+fn settings(daemon_options: &str) -> String {
     format!(
-        "[daemon]\nhost = a\navailability_zone = east-1\nlisten = 127.0.0.1:1\nready_listen = 127.0.0.1:2\n{more}\n\
+        "[daemon]\nhost = a\navailability_zone = east-1\nlisten = 127.0.0.1:1\nready_listen = 127.0.0.1:2\n{daemon_options}\n\
          [metadata]\naddress = 127.0.0.1:3\n[leadership]\norder_address = 127.0.0.1:4\n"
     )
 }
 
 #[test]
-fn zones_are_read_with_their_regions() {
+fn regions_are_parsed_by_zone() {
     let text = settings("regions = east-1/east, west-1/west");
     let read = ProxySettings::read("host.ini", &text).unwrap();
     let regions: Vec<(String, String)> = read
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn regions_that_say_nothing_clear_are_refused() {
+fn invalid_regions_are_refused() {
     let cases = [
         ("regions = east-1", "expected ZONE/REGION"),
         ("regions = east-1/", "expected ZONE/REGION"),
@@ -31,14 +31,14 @@
         ("regions = west-1/west", "must name the daemon's own zone `east-1`"),
         ("regions = east-1/east, east-1/west", "names the zone `east-1` twice"),
     ];
-    for (line, why) in cases {
+    for (line, expected) in cases {
         let problems = ProxySettings::read("host.ini", &settings(line)).unwrap_err().to_string();
-        assert!(problems.contains(why), "{line}: {problems}");
+        assert!(problems.contains(expected), "{line}: {problems}");
     }
 }
 
 #[test]
-fn a_decision_under_load_is_switched_off_by_its_name() {
+fn overload_options_are_switched_off_by_key() {
     let text = settings("") + "[overload]\ncircuits = no\n";
     let read = ProxySettings::read("host.ini", &text).unwrap();
     assert!(!read.overload.circuits && read.overload.queue);
