--- a/crates/telemetry/src/bounded_log.rs
+++ b/crates/telemetry/src/bounded_log.rs
@@ -1,7 +1,7 @@
-//! Logs that never hold the daemon up: a bounded ring to a thread that writes to standard output.
+//! Non-blocking logging through a bounded queue to a thread that writes to standard output.
 //!
-//! Each level has a budget of lines a second, so that a flood of one kind does not push the others
-//! out; what is dropped is counted and told in a line of its own.
+//! Warnings and errors have their own rate limit, so that a burst of less severe records can't displace
+//! them. Dropped records are counted, and the count is logged as a `log_dropped` event.
 
 use std::{
     io::Write,
@@ -16,33 +16,34 @@
 
 use crate::logging::json_line;
 
-/// Lines that may wait for the writer.
-const RING_LINES: usize = 2_048;
-/// Lines a second at `info` and below; a daemon serves some tens of statements a second here.
+/// Capacity of the queue to the writer thread.
+const QUEUE_LINES: usize = 2_048;
+/// Rate limit for records at `info` and below.
 const INFO_LINES_PER_S: u64 = 200;
-/// Lines a second at `warn` and above.
+/// Rate limit for records at `warn` and above.
 const WARN_LINES_PER_S: u64 = 100;
-/// How long the end of the process waits for the writer.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+/// How long [`flush_logs`] waits for the writer thread.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Entry {
     Line(String),
     Flush(flume::Sender<()>),
 }
 
-struct Budget {
+/// A limit on the records in each whole second since the start.
+struct RateLimit {
     per_s: u64,
     second: AtomicU64,
     used: AtomicU64,
 }
 
-impl Budget {
-    const fn new(per_s: u64) -> Budget {
-        Budget { per_s, second: AtomicU64::new(0), used: AtomicU64::new(0) }
+impl RateLimit {
+    const fn new(per_s: u64) -> RateLimit {
+        RateLimit { per_s, second: AtomicU64::new(0), used: AtomicU64::new(0) }
     }
 
-    /// Takes one line out of this second's budget.
-    fn take(&self, second: u64) -> bool {
+    /// Counts a record and returns whether it is within this second's limit.
+    fn try_acquire(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.used.store(0, Ordering::Relaxed);
         }
@@ -51,67 +52,69 @@
 }
 
 struct BoundedLog {
-    ring: flume::Sender<Entry>,
+    queue: flume::Sender<Entry>,
     started: Instant,
     dropped: AtomicU64,
-    info: Budget,
-    warn: Budget,
+    info_limit: RateLimit,
+    warn_limit: RateLimit,
 }
 
 static LOG: OnceLock<BoundedLog> = OnceLock::new();
 
 /// Starts logging to standard output; a second call in one process changes nothing.
 pub fn init_bounded_logging(level: LevelFilter) {
-    let (ring, lines) = flume::bounded(RING_LINES);
+    let (queue, entries) = flume::bounded(QUEUE_LINES);
     let bounded = BoundedLog {
-        ring,
+        queue,
         started: Instant::now(),
         dropped: AtomicU64::new(0),
-        info: Budget::new(INFO_LINES_PER_S),
-        warn: Budget::new(WARN_LINES_PER_S),
+        info_limit: RateLimit::new(INFO_LINES_PER_S),
+        warn_limit: RateLimit::new(WARN_LINES_PER_S),
     };
     if LOG.set(bounded).is_err() {
         return;
     }
-    let writer = std::thread::Builder::new().name("log".to_owned()).spawn(move || write(&lines));
+    let writer =
+        std::thread::Builder::new().name("log".to_owned()).spawn(move || write_entries(&entries));
     let dispatch = fern::Dispatch::new()
         .level(LevelFilter::Trace)
         .level_for("hyper", LevelFilter::Warn)
-        .chain(fern::Output::call(offer));
-    // Without a writer or with another logger in place there is nobody to tell.
+        .chain(fern::Output::call(enqueue));
+    // If there is no writer thread or another logger is installed, logging stays off.
     if writer.is_ok() && dispatch.apply().is_ok() {
         log::set_max_level(level);
     }
 }
 
-/// Waits a moment until what was logged so far is written.
+/// Waits until all records so far are written, for at most 200 ms.
 pub fn flush_logs() {
     let Some(bounded) = LOG.get() else { return };
     let (done, is_done) = flume::bounded(1);
-    if bounded.ring.try_send(Entry::Flush(done)).is_ok() {
-        // A reader that does not read must not hold the end up.
-        let _ = is_done.recv_timeout(FLUSH_WITHIN);
+    if bounded.queue.try_send(Entry::Flush(done)).is_ok() {
+        // A blocked standard output must not keep the process from ending.
+        let _ = is_done.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-fn offer(record: &Record<'_>) {
+fn enqueue(record: &Record<'_>) {
     let Some(bounded) = LOG.get() else { return };
     let second = bounded.started.elapsed().as_secs() + 1;
-    let budget = if record.level() <= Level::Warn { &bounded.warn } else { &bounded.info };
+    let limit =
+        if record.level() <= Level::Warn { &bounded.warn_limit } else { &bounded.info_limit };
     let line = || json_line(&record.args().to_string(), record).to_string();
-    let taken = budget.take(second) && bounded.ring.try_send(Entry::Line(line())).is_ok();
-    if !taken {
+    let queued = limit.try_acquire(second) && bounded.queue.try_send(Entry::Line(line())).is_ok();
+    if !queued {
         bounded.dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-fn write(lines: &flume::Receiver<Entry>) {
+fn write_entries(entries: &flume::Receiver<Entry>) {
     let mut out = std::io::stdout();
-    while let Ok(entry) = lines.recv() {
-        // Lines that came together are written together.
+    while let Ok(entry) = entries.recv() {
+        // All queued lines go into one write.
         let mut text = String::new();
         let mut flushes = Vec::new();
-        for entry in std::iter::once(entry).chain(lines.try_iter()) {
+        for entry in std::iter::once(entry).chain(entries.try_iter()) {
             match entry {
                 Entry::Line(line) => {
                     text.push_str(&line);
@@ -124,7 +127,7 @@
         if dropped > 0 {
             text.push_str(&format!("{{\"event\":\"log_dropped\",\"lines\":{dropped}}}\n"));
         }
-        // A closed standard output leaves nobody to tell.
+        // A failure to write log records can't be logged.
         let _ = out.write_all(text.as_bytes());
         let _ = out.flush();
         for done in flushes {
