--- a/crates/telemetry/src/explain.rs
+++ b/crates/telemetry/src/explain.rs
@@ -1,14 +1,14 @@
-//! The story of one request, out of the log lines of one or many daemons.
+//! Reconstructs the timeline of one request from the logs of one or more daemons.
 //!
-//! Lines of the request itself are printed in time order; before each stands what the same daemon last
-//! said it believed of the service, since that is what decided. See `docs/OPERATIONS.md`.
+//! The request's records are listed in time order. Each one is preceded by the latest state records of
+//! the same daemon for the service, which explain its decision. See `docs/OPERATIONS.md`.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
-/// Events that change what a daemon believes of a service; the last one before a request's line decided.
-const BELIEFS: [&str; 6] = [
+/// Events that record a change in a daemon's view of a service.
+const STATE_EVENTS: [&str; 6] = [
     "leadership",
     "right_gained",
     "change_step",
@@ -17,7 +17,7 @@
     "record_confirmed",
 ];
 
-/// One line of a log, with the daemon that wrote it where that is known.
+/// A log record. `source` is the word before the JSON, such as a host, or else the log's name.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     time_unix_ms: u64,
@@ -25,41 +25,42 @@
     fields: Value,
 }
 
-/// Tells the story of the request `id` in these logs; each has a name, such as its file's.
+/// Returns the timeline of the request `id`, oldest line first, from pairs of a log's name and its text.
 ///
-/// Returns one line for each thing that happened, oldest first; none if no log names the request. Lines
-/// that are no JSON are passed over, since other programs may write to the same file.
+/// The result is empty if no log mentions the request. Lines without JSON are skipped, since other
+/// programs may write to the same file.
 pub fn explain(id: &str, logs: &[(String, String)]) -> Vec<String> {
     let mut entries: Vec<Entry> = logs
         .iter()
-        .flat_map(|(source, text)| text.lines().filter_map(move |line| read_line(source, line)))
+        .flat_map(|(source, text)| text.lines().filter_map(move |line| parse_line(source, line)))
         .collect();
     entries.sort_by_key(|entry| entry.time_unix_ms);
-    let mut beliefs: BTreeMap<(String, String, String), String> = BTreeMap::new();
-    let mut story = Vec::new();
+    let mut latest_states: BTreeMap<(String, String, String), String> = BTreeMap::new();
+    let mut timeline = Vec::new();
     for entry in &entries {
         let event = text_of(&entry.fields, "event");
         let service = text_of(&entry.fields, "service");
         if text_of(&entry.fields, "id") == id {
-            let known = beliefs
+            let states = latest_states
                 .iter()
-                // What is said of no service concerns all of them.
-                .filter(|((source, about, _), _)| {
-                    *source == entry.source && (*about == service || about.is_empty())
+                // A record without a service applies to all services.
+                .filter(|((source, state_service, _), _)| {
+                    *source == entry.source
+                        && (*state_service == service || state_service.is_empty())
                 });
-            for (_, line) in known {
-                story.push(format!("    known: {line}"));
+            for (_, line) in states {
+                timeline.push(format!("    known: {line}"));
             }
-            story.push(render(entry));
-        } else if BELIEFS.contains(&event.as_str()) {
-            beliefs.insert((entry.source.clone(), service, event), render(entry));
+            timeline.push(render(entry));
+        } else if STATE_EVENTS.contains(&event.as_str()) {
+            latest_states.insert((entry.source.clone(), service, event), render(entry));
         }
     }
-    story
+    timeline
 }
 
-/// Reads a line that may have words before its JSON, such as a time and a host.
-fn read_line(source: &str, line: &str) -> Option<Entry> {
+/// Parses a line, which may have a prefix before the JSON, such as a time and a host.
+fn parse_line(source: &str, line: &str) -> Option<Entry> {
     let start = line.find('{')?;
     let fields: Value = serde_json::from_str(&line[start..]).ok()?;
     let time_unix_ms = fields.get("time_unix_ms")?.as_u64()?;
--- a/crates/telemetry/tests/explain.rs
+++ b/crates/telemetry/tests/explain.rs
@@ -1,4 +1,4 @@
-//! A request's story out of recorded logs.
+//! Timelines of requests from recorded logs.
 
 use telemetry::explain;
 
@@ -6,7 +6,7 @@
 {"event":"leadership","service":"s","primary":"i-1","term":1,"changing":false,"time_unix_ms":1000,"message":"the leadership record changed"}
 {"event":"leadership","service":"s","primary":"i-1","term":1,"changing":true,"time_unix_ms":1500,"message":"the leadership record changed"}
 {"event":"leadership","service":"other","primary":"i-9","term":1,"changing":false,"time_unix_ms":1600,"message":"the leadership record changed"}
-not a line of ours
+a line without JSON
 {"event":"refused","id":"q1","service":"s","code":"overloaded","why":"the primary is being replaced","held_ms":720,"time_unix_ms":2000,"message":"a statement was refused and not run"}
 {"event":"refused","id":"q2","service":"s","code":"overloaded","time_unix_ms":2001,"message":"a statement was refused and not run"}
 "#;
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn the_story_is_in_order_across_daemons_with_the_beliefs_in_force() {
-    let story = explain("q1", &logs());
-    assert_eq!(story.len(), 3);
-    assert!(story[0].starts_with("1900 host-b outcome"), "{}", story[0]);
-    assert!(story[1].contains("known: 1500 host-a leadership"), "{}", story[1]);
-    assert!(story[1].contains("changing=true"));
-    assert!(story[2].starts_with("2000 host-a refused"));
-    assert!(story[2].contains("why=the primary is being replaced"));
+fn timeline_is_ordered_across_daemons_and_includes_their_state() {
+    let timeline = explain("q1", &logs());
+    assert_eq!(timeline.len(), 3);
+    assert!(timeline[0].starts_with("1900 host-b outcome"), "{}", timeline[0]);
+    assert!(timeline[1].contains("known: 1500 host-a leadership"), "{}", timeline[1]);
+    assert!(timeline[1].contains("changing=true"));
+    assert!(timeline[2].starts_with("2000 host-a refused"));
+    assert!(timeline[2].contains("why=the primary is being replaced"));
 }
 
 #[test]
-fn a_request_that_no_log_names_has_no_story() {
+fn unknown_request_has_an_empty_timeline() {
     assert!(explain("q9", &logs()).is_empty());
     assert!(explain("q1", &[]).is_empty());
 }
