--- a/crates/telemetry/src/exporter.rs
+++ b/crates/telemetry/src/exporter.rs
@@ -1,4 +1,4 @@
-//! Sends finished spans to a collector, or to the log.
+//! Exports finished spans to an OTLP/HTTP collector or to the log.
 
 use std::{
     net::SocketAddr,
@@ -9,51 +9,51 @@
 
 use crate::Span;
 
-/// Spans that may wait for the exporter.
-const RING_SPANS: usize = 4_096;
+/// Capacity of the queue to the exporter.
+const QUEUE_SPANS: usize = 4_096;
 
-/// Spans sent together.
-const BATCH_SPANS: usize = 256;
+/// Maximum number of spans in one export request.
+const MAX_BATCH_SPANS: usize = 256;
 
-/// How long a span waits for others to be sent with it.
+/// How long the first span of a batch waits for others.
 const BATCH_WAIT: Duration = Duration::from_millis(500);
 
-/// How long the collector may take.
+/// Timeout of one export request.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The request path's end of the ring to the exporter.
+/// The sending half of the queue to a [`SpanExporter`].
 #[derive(Clone, Debug)]
 pub struct SpanSink {
-    ring: flume::Sender<Span>,
+    queue: flume::Sender<Span>,
 }
 
 impl SpanSink {
-    /// Hands a span over, or drops it when the ring is full: requests never wait for traces.
+    /// Queues a span, or drops it if the queue is full, so that tracing never delays a request.
     pub fn offer(&self, span: Span) {
-        let _ = self.ring.try_send(span);
+        let _ = self.queue.try_send(span);
     }
 }
 
-/// The duty that exports spans; runs on its own thread.
+/// Exports spans in batches; [`SpanExporter::run`] blocks and needs its own thread.
 #[derive(Debug)]
 pub struct SpanExporter {
-    ring: flume::Receiver<Span>,
+    queue: flume::Receiver<Span>,
     collector: Option<SocketAddr>,
     host: String,
 }
 
 impl SpanExporter {
-    /// Makes the exporter and the sink that feeds it.
+    /// Creates an exporter and its sink. Without a collector, spans go to the log.
     pub fn new(collector: Option<SocketAddr>, host: impl Into<String>) -> (SpanExporter, SpanSink) {
-        let (sender, ring) = flume::bounded(RING_SPANS);
-        (SpanExporter { ring, collector, host: host.into() }, SpanSink { ring: sender })
+        let (sender, queue) = flume::bounded(QUEUE_SPANS);
+        (SpanExporter { queue, collector, host: host.into() }, SpanSink { queue: sender })
     }
 
-    /// Exports until every sink is gone.
+    /// Exports spans until every sink is dropped.
     pub fn run(self) {
         let agent =
             ureq::Agent::config_builder().timeout_global(Some(EXPORT_TIMEOUT)).build().new_agent();
-        while let Ok(first) = self.ring.recv() {
+        while let Ok(first) = self.queue.recv() {
             let batch = self.collect(first);
             match self.collector {
                 Some(collector) => self.send(&agent, collector, &batch),
@@ -64,9 +64,9 @@
 
     fn collect(&self, first: Span) -> Vec<Span> {
         let mut batch = vec![first];
-        let until = Instant::now() + BATCH_WAIT;
-        while batch.len() < BATCH_SPANS {
-            match self.ring.recv_deadline(until) {
+        let deadline = Instant::now() + BATCH_WAIT;
+        while batch.len() < MAX_BATCH_SPANS {
+            match self.queue.recv_deadline(deadline) {
                 Ok(span) => batch.push(span),
                 Err(_) => break,
             }
@@ -79,12 +79,12 @@
         let sent = agent.post(format!("http://{collector}/v1/traces")).send_json(&body);
         if let Err(error) = sent {
             let lost = batch.len();
-            log::warn!(lost, error = error.to_string().as_str(); "spans could not be exported");
+            log::warn!(lost, error = error.to_string().as_str(); "cannot export spans");
         }
     }
 }
 
-/// Builds the body of an OTLP/HTTP export request in its JSON form.
+/// Builds the JSON body of an OTLP/HTTP export request.
 fn otlp_request(host: &str, batch: &[Span]) -> Value {
     let spans: Vec<Value> = batch.iter().map(otlp_span).collect();
     json!({"resourceSpans": [{
@@ -96,7 +96,7 @@
     }]})
 }
 
-/// The OTLP number for a span that serves a request.
+/// The OTLP value of `SPAN_KIND_SERVER`.
 const SPAN_KIND_SERVER: u8 = 2;
 
 fn otlp_span(span: &Span) -> Value {
