--- a/crates/telemetry/src/trace.rs
+++ b/crates/telemetry/src/trace.rs
@@ -1,4 +1,4 @@
-//! Spans joined by the W3C trace context.
+//! Spans that are linked by W3C trace context.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,12 +6,12 @@
 
 use crate::SpanSink;
 
-/// The place of a request in a trace, as it travels between hops.
+/// The part of a W3C trace context that is sent from hop to hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpanContext {
-    /// The trace.
+    /// The id of the trace.
     pub trace_id: u128,
-    /// The span of the sending hop.
+    /// The id of the span.
     pub span_id: u64,
 }
 
@@ -19,7 +19,7 @@
 const SAMPLED_FLAG: u8 = 1;
 
 impl SpanContext {
-    /// Reads a `traceparent` value; `None` when it is malformed or asks not to be traced.
+    /// Parses a `traceparent` value; `None` if it is malformed or its sampled flag is not set.
     pub fn parse(traceparent: &str) -> Option<SpanContext> {
         let mut parts = traceparent.split('-');
         let version = parts.next()?;
@@ -34,55 +34,55 @@
         (sampled && trace_id != 0 && span_id != 0).then_some(SpanContext { trace_id, span_id })
     }
 
-    /// Writes the `traceparent` value for the next hop.
+    /// Formats the `traceparent` value for the next hop, with the sampled flag set.
     pub fn to_traceparent(self) -> String {
         format!("{VERSION}-{:032x}-{:016x}-01", self.trace_id, self.span_id)
     }
 }
 
-/// A finished or running part of a request.
+/// A running or finished span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// Its own place.
+    /// The ids of the trace and the span.
     pub context: SpanContext,
-    /// The span of the hop before; 0 for the first.
+    /// The id of the parent span; 0 for a root span.
     pub parent_span_id: u64,
-    /// What was done.
+    /// The name of the operation.
     pub name: &'static str,
-    /// When it began, in nanoseconds of Unix time.
+    /// The start, in nanoseconds of Unix time.
     pub start_unix_ns: u64,
-    /// How long it took.
+    /// The duration in nanoseconds; 0 until the span is finished.
     pub duration_ns: u64,
-    /// Facts about it.
+    /// Attributes as pairs of key and value.
     pub attributes: Vec<(&'static str, String)>,
     started: Instant,
 }
 
 impl Span {
-    /// Adds a fact.
+    /// Adds an attribute.
     pub fn set_attribute(&mut self, key: &'static str, value: impl Into<String>) {
         self.attributes.push((key, value.into()));
     }
 }
 
-/// Starts spans for the requests that are traced.
+/// Starts spans and sends finished ones to the exporter.
 #[derive(Clone, Debug)]
 pub struct Tracer {
     sink: SpanSink,
-    sample: f64,
+    sample_ratio: f64,
 }
 
 impl Tracer {
-    /// Traces `sample` (0 to 1) of the requests that bring no trace context of their own.
-    pub fn new(sink: SpanSink, sample: f64) -> Tracer {
-        Tracer { sink, sample }
+    /// Creates a tracer that samples `sample_ratio` (0 to 1) of the requests without a trace context.
+    pub fn new(sink: SpanSink, sample_ratio: f64) -> Tracer {
+        Tracer { sink, sample_ratio }
     }
 
-    /// Starts the span of an entering request; `None` when it is not traced.
+    /// Starts a span for an incoming request; `None` if the request is not traced.
     pub fn start_request(&self, name: &'static str, traceparent: Option<&str>) -> Option<Span> {
         match traceparent.and_then(SpanContext::parse) {
             Some(parent) => Some(self.start_child(name, parent)),
-            None if self.sample > 0.0 && rand::rng().random::<f64>() < self.sample => {
+            None if self.sample_ratio > 0.0 && rand::rng().random::<f64>() < self.sample_ratio => {
                 let trace_id = rand::rng().random_range(1..u128::MAX);
                 Some(self.start_child(name, SpanContext { trace_id, span_id: 0 }))
             }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Starts a span beneath another.
+    /// Starts a child span.
     pub fn start_child(&self, name: &'static str, parent: SpanContext) -> Span {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Span {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Ends a span and hands it to the exporter; a full exporter loses it rather than waits.
+    /// Finishes a span and queues it for export; it is dropped if the queue is full.
     pub fn finish(&self, mut span: Span) {
         span.duration_ns = u64::try_from(span.started.elapsed().as_nanos()).unwrap_or(u64::MAX);
         self.sink.offer(span);
