--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! What can be seen of a daemon from outside: logs, metrics and traces.
+//! Logs, metrics and traces.
 //!
-//! Logs are JSON lines, metrics are Prometheus's, and each hop of a traced request is a span joined
-//! by the W3C trace context. `docs/OPERATIONS.md` lists the metrics and what to watch.
+//! Logs are JSON lines, and metrics use Prometheus's text format. Each hop of a traced request is a span,
+//! and W3C trace context links the spans. `docs/OPERATIONS.md` lists the metrics and what to watch.
 
 mod bounded_log;
 mod explain;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! JSON-line logs.
+//! JSON-lines logging.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,7 +12,7 @@
 pub fn init_logging(level: LevelFilter) {
     let dispatch = fern::Dispatch::new()
         .level(level)
-        // Libraries speak up only when something is wrong.
+        // Libraries may log only warnings and errors.
         .level_for("rustls", LevelFilter::Warn)
         .level_for("hyper", LevelFilter::Warn)
         .level_for("ureq", LevelFilter::Warn)
@@ -22,7 +22,7 @@
             out.finish(format_args!("{}", json_line(&message.to_string(), record)));
         })
         .chain(std::io::stderr());
-    // Tests start several daemons in one process; the first one's logger serves them all.
+    // Fails if a logger is already installed, as in tests with several daemons in one process.
     let _ = dispatch.apply();
 }
 
@@ -33,7 +33,7 @@
     fields.insert("level".to_owned(), json!(record.level().as_str().to_lowercase()));
     fields.insert("target".to_owned(), json!(record.target()));
     fields.insert("message".to_owned(), json!(message));
-    // A field that can't be read is left out; the line itself must still be written.
+    // A failure to read the fields must not lose the record itself.
     let _ = record.key_values().visit(&mut FieldCollector { fields: &mut fields });
     serde_json::Value::Object(fields)
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,49 +1,49 @@
-//! The metrics, named after what operators ask.
+//! Prometheus metrics.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
 
-/// Every metric of a daemon. `docs/OPERATIONS.md` says what each one tells.
+/// The metrics of a daemon, described in `docs/OPERATIONS.md`.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by service and outcome (`ok`, `error`, or a refusal's reason).
+    /// Requests by service and outcome (`ok`, `error`, or the reason of a refusal).
     pub requests: IntCounterVec,
     /// Refusals by verdict and reason.
     pub refusals: IntCounterVec,
-    /// Reads by service, kind and who served them (`replica` or `primary`).
+    /// Reads by service, kind and role of the server (`replica` or `primary`).
     pub reads: IntCounterVec,
-    /// Reads whose first server turned out to be behind.
+    /// Reads sent to a second server, by service and cause.
     pub read_retries: IntCounterVec,
-    /// Seconds from a request's entry to the end of its answer, by service and class.
+    /// Seconds from a request's arrival to the end of its response, by service and class.
     pub request_seconds: HistogramVec,
-    /// Seconds that writes waited for evidence, by service.
+    /// Seconds that writes waited for evidence after the primary's response, by service.
     pub evidence_seconds: HistogramVec,
-    /// Seconds of each step of a promotion.
+    /// Seconds of a promotion, by step.
     pub failover_seconds: HistogramVec,
-    /// Promotions by how they ended.
+    /// Promotions by ending.
     pub promotions: IntCounterVec,
-    /// Callers connected now.
+    /// Connected callers.
     pub callers: IntGauge,
-    /// Endpoint connections by group and server.
+    /// Open endpoint connections by group and server.
     pub endpoint_connections: IntGaugeVec,
     /// Requests waiting for a connection, by group.
     pub waiting: IntGaugeVec,
-    /// The configuration revision in force.
+    /// The active configuration revision.
     pub revision: IntGauge,
-    /// Requests relayed to another daemon and served for one, by direction.
+    /// Requests relayed between daemons, by direction.
     pub relayed: IntCounterVec,
-    /// Calls to the platform by kind.
+    /// Calls to the platform's store by kind.
     pub store_calls: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes the metrics with a registry of their own.
+    /// Creates the metrics and a registry for them.
     ///
     /// # Panics
-    /// Panics if two metrics share a name, which a test would show at once.
+    /// Panics if the name of a metric is invalid or used twice.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -137,10 +137,10 @@
         }
     }
 
-    /// Writes every metric in Prometheus's text format.
+    /// Renders every metric in Prometheus's text format.
     pub fn render(&self) -> String {
         let mut buffer = Vec::new();
-        // Writing into memory can't fail, and every metric was checked when it was registered.
+        // Encoding to memory can't fail, since the metrics were validated when they were registered.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
         String::from_utf8_lossy(&buffer).into_owned()
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// From a tenth of a millisecond to ten seconds, about three to a decade.
+/// Bounds of histogram buckets in seconds.
 const SECONDS_BUCKETS: [f64; 16] = [
     0.000_1, 0.000_2, 0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0,
     10.0,
