--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -150,7 +150,7 @@
 
     /// Records an attempt of this daemon's own callers, which counts as a probe if the server's circuit breaker is
     /// not closed.
-    pub(super) fn note_attempt(&self, index: usize, request: &ConnectionRequest) {
+    pub(super) fn on_attempt(&self, index: usize, request: &ConnectionRequest) {
         if !request.is_forwarded {
             self.state.borrow_mut().servers[index].health.on_request(Instant::now());
         }
@@ -263,7 +263,7 @@
                 self.note_path_outcome(pool, route, PathOutcome::Refused);
             }
             ConnectionLost::NotGranted(NotSent::SetAside) => {
-                pool.with_server(&route.server, |pooled| pooled.note_circuit_open());
+                pool.with_server(&route.server, |pooled| pooled.on_circuit_open());
             }
             _ => {}
         }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -180,7 +180,7 @@
             if has_idle && let Some(connection) = self.acquire_remote(index, &request, deadline) {
                 return Ok(Offer::Ready(connection));
             }
-            self.note_attempt(index, &request);
+            self.on_attempt(index, &request);
             if let Some(offer) = self.acquire_queued(index, &request, values, deadline).await? {
                 return Ok(offer);
             }
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -196,7 +196,7 @@
         reuse.least_likely_reused(&idle, now)
     }
 
-    pub(crate) fn note_use(&mut self, principal: &Principal) {
+    pub(crate) fn on_used(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
             reuse.on_used(principal.account_name(), Instant::now());
         }
@@ -221,7 +221,7 @@
 
     /// Records an answer and the log point in it. `took` is `None` for an error: errors arrive faster than results,
     /// and counting them would draw more statements to a failing server.
-    pub(crate) fn note_answer(&mut self, point: Option<LogPoint>, took: Option<Duration>) {
+    pub(crate) fn on_answer(&mut self, point: Option<LogPoint>, took: Option<Duration>) {
         if let Some(took) = took {
             self.latency.add(took.as_micros() as u64);
             self.latency_at = Some(Instant::now());
@@ -235,17 +235,17 @@
     }
 
     /// Records that the server's log lacked the required point.
-    pub(crate) fn note_lagging(&mut self) {
+    pub(crate) fn on_lagging(&mut self) {
         self.lagging_until = Some(Instant::now() + LAGGING_PAUSE);
     }
 
     /// Records that the server could not be reached or failed, and avoids it for a while.
-    pub(crate) fn note_failure(&mut self) {
+    pub(crate) fn on_failure(&mut self) {
         self.avoid_until = Some(Instant::now() + self.next_backoff());
     }
 
     /// Records that a connection could not be opened; returns how long no other is opened.
-    pub(crate) fn note_open_failed(&mut self, refused: bool) -> Duration {
+    pub(crate) fn on_open_failed(&mut self, refused: bool) -> Duration {
         let max_backoff = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
         let backoff = self.next_backoff().min(max_backoff);
         self.no_opening_until = Some(Instant::now() + backoff);
@@ -274,7 +274,7 @@
     }
 
     /// Records that the owner's circuit breaker for this server is open.
-    pub(crate) fn note_circuit_open(&mut self) {
+    pub(crate) fn on_circuit_open(&mut self) {
         self.avoid_until = Some(Instant::now() + FIRST_BACKOFF);
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// Records that a tunnel failed. The next daemon is tried; after the last one there is a pause.
-    pub(crate) fn note_tunnel_failed(&mut self, peer: SocketAddr) {
+    pub(crate) fn on_tunnel_failed(&mut self, peer: SocketAddr) {
         if self.tunnels.get(self.next_tunnel) != Some(&peer) {
             return;
         }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -83,7 +83,7 @@
         };
         let Some(index) = found else { return Ok(None) };
         if let Some(principal) = &request.principal {
-            self.state.borrow_mut().servers[index].note_use(principal);
+            self.state.borrow_mut().servers[index].on_used(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
             return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, permit))));
--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -21,17 +21,17 @@
 impl<E: EndpointDialect> GroupPool<E> {
     /// Records an answer of a server, with its log point and, if it succeeded, its latency.
     pub fn on_answer(&self, server: &str, point: Option<LogPoint>, took: Option<Duration>) {
-        self.with_server(server, |pooled| pooled.note_answer(point, took));
+        self.with_server(server, |pooled| pooled.on_answer(point, took));
     }
 
     /// Records that a server's log did not hold the required point.
     pub fn on_lagging(&self, server: &str) {
-        self.with_server(server, PooledServer::note_lagging);
+        self.with_server(server, PooledServer::on_lagging);
     }
 
     /// Records that a server could not be reached or failed; it is skipped for a while.
     pub fn on_failure(&self, server: &str) {
-        self.with_server(server, PooledServer::note_failure);
+        self.with_server(server, PooledServer::on_failure);
     }
 
     /// Closes the idle connections to a server after one of its connections fell silent: usually all of them
@@ -43,7 +43,7 @@
     /// Records that a connection could not be opened. No further one is opened during a backoff, so that a
     /// server which refuses connections is not flooded; statements wait for the existing ones.
     pub fn on_open_failed(self: &Rc<Self>, server: &str, refused: bool) {
-        let Some(backoff) = self.with_server(server, |pooled| pooled.note_open_failed(refused))
+        let Some(backoff) = self.with_server(server, |pooled| pooled.on_open_failed(refused))
         else {
             return;
         };
@@ -95,7 +95,7 @@
 
     /// Records that a connection to a server through another daemon failed.
     pub fn on_tunnel_failed(&self, server: &str, peer: SocketAddr) {
-        self.with_server(server, |pooled| pooled.note_tunnel_failed(peer));
+        self.with_server(server, |pooled| pooled.on_tunnel_failed(peer));
     }
 
     /// Whether every listed server except the given one was lagging recently.
