--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -425,19 +425,19 @@
     match engine.run_watched(group, task, connection, deadline, watch).await {
         Ok(answer) => {
             let took = answer.error_code().is_none().then(|| sent_at.elapsed());
-            engine.note_health(group, &route.server, outcome_of(answer.error_code()));
-            engine.note_answer(group, &service, &route, answer.point, took);
+            engine.record_health(group, &route.server, outcome_of(answer.error_code()));
+            engine.record_answer(group, &service, &route, answer.point, took);
             if request.at_primary && answer.error_code().is_none() {
                 let sample = Sample { sent_at, known_point, point: answer.point };
-                engine.note_forwarded_sample(group, &service, &route.server, sample);
+                engine.record_forwarded_sample(group, &service, &route.server, sample);
             }
             let state = answer.state;
             (RelayOutcome::Answered(AnswerMessage::of(answer)), Some(state))
         }
         Err((progress, lost)) => {
-            engine.note_loss(group, &service, &route, &lost);
+            engine.on_connection_lost(group, &service, &route, &lost);
             if progress == Progress::Sent {
-                engine.note_health(group, &route.server, PathOutcome::Failed);
+                engine.record_health(group, &route.server, PathOutcome::Failed);
             }
             let outcome = match progress {
                 Progress::NotSent => not_sent(NotSent::Unreachable),
--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -139,7 +139,7 @@
     }
 
     /// Keeps the sample from a forwarded statement, if the server is the primary by this daemon's own view.
-    pub(crate) fn note_forwarded_sample(
+    pub(crate) fn record_forwarded_sample(
         &self,
         group: &Group<E>,
         service: &Name,
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -227,7 +227,7 @@
             (!granted.coordinator.is_empty()).then(|| Name::from(granted.coordinator.as_str()));
         let coordinator = if grant == Grant::NotCoordinator { reported } else { Some(target) };
         if let Some(coordinator) = coordinator {
-            self.limits.note_coordinator(coordinator, Instant::now());
+            self.limits.record_coordinator(coordinator, Instant::now());
         }
         grant
     }
--- a/crates/proxy/src/serve/control_requests.rs
+++ b/crates/proxy/src/serve/control_requests.rs
@@ -78,7 +78,7 @@
         }
         Err((_, lost)) => {
             drop(connection);
-            engine.note_loss(&group, &command.service, &server_route, &lost);
+            engine.on_connection_lost(&group, &command.service, &server_route, &lost);
             None
         }
     }
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -341,7 +341,7 @@
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
-                        true => self.note_reachable(group, &permit.entry.service, &server),
+                        true => self.record_reachable(group, &permit.entry.service, &server),
                         false => group.pool.on_tunnel(&server, true),
                     }
                     return Ok(permit.opened(connection));
@@ -463,7 +463,7 @@
             group.pool.on_failure(server);
         }
         match lost {
-            ConnectionLost::Refused(_) => self.note_reachable(group, service, server),
+            ConnectionLost::Refused(_) => self.record_reachable(group, service, server),
             _ => self.probe(group, service, server),
         }
     }
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -93,7 +93,7 @@
                 .await;
             let server_route = assignment.connection.server_route();
             let server = server_route.server.clone();
-            self.note_own_health(&group, &server_route, &sent);
+            self.record_own_health(&group, &server_route, &sent);
             let next = match sent {
                 Ok(answer) => match answer.error_code() {
                     None if self.is_lease_still_valid(job, &assignment) => {
@@ -104,7 +104,7 @@
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
-                        self.note_path_answered(&group.pool, &server_route);
+                        self.record_path_answered(&group.pool, &server_route);
                         self.on_server_error(
                             &group,
                             job,
@@ -128,7 +128,7 @@
                         attempts.sent -= 1;
                     }
                     attempts.last_error = refusal_code(&lost);
-                    self.note_loss(&group, &job.route.service, &server_route, &lost);
+                    self.on_connection_lost(&group, &job.route.service, &server_route, &lost);
                     if let Some(error) =
                         self.overload_refusal(&group, job, &attempts, &server, &lost)
                     {
@@ -290,7 +290,7 @@
             && job.route.read_rule != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
-            self.note_replicas_behind(group, &job.route.service, &leader.server);
+            self.record_replicas_behind(group, &job.route.service, &leader.server);
         }
         let expected = group.pool.expected_wait();
         match error {
@@ -408,8 +408,8 @@
         let server_route = assignment.connection.server_route();
         assignment.connection.release();
         let service = &job.route.service;
-        self.note_answer(group, service, &server_route, answer.point, Some(sent_at.elapsed()));
-        self.note_served(group, job, assignment.leader.is_some());
+        self.record_answer(group, service, &server_route, answer.point, Some(sent_at.elapsed()));
+        self.record_success(group, job, assignment.leader.is_some());
         let Some(leader) = assignment.leader else { return answer };
         let sample = Sample { sent_at, known_point: assignment.known_point, point: answer.point };
         self.add_sample(group, service, &leader, sample);
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records the result of a statement that a caller of this daemon ran on one of its own connections.
-    pub(crate) fn note_own_health(
+    pub(crate) fn record_own_health(
         &self,
         group: &Group<E>,
         route: &ServerRoute,
@@ -56,11 +56,11 @@
             Err((Progress::Sent, _)) => PathOutcome::Failed,
             Err((Progress::NotSent, _)) => return,
         };
-        self.note_health(group, &route.server, outcome);
+        self.record_health(group, &route.server, outcome);
     }
 
     /// Records the result of a statement on a connection of this daemon.
-    pub(crate) fn note_health(&self, group: &Group<E>, server: &Name, outcome: PathOutcome) {
+    pub(crate) fn record_health(&self, group: &Group<E>, server: &Name, outcome: PathOutcome) {
         if !group.pool.has_circuits() {
             return;
         }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -114,7 +114,7 @@
         self.voter.borrow().coordinator(now).cloned()
     }
 
-    pub(super) fn note_coordinator(&self, host: Name, now: Instant) {
+    pub(super) fn record_coordinator(&self, host: Name, now: Instant) {
         self.voter.borrow_mut().note_coordinator(host, now);
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    fn note_members(&self, view: &ControlView, now: Instant) {
+    fn update_electorate(&self, view: &ControlView, now: Instant) {
         let mut electorate = self.electorate.borrow_mut();
         if Arc::ptr_eq(&view.members, &electorate.members) {
             return;
@@ -263,7 +263,7 @@
                 continue;
             }
             let now = Instant::now();
-            self.limits.note_members(&view, now);
+            self.limits.update_electorate(&view, now);
             let pause = match self.should_campaign(&view, now) {
                 true => {
                     self.ask_for_votes(&view, now);
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -247,12 +247,12 @@
     }
 
     /// Records that a server answered through an owner.
-    pub(crate) fn note_path_answered(&self, pool: &GroupPool<E>, route: &ServerRoute) {
-        self.note_path_outcome(pool, route, PathOutcome::Answered);
+    pub(crate) fn record_path_answered(&self, pool: &GroupPool<E>, route: &ServerRoute) {
+        self.record_path_outcome(pool, route, PathOutcome::Answered);
     }
 
     /// Records why a statement that was forwarded to an owner got no answer.
-    pub(crate) fn note_path_lost(
+    pub(crate) fn record_path_lost(
         &self,
         pool: &GroupPool<E>,
         route: &ServerRoute,
@@ -260,7 +260,7 @@
     ) {
         match lost {
             ConnectionLost::NotGranted(NotSent::Unreachable) => {
-                self.note_path_outcome(pool, route, PathOutcome::Refused);
+                self.record_path_outcome(pool, route, PathOutcome::Refused);
             }
             ConnectionLost::NotGranted(NotSent::SetAside) => {
                 pool.with_server(&route.server, |pooled| pooled.on_circuit_open());
@@ -269,7 +269,7 @@
         }
     }
 
-    fn note_path_outcome(&self, pool: &GroupPool<E>, route: &ServerRoute, outcome: PathOutcome) {
+    fn record_path_outcome(&self, pool: &GroupPool<E>, route: &ServerRoute, outcome: PathOutcome) {
         let Some(owner) = route.owner.filter(|_| self.settings.overload.circuits) else { return };
         let now = Instant::now();
         let change =
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -202,7 +202,7 @@
     }
 
     /// Records that a statement was answered; an answer from the primary ends the group's outage.
-    pub(crate) fn note_served(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
+    pub(crate) fn record_success(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.account_name());
         self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
         if at_primary && group.outage.ongoing.get().is_some() {
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -39,7 +39,7 @@
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Records an answer of a server.
-    pub fn note_answer(
+    pub fn record_answer(
         &self,
         group: &Group<E>,
         service: &Name,
@@ -48,14 +48,14 @@
         took: Option<Duration>,
     ) {
         group.pool.on_answer(&route.server, point, took);
-        self.note_path_answered(&group.pool, route);
+        self.record_path_answered(&group.pool, route);
         if route.is_direct {
-            self.note_reachable(group, service, &route.server);
+            self.record_reachable(group, service, &route.server);
         }
     }
 
     /// Records a lost connection and probes the server.
-    pub fn note_loss(
+    pub fn on_connection_lost(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
         service: &Name,
@@ -70,7 +70,7 @@
                 why = lost.to_string().as_str();
                 "a statement that was forwarded to an owner got no answer"
             );
-            self.note_path_lost(&group.pool, route, lost);
+            self.record_path_lost(&group.pool, route, lost);
             return;
         }
         if is_server_failure(lost) {
@@ -102,7 +102,7 @@
                 if engine.is_alive(&entry).await {
                     break;
                 }
-                engine.note_unreachable(&group, &service, &server, asked_at);
+                engine.record_unreachable(&group, &service, &server, asked_at);
                 engine.search_tunnel(&group, &service, &server);
                 // A timeout starts the next probe.
                 let _ = timeout(PROBE_INTERVAL, group.probe_now.notified()).await;
@@ -111,7 +111,7 @@
                 }
             }
             // Also clears the state of a server that is no longer listed.
-            engine.note_reachable(&group, &service, &server);
+            engine.record_reachable(&group, &service, &server);
         });
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Records a read that was refused because replicas lag; reports it to the control thread if this lasts.
-    pub fn note_replicas_behind(&self, group: &Group<E>, service: &Name, primary: &Name) {
+    pub fn record_replicas_behind(&self, group: &Group<E>, service: &Name, primary: &Name) {
         if !group.pool.are_others_lagging(primary) {
             return;
         }
@@ -145,7 +145,13 @@
         group.probes.borrow().get(server) == Some(&ProbeState::Unreachable)
     }
 
-    fn note_unreachable(&self, group: &Group<E>, service: &Name, server: &Name, asked_at: Instant) {
+    fn record_unreachable(
+        &self,
+        group: &Group<E>,
+        service: &Name,
+        server: &Name,
+        asked_at: Instant,
+    ) {
         let before = group.probes.borrow_mut().insert(server.clone(), ProbeState::Unreachable);
         group.pool.on_unreachable(server, asked_at);
         group.server_unreachable.notify_waiters();
@@ -169,7 +175,7 @@
         }
     }
 
-    pub(crate) fn note_reachable(&self, group: &Group<E>, service: &Name, server: &Name) {
+    pub(crate) fn record_reachable(&self, group: &Group<E>, service: &Name, server: &Name) {
         group.pool.on_direct_answer(server);
         if group.probes.borrow().is_empty() {
             return;
--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -157,7 +157,7 @@
         if let Some(route) = self.route()
             && self.account(&route).is_err()
         {
-            self.note_unknown_key("startup");
+            self.record_unknown_key("startup");
             self.link.put_error(unknown_key_error());
             let _ = self.link.flush().await;
             return false;
@@ -442,14 +442,14 @@
 
     /// Ends the session because its key was revoked. An open transaction is rolled back.
     fn end_for_unknown_key(&mut self, at: &'static str) -> Answer {
-        self.note_unknown_key(at);
+        self.record_unknown_key(at);
         self.fail_if_open();
         self.transaction = None;
         self.is_ending = true;
         refusal(unknown_key_error(), TransactionState::Idle)
     }
 
-    fn note_unknown_key(&self, at: &'static str) {
+    fn record_unknown_key(&self, at: &'static str) {
         self.engine.metrics.refusals.with_label_values(&["key"]).inc();
         log::info!(
             event = "unknown_key", database = &*self.database, at = at,
--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -105,7 +105,13 @@
             match self.send(&group, job, connection, None, false).await {
                 Ok(answer) => {
                     let took = answer.error_code().is_none().then(|| sent_at.elapsed());
-                    self.note_answer(&group, &job.route.service, &server_route, answer.point, took);
+                    self.record_answer(
+                        &group,
+                        &job.route.service,
+                        &server_route,
+                        answer.point,
+                        took,
+                    );
                     match self.transaction_step(&answer, is_first, job) {
                         TransactionStep::Deliver => {
                             return self
@@ -124,7 +130,7 @@
                 Err((progress, lost)) => {
                     transaction.connection = None;
                     transaction.failed = true;
-                    self.note_loss(&group, &job.route.service, &server_route, &lost);
+                    self.on_connection_lost(&group, &job.route.service, &server_route, &lost);
                     let is_commit = job.statement == EndpointStatement::Commit;
                     let code = transaction_after_loss(is_commit, transaction.wrote, progress);
                     let mut answer =
@@ -189,7 +195,7 @@
                         NextStep::AwaitPrimary
                     }
                     None => {
-                        self.note_served(group, job, assignment.leader.is_some());
+                        self.record_success(group, job, assignment.leader.is_some());
                         if let Some(leader) = &assignment.leader {
                             let known_point = assignment.known_point;
                             let sample = Sample { sent_at, known_point, point: answer.point };
@@ -222,7 +228,7 @@
                 Err((_, lost)) => {
                     drop(assignment);
                     attempts.last_error = refusal_code(&lost);
-                    self.note_loss(group, &job.route.service, &server_route, &lost);
+                    self.on_connection_lost(group, &job.route.service, &server_route, &lost);
                     if let Some(error) = self.overload_refusal(group, job, attempts, &server, &lost)
                     {
                         return Some(refusal(error, TransactionState::Failed));
