--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -166,7 +166,7 @@
 
     fn apply_answer(&self, mut answer: FollowAnswer, sent_at: Instant) {
         let contents = answer.take_contents(sent_at);
-        self.store.note_era(answer.era());
+        self.store.record_era(answer.era());
         let read = answer.store_read.take();
         {
             let mut state = self.state.borrow_mut();
@@ -254,7 +254,7 @@
     pub(crate) async fn answer_follower(&self, request: FollowRequest) -> SplitAnswer {
         let received_at = Instant::now();
         // The follower may have learned of a restore from another zone first.
-        self.store.note_era(request.applied().era());
+        self.store.record_era(request.applied().era());
         self.merge_samples(request.local_samples(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
             self.note_replicas_behind(Name::from(service.as_str()));
--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -177,7 +177,7 @@
     /// Returns the latest known era of the store. Answers of earlier eras are refused.
     fn era(&self) -> Era;
     /// Records an era that another daemon reported. Answers of earlier eras are refused from then on.
-    fn note_era(&self, era: Era);
+    fn record_era(&self, era: Era);
     /// Reads a key; `None` when it does not exist.
     async fn get(&self, key: &str, timeout: Duration) -> Result<Option<Item>, MetadataError>;
     /// Reads every key below a prefix.
