--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -41,7 +41,7 @@
     /// Whether connects of this daemon to the server time out.
     is_unreachable: bool,
     /// Whether a tunneled connection was opened since then.
-    has_tunnel: bool,
+    has_working_tunnel: bool,
     is_searching: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
@@ -66,8 +66,8 @@
     }
 
     /// Whether a tunnel to the server is known to work.
-    pub(crate) fn has_tunnel(&self) -> bool {
-        self.has_tunnel
+    pub(crate) fn has_working_tunnel(&self) -> bool {
+        self.has_working_tunnel
     }
 
     /// Drops the state of daemons that are no longer owners.
@@ -96,7 +96,7 @@
     fn on_direct_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
         self.is_unreachable = false;
-        self.has_tunnel = false;
+        self.has_working_tunnel = false;
     }
 
     /// Records a failed connect that began at `asked_at`. An answer since then outweighs it, since a busy server is
@@ -158,16 +158,16 @@
 
     /// Records whether a connection to a server could be opened through a tunnel.
     pub(crate) fn on_tunnel(&self, server: &str, is_open: bool) {
-        self.with_server(server, |pooled| pooled.paths.has_tunnel = is_open);
+        self.with_server(server, |pooled| pooled.paths.has_working_tunnel = is_open);
     }
 
     /// Returns the next few daemons to try a tunnel through, if one is needed and none works yet.
     pub(crate) fn tunnels_to_try(&self, server: &str) -> Vec<SocketAddr> {
         let now = Instant::now();
         let to_try = self.with_server(server, |pooled| {
-            let is_wanted = pooled.paths.is_unreachable && !pooled.paths.has_tunnel;
+            let is_wanted = pooled.paths.is_unreachable && !pooled.paths.has_working_tunnel;
             let has_owner = self.owner_in_use(pooled, now).is_some();
-            if !is_wanted || has_owner || !pooled.has_tunnel(now) {
+            if !is_wanted || has_owner || !pooled.may_tunnel(now) {
                 return Vec::new();
             }
             pooled
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -290,13 +290,13 @@
     }
 
     /// Whether a tunnel may be tried now.
-    pub(crate) fn has_tunnel(&self, now: Instant) -> bool {
+    pub(crate) fn may_tunnel(&self, now: Instant) -> bool {
         !self.tunnels.is_empty() && self.no_tunnel_until.is_none_or(|until| now >= until)
     }
 
     /// Returns the daemon whose tunnel is to be used, if any.
     pub(crate) fn tunnel(&self, now: Instant) -> Option<SocketAddr> {
-        self.tunnels.get(self.next_tunnel).copied().filter(|_| self.has_tunnel(now))
+        self.tunnels.get(self.next_tunnel).copied().filter(|_| self.may_tunnel(now))
     }
 
     /// Records that a tunnel failed. The next daemon is tried; after the last one there is a pause.
@@ -319,7 +319,7 @@
 
     /// Whether the last probe failed and no tunnel works.
     pub(crate) fn is_unreachable(&self, now: Instant) -> bool {
-        let has_tunnel = self.paths.has_tunnel() && self.has_tunnel(now);
+        let has_tunnel = self.paths.has_working_tunnel() && self.may_tunnel(now);
         self.paths.is_unreachable() && !has_tunnel
     }
 
@@ -349,14 +349,14 @@
     /// Returns how many connections may be used now; only those in use while the pause after a failed open lasts.
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
-            Some(until) if now < until && !self.has_tunnel(now) => self.limit.min(self.in_use),
+            Some(until) if now < until && !self.may_tunnel(now) => self.limit.min(self.in_use),
             _ => self.limit + self.overflow_at(now),
         }
     }
 
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
-        self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
+        self.in_use < self.max_connections_at(now) && (!is_paused || self.may_tunnel(now))
     }
 
     /// Whether there is no connection and none may be opened before `deadline`.
@@ -398,7 +398,7 @@
         if let Some(only) = &request.only {
             return *only == self.entry.server;
         }
-        let is_avoided = self.avoid_until.is_some_and(|until| now < until) && !self.has_tunnel(now);
+        let is_avoided = self.avoid_until.is_some_and(|until| now < until) && !self.may_tunnel(now);
         let is_lagging = self.lagging_until.is_some_and(|until| now < until)
             && request
                 .min_point
