--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -387,7 +387,7 @@
     }
 
     /// Returns the identity that a server is given when a connection is opened.
-    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
+    pub(crate) fn client_identity<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
         ClientIdentity { host: &self.settings.host, principal }
     }
 
@@ -398,12 +398,12 @@
         tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let (dialect, entry) = (&self.endpoint_dialect, &*permit.entry);
-        let introduction = self.introduce(&permit.principal);
+        let identity = self.client_identity(&permit.principal);
         let Some(peer) = tunnel_peer else {
-            return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
+            return EndpointConnection::open(dialect, entry, identity, CONNECT_TIMEOUT).await;
         };
         let opened =
-            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
+            EndpointConnection::open_tunneled(peer, dialect, entry, identity, CONNECT_TIMEOUT)
                 .await?;
         self.metrics.connections_opened.with_label_values(&["detour"]).inc();
         log::info!(
@@ -420,10 +420,10 @@
         peer: SocketAddr,
         entry: &ServerEntry,
     ) -> (SocketAddr, Result<(), ConnectionLost>) {
-        let introduction = self.introduce(&Principal::Daemon);
+        let identity = self.client_identity(&Principal::Daemon);
         let dialect = &self.endpoint_dialect;
         let opened =
-            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
+            EndpointConnection::open_tunneled(peer, dialect, entry, identity, CONNECT_TIMEOUT);
         (peer, opened.await.map(drop))
     }
 
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -117,7 +117,7 @@
 
     async fn is_alive(&self, entry: &ServerEntry) -> bool {
         let dialect = &self.endpoint_dialect;
-        let identity = self.introduce(&Principal::Daemon);
+        let identity = self.client_identity(&Principal::Daemon);
         let opened = EndpointConnection::open(dialect, entry, identity, PROBE_TIMEOUT).await;
         matches!(opened, Ok(_) | Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)))
     }
