--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -370,7 +370,7 @@
         return Err(NotSent::Unwilling);
     }
     let server = Name::from(request.server.as_str());
-    if request.has_alternative() && !engine.pass_read(group, &server) {
+    if request.has_alternative() && !engine.admit_read(group, &server) {
         return Err(NotSent::SetAside);
     }
     let connection_request = ConnectionRequest {
--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -130,7 +130,7 @@
             Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
             Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, true, entry, identity, deadline).await
+        EndpointConnection::handshake(dialect, stream, true, entry, identity, deadline).await
     }
 
     /// Connects through a tunnel of the daemon at `peer`, for a server that is not reachable from here.
@@ -149,11 +149,11 @@
             Ok(Err(none)) => return Err(ConnectionLost::Broken(none.to_string())),
             Err(_) => return Err(ConnectionLost::TimedOut),
         };
-        EndpointConnection::accept(dialect, stream, false, entry, identity, deadline).await
+        EndpointConnection::handshake(dialect, stream, false, entry, identity, deadline).await
     }
 
     /// Sends the startup message and waits until the server accepts the connection.
-    async fn accept(
+    async fn handshake(
         dialect: &E,
         stream: TcpStream,
         is_direct: bool,
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -43,7 +43,7 @@
 /// Samples of a primary's log position kept per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
 /// Percentage of reads that may be hedged on a second server; limited so that retries don't amplify an overload.
-const RETRY_PERCENT: u32 = 10;
+const HEDGE_PERCENT: u32 = 10;
 /// Interval between checks of idle connections while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
@@ -58,7 +58,7 @@
     /// Recent log positions of the primary, with the times at which they were taken.
     pub samples: RefCell<StalenessSamples>,
     /// Budget for reads that are sent to a second server while the first may still answer.
-    pub retries: RefCell<RetryBudget>,
+    pub hedge_budget: RefCell<RetryBudget>,
     /// When reads were first and last refused because every replica was behind.
     pub(crate) lagging_refusals: Cell<Option<(Instant, Instant)>>,
     /// Wakes reads that wait for a server which has become unreachable.
@@ -102,7 +102,7 @@
         Group {
             pool: Rc::new(GroupPool::new(layout, relays, overload)),
             samples: RefCell::new(StalenessSamples::new(MAX_SAMPLES)),
-            retries: RefCell::new(RetryBudget::new(RETRY_PERCENT)),
+            hedge_budget: RefCell::new(RetryBudget::new(HEDGE_PERCENT)),
             lagging_refusals: Cell::new(None),
             server_unreachable: Notify::new(),
             probe_now: Notify::new(),
--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -86,7 +86,7 @@
             };
             let sent_at = Instant::now();
             attempts.sent += 1;
-            group.retries.borrow_mut().on_request();
+            group.hedge_budget.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
             let sent = self
                 .send(&group, job, &mut assignment.connection, assignment.min_point, may_run_again)
@@ -96,7 +96,7 @@
             self.record_own_health(&group, &server_route, &sent);
             let next = match sent {
                 Ok(answer) => match answer.error_code() {
-                    None if self.is_lease_still_valid(job, &assignment) => {
+                    None if self.may_return_answer(job, &assignment) => {
                         return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
@@ -150,7 +150,7 @@
 
     /// Whether the primary lease under which a read was sent still holds, so that its answer may be returned.
     /// A read that was forwarded to an owner may have waited there for longer than the lease lasts.
-    fn is_lease_still_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
+    fn may_return_answer(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         let is_primary_read =
             job.statement.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
@@ -177,7 +177,7 @@
         let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.read_rule.bound().filter(|_| class == StatementClass::Read);
         if let Some(bound) = bound.filter(|_| min_point.is_none()) {
-            self.request_sample(group, now);
+            self.report_sample_wanted(group, now);
             if let Some(leader) = known_leader.filter(|_| !attempts.requested_sample) {
                 attempts.requested_sample = true;
                 let max_age = max_sample_age(bound, leader.is_valid(now));
@@ -240,7 +240,7 @@
 
     /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
     /// channel, which also carries messages that are sent only once.
-    fn request_sample(&self, group: &Group<E>, now: Instant) {
+    fn report_sample_wanted(&self, group: &Group<E>, now: Instant) {
         let requested_at = group.sample_requested_at.get();
         if requested_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
@@ -388,7 +388,7 @@
                 }
                 () = tokio::time::sleep_until(slow_at.into()), if may_run_again && !slow => {
                     slow = true;
-                    if group.retries.borrow_mut().try_retry() {
+                    if group.hedge_budget.borrow_mut().try_retry() {
                         return;
                     }
                 }
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -31,7 +31,7 @@
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Returns whether a read may be sent to a server. A read that passes while the circuit is not closed is
     /// recorded as a probe.
-    pub(crate) fn pass_read(&self, group: &Group<E>, server: &Name) -> bool {
+    pub(crate) fn admit_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
         let may_pass = group.pool.with_server(server, |pooled| {
             let may_pass = pooled.health.allows_request(now);
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -153,8 +153,8 @@
             pooled.paths.retain_owners(&pooled.owners);
             pooled.overflow = share.overflow;
             let max = pooled.limit + share.overflow;
-            pooled.set_queue(self.queue_room(pooled, &share));
-            pooled.set_competing(self.do_accounts_compete(&share));
+            pooled.set_queue(self.queue_capacity(pooled, &share));
+            pooled.set_competing(self.accounts_compete(&share));
             let surplus = (pooled.idle.len() as u32 + pooled.in_use).saturating_sub(max) as usize;
             let kept = pooled.idle.len().saturating_sub(surplus);
             pooled.idle.truncate(kept);
@@ -389,7 +389,7 @@
         let _ = waiter.grant.send(Offer::Open(permit));
     }
 
-    pub(super) fn pooled(
+    pub(super) fn pooled_connection(
         self: &Rc<Self>,
         connection: Box<EndpointConnection<E>>,
         yields: bool,
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -64,7 +64,7 @@
     pub fn opened(mut self, connection: EndpointConnection<E>) -> PooledConnection<E> {
         self.is_opened = true;
         let permit = self.permit.take();
-        self.pool.pooled(Box::new(connection), self.yields, permit)
+        self.pool.pooled_connection(Box::new(connection), self.yields, permit)
     }
 }
 
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -28,7 +28,11 @@
 
 impl<E: EndpointDialect> GroupPool<E> {
     /// Returns the capacity for the queue of a server, if its statements are to be queued.
-    pub(super) fn queue_room(&self, pooled: &PooledServer<E>, share: &Share) -> Option<Capacity> {
+    pub(super) fn queue_capacity(
+        &self,
+        pooled: &PooledServer<E>,
+        share: &Share,
+    ) -> Option<Capacity> {
         let owned = share.owned.filter(|_| self.overload.queue)?;
         let slots = pooled.entry.slots;
         let connections = pooled.limit + share.overflow;
@@ -45,7 +49,7 @@
     }
 
     /// Whether accounts compete for the connections to a server, since each connection serves one account.
-    pub(super) fn do_accounts_compete(&self, share: &Share) -> bool {
+    pub(super) fn accounts_compete(&self, share: &Share) -> bool {
         self.overload.reuse && matches!(share.owned, Some(OwnerQuota::Single { .. }))
     }
 
@@ -86,7 +90,11 @@
             self.state.borrow_mut().servers[index].on_used(principal);
         }
         if let Some(connection) = self.take_idle(index, values, request) {
-            return Ok(Some(Offer::Ready(self.pooled(connection, request.yields, permit))));
+            return Ok(Some(Offer::Ready(self.pooled_connection(
+                connection,
+                request.yields,
+                permit,
+            ))));
         }
         let may_open = self.state.borrow().servers[index].may_open(Instant::now());
         if may_open || permit.is_none() {
--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -77,7 +77,7 @@
             group.pool.on_failure(server);
         }
         if *lost == ConnectionLost::TimedOut {
-            group.pool.on_silence(server);
+            group.pool.on_statement_timeout(server);
         }
         log::info!(
             event = "connection_lost", service = &**service, server = &**server,
--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -36,7 +36,7 @@
 
     /// Closes the idle connections to a server after one of its connections fell silent: usually all of them
     /// did, and each would make another statement time out.
-    pub fn on_silence(&self, server: &str) {
+    pub fn on_statement_timeout(&self, server: &str) {
         self.with_server(server, |pooled| pooled.idle.clear());
     }
 
