--- a/crates/wardtiller/src/commands/load.rs
+++ b/crates/wardtiller/src/commands/load.rs
@@ -11,7 +11,7 @@
     cli::Load,
     load::{
         LoadOptions,
-        compare::{Way, WayReport, compare_ways},
+        compare::{AccessPath, AccessPathReport, compare_access_paths},
         faults::Fault,
         mix::Mix,
         report::LoadReport,
@@ -104,7 +104,7 @@
     system: &LocalSystem,
     callers: usize,
     seconds: u64,
-) -> eyre::Result<Vec<WayReport>> {
+) -> eyre::Result<Vec<AccessPathReport>> {
     let Some((id, group)) = system.groups.iter().next() else {
         eyre::bail!("the configuration names no group");
     };
@@ -116,17 +116,17 @@
         id.service, id.group
     );
     let ways = [
-        Way {
+        AccessPath {
             name: "direct",
             address: group.servers[0].address(),
             parameters: "user=load dbname=load".to_owned(),
         },
-        Way {
+        AccessPath {
             name: "through a daemon",
             address: system.daemon(0)?.caller_address(),
             parameters: through,
         },
     ];
     let slices = (seconds as usize * 1_000 / (SLICE.as_millis() as usize * ways.len())).max(1);
-    compare_ways(&ways, "SELECT 1", callers, slices, SLICE)
+    compare_access_paths(&ways, "SELECT 1", callers, slices, SLICE)
 }
--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -14,7 +14,7 @@
 use tokio_postgres::{Client, Error, NoTls, SimpleQueryMessage};
 
 use super::{
-    ledger::{Ledger, Told, WriteId},
+    ledger::{Ledger, WriteId, WriteOutcome},
     mix::{Mix, Role},
     report::{Measurements, RequestClass},
 };
@@ -23,16 +23,16 @@
 const REQUESTS_BEFORE_ROAMING: u64 = 20;
 
 /// One read in this many is asked which server served it.
-const SERVED_SAMPLE: u64 = 4;
+const SERVED_BY_SAMPLE_INTERVAL: u64 = 4;
 
 /// A poller polls this often for each write.
-const POLLS_TO_A_WRITE: u64 = 50;
+const POLLS_PER_WRITE: u64 = 50;
 
 /// How long a caller waits after it could not connect, or was told to come later.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// What all callers of a run share.
-pub struct Shared {
+pub struct LoadContext {
     /// Where daemons take callers.
     pub targets: Vec<SocketAddr>,
     /// The service.
@@ -52,14 +52,14 @@
     /// What was measured.
     pub measurements: Measurements,
     /// Own reads that were compared.
-    pub own_reads: AtomicU64,
+    pub own_reads_checked: AtomicU64,
     /// Sessions that were told of a lost write.
-    pub lost_told: AtomicU64,
+    pub lost_writes_reported: AtomicU64,
 }
 
 /// One caller.
 pub struct Caller {
-    shared: Arc<Shared>,
+    shared: Arc<LoadContext>,
     number: usize,
     role: Role,
     group: String,
@@ -82,7 +82,7 @@
 
 impl Caller {
     /// Makes the caller with a number; all its choices follow from the seed and the number.
-    pub fn new(shared: Arc<Shared>, number: usize, seed: u64) -> Caller {
+    pub fn new(shared: Arc<LoadContext>, number: usize, seed: u64) -> Caller {
         let role = shared.mix.role(number);
         let group = shared.groups[number % shared.groups.len()].clone();
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(number as u64));
@@ -131,9 +131,12 @@
     /// Connects to any daemon, with the session's token or, half of the time, without.
     async fn connect(&mut self) -> bool {
         let target = self.shared.targets[self.rng.random_range(0..self.shared.targets.len())];
-        let bring = !self.token.is_empty() && self.rng.random_bool(0.5);
-        let token =
-            if bring { format!(" -c wardtiller.session={}", self.token) } else { String::new() };
+        let send_token = !self.token.is_empty() && self.rng.random_bool(0.5);
+        let token = if send_token {
+            format!(" -c wardtiller.session={}", self.token)
+        } else {
+            String::new()
+        };
         let parameters = format!(
             "host={} port={} user={} dbname={} connect_timeout=3 options='-c wardtiller.group={}{token}'",
             target.ip(),
@@ -188,8 +191,8 @@
         outcome
     }
 
-    async fn note_served(&mut self, kind: &str) {
-        if self.rng.random_range(0..SERVED_SAMPLE) != 0 {
+    async fn sample_served_by(&mut self, kind: &str) {
+        if self.rng.random_range(0..SERVED_BY_SAMPLE_INTERVAL) != 0 {
             return;
         }
         if let Ok(served) = self.query("SHOW wardtiller.served_by").await {
@@ -200,15 +203,15 @@
 
     /// Reads with stated staleness; now and then a poller writes too, as a tablet confirms an order.
     async fn poll(&mut self) {
-        if self.rng.random_range(0..POLLS_TO_A_WRITE) == 0 {
+        if self.rng.random_range(0..POLLS_PER_WRITE) == 0 {
             return self.update().await;
         }
-        let kind = self.shared.mix.kind();
+        let kind = self.shared.mix.read_kind();
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql =
             format!("SELECT name FROM menu WHERE id = {item} /* wardtiller.read_kind='{kind}' */");
         if self.measured(RequestClass::StaleRead, &sql).await.is_ok() {
-            self.note_served(kind).await;
+            self.sample_served_by(kind).await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -218,7 +221,7 @@
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql = format!("SELECT name FROM menu WHERE id = {item}");
         if self.measured(RequestClass::FreshRead, &sql).await.is_ok() {
-            self.note_served("fresh").await;
+            self.sample_served_by("fresh").await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -234,7 +237,7 @@
         if outcome.is_ok() {
             self.shared.measurements.add_latency(RequestClass::Transaction, elapsed);
         }
-        self.note_outcome(sequence, outcome).await;
+        self.record_outcome(sequence, outcome).await;
         self.read_back().await;
     }
 
@@ -265,20 +268,20 @@
              INSERT INTO holds VALUES ({caller}, {sequence})"
         );
         let outcome = self.measured(RequestClass::Write, &sql).await.map(drop);
-        self.note_outcome(sequence, outcome).await;
+        self.record_outcome(sequence, outcome).await;
         self.read_back().await;
     }
 
-    async fn note_outcome(&mut self, sequence: u64, outcome: Result<(), Failure>) {
+    async fn record_outcome(&mut self, sequence: u64, outcome: Result<(), Failure>) {
         let id = WriteId { group: self.group.clone(), caller: self.number, sequence };
         match outcome {
             Ok(()) => {
                 let at = Instant::now();
-                self.shared.ledger.note_write(id, Told::Acknowledged);
+                self.shared.ledger.record_write(id, WriteOutcome::Acknowledged);
                 self.acknowledged = sequence;
                 self.uncertain = false;
                 if let Ok(token) = self.query("SHOW wardtiller.session").await {
-                    self.note_token(token.first().map_or("", String::as_str), at);
+                    self.store_token(token.first().map_or("", String::as_str), at);
                 }
             }
             Err(failure) => {
@@ -287,18 +290,18 @@
                     self.shared.measurements.add_refusal(verdict, &failure.reason);
                 }
                 self.uncertain |= failure.verdict != Verdict::NotRun;
-                self.shared.ledger.note_write(id, Told::Refused(failure.verdict));
+                self.shared.ledger.record_write(id, WriteOutcome::Failed(failure.verdict));
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    fn note_token(&mut self, token: &str, at: Instant) {
+    fn store_token(&mut self, token: &str, at: Instant) {
         token.clone_into(&mut self.token);
         let parsed: Result<session::SessionToken, _> = token.parse();
         let point = parsed.ok().and_then(|token| token.point(&self.group));
         if let Some(point) = point {
-            self.shared.ledger.note_term(&self.group, point.term.0, at);
+            self.shared.ledger.record_term(&self.group, point.term.0, at);
         }
     }
 
@@ -312,29 +315,29 @@
         let found = match self.measured(RequestClass::OwnRead, &sql).await {
             Ok(found) => found,
             Err(failure) if failure.reason == "write_lost" => {
-                self.shared.lost_told.fetch_add(1, Ordering::Relaxed);
+                self.shared.lost_writes_reported.fetch_add(1, Ordering::Relaxed);
                 self.token.clear();
                 self.client = None;
                 return;
             }
             Err(_) => return,
         };
-        self.note_served("own").await;
+        self.sample_served_by("own").await;
         let found: u64 = found.first().and_then(|found| found.parse().ok()).unwrap_or(0);
-        self.shared.own_reads.fetch_add(1, Ordering::Relaxed);
+        self.shared.own_reads_checked.fetch_add(1, Ordering::Relaxed);
         if found < self.acknowledged {
             let seen = format!(
                 "caller {} was acknowledged {} and read {found}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.note_violation("a session reads its own writes", seen);
+            self.shared.ledger.record_violation("a session reads its own writes", seen);
         }
         if found > self.acknowledged && !self.uncertain {
             let seen = format!(
                 "caller {} read {found} beyond its last write {}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.note_violation("\"not run\" is true", seen);
+            self.shared.ledger.record_violation("\"not run\" is true", seen);
         }
     }
 }
--- a/crates/wardtiller/src/load/compare.rs
+++ b/crates/wardtiller/src/load/compare.rs
@@ -11,11 +11,11 @@
 use tokio_postgres::{Client, NoTls};
 
 /// The longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 10_000_000;
+const MAX_LATENCY_US: u64 = 10_000_000;
 
 /// One way of reaching the data.
 #[derive(Clone, Debug)]
-pub struct Way {
+pub struct AccessPath {
     /// Its name in the report.
     pub name: &'static str,
     /// Where callers connect.
@@ -26,7 +26,7 @@
 
 /// What was measured of one way.
 #[derive(Clone, Debug, Serialize)]
-pub struct WayReport {
+pub struct AccessPathReport {
     /// Its name.
     pub name: &'static str,
     /// Statements each second, in the slices that it had.
@@ -38,13 +38,13 @@
 }
 
 /// Drives the ways in turn, in slices of equal length, with the same callers and statement.
-pub fn compare_ways(
-    ways: &[Way],
+pub fn compare_access_paths(
+    ways: &[AccessPath],
     statement: &str,
     callers: usize,
     slices: usize,
     slice: Duration,
-) -> eyre::Result<Vec<WayReport>> {
+) -> eyre::Result<Vec<AccessPathReport>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let mut clients: Vec<Vec<Client>> = Vec::new();
     for way in ways {
@@ -52,7 +52,7 @@
     }
     let mut histograms: Vec<Histogram<u64>> = Vec::new();
     for _ in ways {
-        histograms.push(Histogram::new_with_max(LONGEST_US, 3)?);
+        histograms.push(Histogram::new_with_max(MAX_LATENCY_US, 3)?);
     }
     let mut counted = vec![0.0; ways.len()];
     for _ in 0..slices {
@@ -67,7 +67,7 @@
     }
     let reports = ways.iter().zip(&histograms).zip(&counted);
     Ok(reports
-        .map(|((way, histogram), seconds)| WayReport {
+        .map(|((way, histogram), seconds)| AccessPathReport {
             name: way.name,
             per_second: histogram.len() as f64 / seconds,
             p50_us: histogram.value_at_quantile(0.5),
@@ -76,7 +76,7 @@
         .collect())
 }
 
-async fn connect_all(way: &Way, callers: usize) -> eyre::Result<Vec<Client>> {
+async fn connect_all(way: &AccessPath, callers: usize) -> eyre::Result<Vec<Client>> {
     let mut clients = Vec::new();
     let (ip, port) = (way.address.ip(), way.address.port());
     for _ in 0..callers {
--- a/crates/wardtiller/src/load/faults.rs
+++ b/crates/wardtiller/src/load/faults.rs
@@ -35,7 +35,7 @@
     RollDaemons,
 }
 
-const WORDS: [(&str, FaultKind); 11] = [
+const FAULT_NAMES: [(&str, FaultKind); 11] = [
     ("crash-primary", FaultKind::CrashPrimary),
     ("pause-primary", FaultKind::PausePrimary),
     ("cut-primary", FaultKind::CutPrimary),
@@ -57,7 +57,7 @@
     /// When, after the start of the run.
     pub at: Duration,
     /// For how long.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// The text names no fault.
@@ -68,7 +68,7 @@
 
 impl fmt::Display for UnknownFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let known: Vec<&str> = WORDS.iter().map(|(word, _)| *word).collect();
+        let known: Vec<&str> = FAULT_NAMES.iter().map(|(word, _)| *word).collect();
         write!(
             f,
             "`{}` is no fault; write WHAT@START_MS+FOR_MS, such as crash-primary@3000+5000, with \
@@ -87,40 +87,48 @@
     fn from_str(text: &str) -> Result<Fault, UnknownFault> {
         let unknown = || UnknownFault { text: text.to_owned() };
         let (word, times) = text.split_once('@').ok_or_else(unknown)?;
-        let (at, lasts) = times.split_once('+').ok_or_else(unknown)?;
-        let kind = WORDS.iter().find(|(known, _)| *known == word).ok_or_else(unknown)?.1;
+        let (at, duration) = times.split_once('+').ok_or_else(unknown)?;
+        let kind = FAULT_NAMES.iter().find(|(known, _)| *known == word).ok_or_else(unknown)?.1;
         let milliseconds = |text: &str| text.parse().map(Duration::from_millis);
         let at = milliseconds(at).map_err(|_| unknown())?;
-        let lasts = milliseconds(lasts).map_err(|_| unknown())?;
-        Ok(Fault { kind, at, lasts })
+        let duration = milliseconds(duration).map_err(|_| unknown())?;
+        Ok(Fault { kind, at, duration })
     }
 }
 
 /// Brings the faults about, one after the other by their times.
-pub fn inject(system: &mut LocalSystem, faults: &[Fault], began: Instant) -> eyre::Result<()> {
+pub fn inject_faults(
+    system: &mut LocalSystem,
+    faults: &[Fault],
+    began: Instant,
+) -> eyre::Result<()> {
     let mut events: Vec<(Duration, Fault, bool)> = Vec::new();
     for fault in faults {
         events.push((fault.at, *fault, true));
-        events.push((fault.at + fault.lasts, *fault, false));
+        events.push((fault.at + fault.duration, *fault, false));
     }
     events.sort_by_key(|(at, _, _)| *at);
-    let mut hurt = Hurt::default();
+    let mut faulted = FaultedServers::default();
     for (at, fault, begins) in events {
         std::thread::sleep(at.saturating_sub(began.elapsed()));
-        if begins { hurt.begin(system, fault.kind)? } else { hurt.end(system, fault.kind)? }
+        if begins {
+            faulted.start_fault(system, fault.kind)?
+        } else {
+            faulted.end_fault(system, fault.kind)?
+        }
     }
     Ok(())
 }
 
-/// The servers that were hurt, so that the same ones are healed.
+/// The servers that were faulted, so that the same ones are healed.
 #[derive(Default)]
-struct Hurt {
+struct FaultedServers {
     primary: Option<standin::Endpoint>,
     replica: Option<standin::Endpoint>,
 }
 
-impl Hurt {
-    fn begin(&mut self, system: &mut LocalSystem, kind: FaultKind) -> eyre::Result<()> {
+impl FaultedServers {
+    fn start_fault(&mut self, system: &mut LocalSystem, kind: FaultKind) -> eyre::Result<()> {
         match kind {
             FaultKind::StoreDown => system.platform.change_faults(|faults| faults.down = true),
             FaultKind::LoseAnswers => {
@@ -130,7 +138,7 @@
                 let last = system.daemons.len() - 1;
                 system.kill_daemon(last);
             }
-            FaultKind::RollDaemons => roll(system)?,
+            FaultKind::RollDaemons => rolling_restart(system)?,
             FaultKind::CrashReplica | FaultKind::SlowReplica => {
                 self.replica = first_replica(system);
                 if let Some(replica) = &self.replica {
@@ -150,7 +158,7 @@
         Ok(())
     }
 
-    fn end(&mut self, system: &mut LocalSystem, kind: FaultKind) -> eyre::Result<()> {
+    fn end_fault(&mut self, system: &mut LocalSystem, kind: FaultKind) -> eyre::Result<()> {
         match kind {
             FaultKind::StoreDown => system.platform.change_faults(|faults| faults.down = false),
             FaultKind::LoseAnswers | FaultKind::RollDaemons => {}
@@ -186,7 +194,7 @@
 }
 
 /// How much longer a slow server takes for each statement.
-const SLOW_BY: Duration = Duration::from_millis(20);
+const SLOW_REPLICA_DELAY: Duration = Duration::from_millis(20);
 
 fn set_fault(server: &standin::Endpoint, kind: FaultKind, on: bool) {
     server.change_faults(|faults| match kind {
@@ -198,13 +206,13 @@
         }
         FaultKind::CutReplication => faults.cut_from_servers = on,
         FaultKind::SlowReplica => {
-            faults.extra_service = if on { SLOW_BY } else { Duration::ZERO };
+            faults.extra_service = if on { SLOW_REPLICA_DELAY } else { Duration::ZERO };
         }
         _ => {}
     });
 }
 
-fn roll(system: &mut LocalSystem) -> eyre::Result<()> {
+fn rolling_restart(system: &mut LocalSystem) -> eyre::Result<()> {
     for index in 0..system.daemons.len() {
         system.stop_daemon(index);
         system.restart_daemon(index)?;
--- a/crates/wardtiller/src/load/ledger.rs
+++ b/crates/wardtiller/src/load/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers were told, to be held against what the groups contain.
+//! What callers were outcome, to be held against what the groups contain.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,11 +22,11 @@
 
 /// What is known of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum WriteOutcome {
     /// It was acknowledged.
     Acknowledged,
     /// It was refused or given up with this verdict.
-    Refused(Verdict),
+    Failed(Verdict),
 }
 
 /// A broken promise, in words.
@@ -39,7 +39,7 @@
 }
 
 #[derive(Default)]
-struct Terms {
+struct GroupTerms {
     /// When the first and the last write of each term was acknowledged.
     acknowledged: BTreeMap<u64, (Instant, Instant)>,
 }
@@ -47,22 +47,22 @@
 /// The ledger of one run.
 #[derive(Default)]
 pub struct Ledger {
-    writes: Mutex<HashMap<WriteId, Told>>,
+    writes: Mutex<HashMap<WriteId, WriteOutcome>>,
     violations: Mutex<Vec<Violation>>,
-    terms: Mutex<BTreeMap<String, Terms>>,
+    terms: Mutex<BTreeMap<String, GroupTerms>>,
 }
 
 /// Beyond this many violations only their number grows.
-const MOST_VIOLATIONS: usize = 100;
+const MAX_VIOLATIONS: usize = 100;
 
 impl Ledger {
-    /// Notes what a caller was told of a write.
-    pub fn note_write(&self, id: WriteId, told: Told) {
-        self.writes.lock().insert(id, told);
+    /// Notes what a caller was outcome of a write.
+    pub fn record_write(&self, id: WriteId, outcome: WriteOutcome) {
+        self.writes.lock().insert(id, outcome);
     }
 
     /// Notes that a write was acknowledged in a term.
-    pub fn note_term(&self, group: &str, term: u64, at: Instant) {
+    pub fn record_term(&self, group: &str, term: u64, at: Instant) {
         let mut groups = self.terms.lock();
         let terms = groups.entry(group.to_owned()).or_default();
         let span = terms.acknowledged.entry(term).or_insert((at, at));
@@ -71,15 +71,15 @@
     }
 
     /// Notes a broken promise.
-    pub fn note_violation(&self, promise: &'static str, seen: String) {
+    pub fn record_violation(&self, promise: &'static str, seen: String) {
         let mut violations = self.violations.lock();
-        if violations.len() < MOST_VIOLATIONS {
+        if violations.len() < MAX_VIOLATIONS {
             violations.push(Violation { promise, seen });
         }
     }
 
     /// Returns the failover gaps: from the last acknowledgement of a term to the first of the next.
-    pub fn gaps(&self) -> Vec<(String, Duration)> {
+    pub fn failover_gaps(&self) -> Vec<(String, Duration)> {
         let groups = self.terms.lock();
         let mut gaps = Vec::new();
         for (group, terms) in groups.iter() {
@@ -94,43 +94,43 @@
     /// Returns how many writes have which fate.
     pub fn counts(&self) -> WriteCounts {
         let mut counts = WriteCounts::default();
-        for told in self.writes.lock().values() {
-            match told {
-                Told::Acknowledged => counts.acknowledged += 1,
-                Told::Refused(Verdict::NotRun) => counts.not_run += 1,
-                Told::Refused(Verdict::Ran) => counts.ran += 1,
-                Told::Refused(Verdict::MayHaveRun) => counts.may_have_run += 1,
+        for outcome in self.writes.lock().values() {
+            match outcome {
+                WriteOutcome::Acknowledged => counts.acknowledged += 1,
+                WriteOutcome::Failed(Verdict::NotRun) => counts.not_run += 1,
+                WriteOutcome::Failed(Verdict::Ran) => counts.ran += 1,
+                WriteOutcome::Failed(Verdict::MayHaveRun) => counts.may_have_run += 1,
             }
         }
         counts
     }
 
-    /// Compares a group's contents with what callers were told. `found` gives how often each write
+    /// Compares a group's contents with what callers were outcome. `found` gives how often each write
     /// stands in the two tables that its transaction fills.
-    pub fn settle(&self, group: &str, found: &HashMap<WriteId, (u64, u64)>) {
+    pub fn verify_group(&self, group: &str, found: &HashMap<WriteId, (u64, u64)>) {
         let writes = self.writes.lock().clone();
-        for (id, told) in writes.iter().filter(|(id, _)| id.group == group) {
+        for (id, outcome) in writes.iter().filter(|(id, _)| id.group == group) {
             let (orders, holds) = found.get(id).copied().unwrap_or_default();
             if orders != holds {
                 let seen = format!("{id:?}: {orders} orders but {holds} holds");
-                self.note_violation("transactions never mix", seen);
+                self.record_violation("transactions never mix", seen);
             }
-            match told {
-                Told::Acknowledged if orders == 0 => {
-                    self.note_violation("no acknowledged write is lost", format!("{id:?}"));
+            match outcome {
+                WriteOutcome::Acknowledged if orders == 0 => {
+                    self.record_violation("no acknowledged write is lost", format!("{id:?}"));
                 }
-                Told::Refused(Verdict::NotRun) if orders > 0 => {
-                    self.note_violation("\"not run\" is true", format!("{id:?}"));
+                WriteOutcome::Failed(Verdict::NotRun) if orders > 0 => {
+                    self.record_violation("\"not run\" is true", format!("{id:?}"));
                 }
                 _ => {}
             }
             if orders > 1 {
                 let seen = format!("{id:?}: {orders} times");
-                self.note_violation("what may not be repeated runs at most once", seen);
+                self.record_violation("what may not be repeated runs at most once", seen);
             }
         }
         for id in found.keys().filter(|id| !writes.contains_key(id)) {
-            self.note_violation("no write without a request", format!("{id:?}"));
+            self.record_violation("no write without a request", format!("{id:?}"));
         }
     }
 
--- a/crates/wardtiller/src/load/mix.rs
+++ b/crates/wardtiller/src/load/mix.rs
@@ -26,12 +26,12 @@
 
 impl Mix {
     /// Returns the mix that fits a service, by its kinds of read.
-    pub fn fitting(kinds: &[&str]) -> Mix {
+    pub fn for_read_kinds(kinds: &[&str]) -> Mix {
         if kinds.contains(&"reserve-schedule") { Mix::Authority } else { Mix::Skyndibiti }
     }
 
     /// Returns the kind of read that pollers name.
-    pub fn kind(self) -> &'static str {
+    pub fn read_kind(self) -> &'static str {
         match self {
             Mix::Skyndibiti => "menu",
             Mix::Authority => "reserve-schedule",
--- a/crates/wardtiller/src/load/report.rs
+++ b/crates/wardtiller/src/load/report.rs
@@ -9,10 +9,10 @@
 use super::ledger::{Violation, WriteCounts};
 
 /// The longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Digits that a latency is exact to.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A class of requests that is measured by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,7 +59,8 @@
     pub fn add_latency(&self, class: RequestClass, latency_us: u64) {
         let mut counts = self.counts.lock();
         let histogram = counts.latencies.entry(class).or_default().get_or_insert_with(|| {
-            Histogram::new_with_max(LONGEST_US, DIGITS).expect("the bounds are valid")
+            Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("the bounds are valid")
         });
         histogram.saturating_record(latency_us);
     }
@@ -146,8 +147,9 @@
     pub failover_gaps_ms: Vec<(String, u64)>,
     /// Own reads that were compared with what was written.
     pub own_reads_checked: u64,
-    /// Sessions that were told that a write of theirs did not survive a failover.
-    pub told_of_lost_writes: u64,
+    /// Sessions that got a `write_lost` error because a write of theirs did not survive a failover.
+    #[serde(rename = "told_of_lost_writes")]
+    pub sessions_with_lost_writes: u64,
     /// Broken promises; must be none.
     pub violations: Vec<Violation>,
 }
@@ -196,7 +198,7 @@
             "checked: {} own reads, {} writes; sessions told of a lost write: {}",
             self.own_reads_checked,
             self.writes.acknowledged + self.writes.not_run,
-            self.told_of_lost_writes
+            self.sessions_with_lost_writes
         );
         if self.violations.is_empty() {
             let _ = write!(text, "every promise held");
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -15,8 +15,8 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 use super::{
-    caller::{Caller, MENU_ITEMS, Shared},
-    faults::{Fault, inject},
+    caller::{Caller, LoadContext, MENU_ITEMS},
+    faults::{Fault, inject_faults},
     ledger::{Ledger, WriteId},
     mix::Mix,
     report::{LoadReport, Measurements},
@@ -86,7 +86,7 @@
 }
 
 /// Polls in a row that must find the tables; each may be served by another replica.
-const POLLS_IN_A_ROW: usize = 16;
+const REQUIRED_CONSECUTIVE_READS: usize = 16;
 
 /// How long the replicas may take to have the tables.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -95,7 +95,7 @@
 pub enum Target<'a> {
     /// One that runs already.
     Running(Vec<SocketAddr>),
-    /// A local one, which can be hurt.
+    /// A local system, which supports fault injection.
     Local(&'a mut LocalSystem),
 }
 
@@ -125,7 +125,7 @@
         .map(|number| runtime.spawn(Caller::new(shared.clone(), number, options.seed).run()))
         .collect();
     if let Target::Local(system) = &mut target {
-        inject(system, &options.faults, began)?;
+        inject_faults(system, &options.faults, began)?;
     }
     runtime.block_on(async {
         for caller in callers {
@@ -137,7 +137,7 @@
     if let Target::Local(system) = &target {
         system.wait_until_ready()?;
     }
-    runtime.block_on(run.settle(&shared))?;
+    runtime.block_on(run.verify(&shared))?;
     Ok(run.report(&shared, seconds))
 }
 
@@ -151,11 +151,11 @@
 impl Run<'_> {
     fn mix(&self) -> Mix {
         let kinds: Vec<&str> = self.service.kinds.keys().map(|kind| &**kind).collect();
-        self.options.mix.unwrap_or_else(|| Mix::fitting(&kinds))
+        self.options.mix.unwrap_or_else(|| Mix::for_read_kinds(&kinds))
     }
 
-    fn shared(&self, began: Instant) -> Arc<Shared> {
-        Arc::new(Shared {
+    fn shared(&self, began: Instant) -> Arc<LoadContext> {
+        Arc::new(LoadContext {
             targets: self.targets.clone(),
             service: self.service.name.to_string(),
             groups: self.service.groups.iter().map(|group| group.to_string()).collect(),
@@ -165,8 +165,8 @@
             pace: self.options.pace,
             ledger: Ledger::default(),
             measurements: Measurements::default(),
-            own_reads: AtomicU64::new(0),
-            lost_told: AtomicU64::new(0),
+            own_reads_checked: AtomicU64::new(0),
+            lost_writes_reported: AtomicU64::new(0),
         })
     }
 
@@ -208,14 +208,14 @@
 
     /// Waits until polls find what was just written, which accept data from before it.
     async fn wait_for_replicas(&self, client: &Client) -> eyre::Result<()> {
-        let kind = self.mix().kind();
+        let kind = self.mix().read_kind();
         let poll = format!("SELECT count(*) FROM menu /* wardtiller.read_kind='{kind}' */");
         let until = Instant::now() + PREPARE_TIMEOUT;
-        let mut found_in_a_row = 0;
-        while found_in_a_row < POLLS_IN_A_ROW {
+        let mut consecutive_reads = 0;
+        while consecutive_reads < REQUIRED_CONSECUTIVE_READS {
             ensure!(Instant::now() < until, "the replicas did not catch up in time");
             let found = client.simple_query(&poll).await.is_ok() && served_by_replica(client).await;
-            found_in_a_row = if found { found_in_a_row + 1 } else { 0 };
+            consecutive_reads = if found { consecutive_reads + 1 } else { 0 };
             if !found {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -224,7 +224,7 @@
     }
 
     /// Holds what each group contains against what callers were told.
-    async fn settle(&self, shared: &Shared) -> eyre::Result<()> {
+    async fn verify(&self, shared: &LoadContext) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
             let mut found: HashMap<WriteId, (u64, u64)> = HashMap::new();
@@ -234,13 +234,13 @@
             for id in rows(&client, group, "holds").await? {
                 found.entry(id).or_default().1 += 1;
             }
-            shared.ledger.settle(group, &found);
+            shared.ledger.verify_group(group, &found);
         }
         Ok(())
     }
 
-    fn report(&self, shared: &Shared, seconds: f64) -> LoadReport {
-        let gaps = shared.ledger.gaps().into_iter();
+    fn report(&self, shared: &LoadContext, seconds: f64) -> LoadReport {
+        let gaps = shared.ledger.failover_gaps().into_iter();
         LoadReport {
             seconds,
             seed: self.options.seed,
@@ -251,8 +251,8 @@
             failover_gaps_ms: gaps
                 .map(|(group, gap)| (group, u64::try_from(gap.as_millis()).unwrap_or(u64::MAX)))
                 .collect(),
-            own_reads_checked: shared.own_reads.load(Ordering::Relaxed),
-            told_of_lost_writes: shared.lost_told.load(Ordering::Relaxed),
+            own_reads_checked: shared.own_reads_checked.load(Ordering::Relaxed),
+            sessions_with_lost_writes: shared.lost_writes_reported.load(Ordering::Relaxed),
             violations: shared.ledger.violations(),
         }
     }
