--- a/crates/wardtiller/src/load/ledger.rs
+++ b/crates/wardtiller/src/load/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers were outcome, to be held against what the groups contain.
+//! Records the outcome of every write and compares it with the contents of the groups.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -9,42 +9,42 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 
-/// Something that a caller wrote: by group, by caller, by its own count.
+/// Identifies one write by group, caller and sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteId {
     /// The group.
     pub group: String,
     /// The caller.
     pub caller: usize,
-    /// The caller's count of its writes.
+    /// The caller's own counter, incremented for each write.
     pub sequence: u64,
 }
 
-/// What is known of a write.
+/// The outcome of a write as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was acknowledged.
+    /// The write was acknowledged.
     Acknowledged,
-    /// It was refused or given up with this verdict.
+    /// The write was refused or abandoned with this verdict.
     Failed(Verdict),
 }
 
-/// A broken promise, in words.
+/// A violated consistency guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which promise.
+    /// The guarantee.
     pub promise: &'static str,
-    /// What was seen.
+    /// The observation that violates it.
     pub seen: String,
 }
 
 #[derive(Default)]
 struct GroupTerms {
-    /// When the first and the last write of each term was acknowledged.
+    /// The times of the first and the last acknowledged write, by term.
     acknowledged: BTreeMap<u64, (Instant, Instant)>,
 }
 
-/// The ledger of one run.
+/// The write outcomes and the violations of one run.
 #[derive(Default)]
 pub struct Ledger {
     writes: Mutex<HashMap<WriteId, WriteOutcome>>,
@@ -52,16 +52,16 @@
     terms: Mutex<BTreeMap<String, GroupTerms>>,
 }
 
-/// Beyond this many violations only their number grows.
+/// Further violations are dropped.
 const MAX_VIOLATIONS: usize = 100;
 
 impl Ledger {
-    /// Notes what a caller was outcome of a write.
+    /// Records the outcome of a write.
     pub fn record_write(&self, id: WriteId, outcome: WriteOutcome) {
         self.writes.lock().insert(id, outcome);
     }
 
-    /// Notes that a write was acknowledged in a term.
+    /// Records that a write was acknowledged in a term.
     pub fn record_term(&self, group: &str, term: u64, at: Instant) {
         let mut groups = self.terms.lock();
         let terms = groups.entry(group.to_owned()).or_default();
@@ -70,7 +70,7 @@
         span.1 = span.1.max(at);
     }
 
-    /// Notes a broken promise.
+    /// Records a violation.
     pub fn record_violation(&self, promise: &'static str, seen: String) {
         let mut violations = self.violations.lock();
         if violations.len() < MAX_VIOLATIONS {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the failover gaps: from the last acknowledgement of a term to the first of the next.
+    /// Returns the failover gaps: the time from the last acknowledged write of a term to the first one of the next.
     pub fn failover_gaps(&self) -> Vec<(String, Duration)> {
         let groups = self.terms.lock();
         let mut gaps = Vec::new();
@@ -91,7 +91,7 @@
         gaps
     }
 
-    /// Returns how many writes have which fate.
+    /// Returns the number of writes by outcome.
     pub fn counts(&self) -> WriteCounts {
         let mut counts = WriteCounts::default();
         for outcome in self.writes.lock().values() {
@@ -105,8 +105,8 @@
         counts
     }
 
-    /// Compares a group's contents with what callers were outcome. `found` gives how often each write
-    /// stands in the two tables that its transaction fills.
+    /// Compares the contents of a group with the recorded outcomes. `found` maps each write to its number of rows in
+    /// the two tables that its transaction inserts into, `orders` and `holds`.
     pub fn verify_group(&self, group: &str, found: &HashMap<WriteId, (u64, u64)>) {
         let writes = self.writes.lock().clone();
         for (id, outcome) in writes.iter().filter(|(id, _)| id.group == group) {
@@ -134,21 +134,21 @@
         }
     }
 
-    /// Returns the broken promises.
+    /// Returns the recorded violations.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.lock().clone()
     }
 }
 
-/// The fates of all writes.
+/// The number of writes by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WriteCounts {
     /// Acknowledged.
     pub acknowledged: u64,
-    /// Refused as not run.
+    /// Refused with the verdict "not run".
     pub not_run: u64,
-    /// Ran, with an error as the answer.
+    /// Executed, but answered with an error.
     pub ran: u64,
-    /// Of unknown effect.
+    /// Failed with an unknown effect.
     pub may_have_run: u64,
 }
