--- a/crates/wardtiller/src/load/compare.rs
+++ b/crates/wardtiller/src/load/compare.rs
@@ -1,4 +1,4 @@
-//! Compares the way through a daemon with a direct connection, in one interleaved run.
+//! Compares access through a daemon with a direct connection, in one interleaved run.
 
 use std::{
     net::SocketAddr,
@@ -10,36 +10,36 @@
 use serde::Serialize;
 use tokio_postgres::{Client, NoTls};
 
-/// The longest latency that is told apart, in microseconds.
+/// The highest latency that a histogram can record, in microseconds; longer ones are elapsed_s as this value.
 const MAX_LATENCY_US: u64 = 10_000_000;
 
-/// One way of reaching the data.
+/// A path to the data, either through a daemon or direct.
 #[derive(Clone, Debug)]
 pub struct AccessPath {
-    /// Its name in the report.
+    /// The name in the report.
     pub name: &'static str,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub address: SocketAddr,
-    /// Parameters beside the address.
+    /// Connection parameters in addition to the address.
     pub parameters: String,
 }
 
-/// What was measured of one way.
+/// The measurements of one access path.
 #[derive(Clone, Debug, Serialize)]
 pub struct AccessPathReport {
-    /// Its name.
+    /// The name of the path.
     pub name: &'static str,
-    /// Statements each second, in the slices that it had.
+    /// Statements per second during the slices of this path.
     pub per_second: f64,
-    /// The median latency.
+    /// The median latency in microseconds.
     pub p50_us: u64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latency in microseconds.
     pub p99_us: u64,
 }
 
-/// Drives the ways in turn, in slices of equal length, with the same callers and statement.
+/// Runs the statement over the paths in turn, in slices of equal length and with the same number of callers.
 pub fn compare_access_paths(
-    ways: &[AccessPath],
+    paths: &[AccessPath],
     statement: &str,
     callers: usize,
     slices: usize,
@@ -47,28 +47,28 @@
 ) -> eyre::Result<Vec<AccessPathReport>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let mut clients: Vec<Vec<Client>> = Vec::new();
-    for way in ways {
-        clients.push(runtime.block_on(connect_all(way, callers))?);
+    for path in paths {
+        clients.push(runtime.block_on(connect_all(path, callers))?);
     }
     let mut histograms: Vec<Histogram<u64>> = Vec::new();
-    for _ in ways {
+    for _ in paths {
         histograms.push(Histogram::new_with_max(MAX_LATENCY_US, 3)?);
     }
-    let mut counted = vec![0.0; ways.len()];
+    let mut elapsed_s = vec![0.0; paths.len()];
     for _ in 0..slices {
         for (index, clients) in clients.iter().enumerate() {
             let began = Instant::now();
             let latencies = runtime.block_on(drive(clients, statement, began + slice))?;
-            counted[index] += began.elapsed().as_secs_f64();
+            elapsed_s[index] += began.elapsed().as_secs_f64();
             for latency in latencies {
                 histograms[index].saturating_record(latency);
             }
         }
     }
-    let reports = ways.iter().zip(&histograms).zip(&counted);
+    let reports = paths.iter().zip(&histograms).zip(&elapsed_s);
     Ok(reports
-        .map(|((way, histogram), seconds)| AccessPathReport {
-            name: way.name,
+        .map(|((path, histogram), seconds)| AccessPathReport {
+            name: path.name,
             per_second: histogram.len() as f64 / seconds,
             p50_us: histogram.value_at_quantile(0.5),
             p99_us: histogram.value_at_quantile(0.99),
@@ -76,24 +76,25 @@
         .collect())
 }
 
-async fn connect_all(way: &AccessPath, callers: usize) -> eyre::Result<Vec<Client>> {
+async fn connect_all(path: &AccessPath, callers: usize) -> eyre::Result<Vec<Client>> {
     let mut clients = Vec::new();
-    let (ip, port) = (way.address.ip(), way.address.port());
+    let (ip, port) = (path.address.ip(), path.address.port());
     for _ in 0..callers {
-        let parameters = format!("host={ip} port={port} {}", way.parameters);
+        let parameters = format!("host={ip} port={port} {}", path.parameters);
         let connected = tokio_postgres::connect(&parameters, NoTls).await;
-        let (client, connection) = connected.wrap_err_with(|| way.name.to_owned())?;
+        let (client, connection) = connected.wrap_err_with(|| path.name.to_owned())?;
         tokio::spawn(connection);
         clients.push(client);
     }
     Ok(clients)
 }
 
-/// Runs the statement on every client until the time is over, one request at a time on each.
-async fn drive(clients: &[Client], statement: &str, until: Instant) -> eyre::Result<Vec<u64>> {
+/// Runs the statement on every client until the deadline, one request at a time per client, and returns the latencies
+/// in microseconds.
+async fn drive(clients: &[Client], statement: &str, deadline: Instant) -> eyre::Result<Vec<u64>> {
     let driving = clients.iter().map(|client| async move {
         let mut latencies = Vec::new();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let began = Instant::now();
             client.simple_query(statement).await?;
             latencies.push(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX));
