--- a/crates/wardtiller/src/load/faults.rs
+++ b/crates/wardtiller/src/load/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a run brings about, by name and time.
+//! Fault injection into a local system, by name and time.
 
 use std::{
     fmt,
@@ -8,30 +8,30 @@
 
 use crate::local_system::LocalSystem;
 
-/// What is broken.
+/// The kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// The first group's primary crashes.
     CrashPrimary,
-    /// The first group's primary is frozen.
+    /// The first group's primary accepts connections but does not respond.
     PausePrimary,
-    /// The first group's primary can't be reached by the daemons, nor by its replicas.
+    /// The first group's primary is unreachable for the daemons and for its replicas.
     CutPrimary,
-    /// The first group's primary is cut off from its replicas only.
+    /// The first group's primary is unreachable for its replicas only.
     CutReplication,
     /// A replica of the first group crashes.
     CrashReplica,
     /// A replica of the first group is slow.
     SlowReplica,
-    /// The platform's store is down.
+    /// The platform's metadata store is down.
     StoreDown,
-    /// The store loses the answers of its next writes.
+    /// The store executes its next writes but loses their responses.
     LoseAnswers,
-    /// The first group's primary is listed as leaving.
+    /// The host list shows the first group's primary as leaving.
     LeavePrimary,
-    /// The last daemon is killed and started again.
+    /// The last daemon is killed and restarted when the fault ends.
     KillDaemon,
-    /// Every daemon is stopped and started again, one after the other.
+    /// The daemons are restarted one after the other.
     RollDaemons,
 }
 
@@ -49,18 +49,18 @@
     ("roll-daemons", FaultKind::RollDaemons),
 ];
 
-/// A fault with its time.
+/// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What is broken.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When, after the start of the run.
+    /// The start of the fault, measured from the start of the run.
     pub at: Duration,
-    /// For how long.
+    /// The duration of the fault.
     pub duration: Duration,
 }
 
-/// The text names no fault.
+/// The error for a text that doesn't describe a fault.
 #[derive(Debug)]
 pub struct UnknownFault {
     text: String,
@@ -68,7 +68,7 @@
 
 impl fmt::Display for UnknownFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let known: Vec<&str> = FAULT_NAMES.iter().map(|(word, _)| *word).collect();
+        let known: Vec<&str> = FAULT_NAMES.iter().map(|(name, _)| *name).collect();
         write!(
             f,
             "`{}` is no fault; write WHAT@START_MS+FOR_MS, such as crash-primary@3000+5000, with \
@@ -86,9 +86,9 @@
 
     fn from_str(text: &str) -> Result<Fault, UnknownFault> {
         let unknown = || UnknownFault { text: text.to_owned() };
-        let (word, times) = text.split_once('@').ok_or_else(unknown)?;
+        let (name, times) = text.split_once('@').ok_or_else(unknown)?;
         let (at, duration) = times.split_once('+').ok_or_else(unknown)?;
-        let kind = FAULT_NAMES.iter().find(|(known, _)| *known == word).ok_or_else(unknown)?.1;
+        let kind = FAULT_NAMES.iter().find(|(known, _)| *known == name).ok_or_else(unknown)?.1;
         let milliseconds = |text: &str| text.parse().map(Duration::from_millis);
         let at = milliseconds(at).map_err(|_| unknown())?;
         let duration = milliseconds(duration).map_err(|_| unknown())?;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Brings the faults about, one after the other by their times.
+/// Starts and ends the faults at their times. Blocks until the last one has ended.
 pub fn inject_faults(
     system: &mut LocalSystem,
     faults: &[Fault],
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// The servers that were faulted, so that the same ones are healed.
+/// The servers with an active fault, so that a fault ends on the server where it began.
 #[derive(Default)]
 struct FaultedServers {
     primary: Option<standin::Endpoint>,
@@ -193,7 +193,7 @@
     group.servers.iter().find(|server| !server.status().leads()).cloned()
 }
 
-/// How much longer a slow server takes for each statement.
+/// The additional time per statement on a slow replica.
 const SLOW_REPLICA_DELAY: Duration = Duration::from_millis(20);
 
 fn set_fault(server: &standin::Endpoint, kind: FaultKind, on: bool) {
