--- a/crates/wardtiller/src/load/mix.rs
+++ b/crates/wardtiller/src/load/mix.rs
@@ -1,36 +1,36 @@
-//! What callers ask, for each of the users.
+//! The mixes of requests that callers send, one for each modelled user of the proxy.
 
 use std::{fmt, str::FromStr};
 
 /// A user's mix of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mix {
-    /// Takeaway orders: tablets that poll, diners that pay, couriers that post.
+    /// Takeaway orders: mostly polling tablets, few orders and updates.
     Skyndibiti,
-    /// A balancing market: participants that revise offers, clerks and analysts that read.
+    /// A balancing market: participants that update offers, and staff that reads.
     Authority,
 }
 
-/// What one caller does all the time.
+/// The kind of requests that one caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Polls with a kind of read that accepts staleness.
+    /// Polls with a read kind that accepts staleness.
     Poller,
-    /// Writes in transactions and reads back what it wrote.
+    /// Writes in transactions and reads its own writes.
     Writer,
-    /// Changes one row again and again and reads it back.
+    /// Writes in single requests and reads its own writes.
     Updater,
-    /// Reads without staleness, having written nothing.
+    /// Reads without accepting staleness and writes nothing.
     Reader,
 }
 
 impl Mix {
-    /// Returns the mix that fits a service, by its kinds of read.
+    /// Returns the mix for a service with these read kinds.
     pub fn for_read_kinds(kinds: &[&str]) -> Mix {
         if kinds.contains(&"reserve-schedule") { Mix::Authority } else { Mix::Skyndibiti }
     }
 
-    /// Returns the kind of read that pollers name.
+    /// Returns the read kind that pollers use.
     pub fn read_kind(self) -> &'static str {
         match self {
             Mix::Skyndibiti => "menu",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the role of the caller with a number.
+    /// Returns the role of a caller by its number.
     pub fn role(self, caller: usize) -> Role {
         let roles: [Role; 8] = match self {
             Mix::Skyndibiti => [
@@ -66,15 +66,15 @@
     }
 }
 
-/// The word names no mix.
+/// The error for an unknown mix.
 #[derive(Debug)]
 pub struct UnknownMix {
-    word: String,
+    name: String,
 }
 
 impl fmt::Display for UnknownMix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "there is no mix `{}`; write skyndibiti or authority", self.word)
+        write!(f, "there is no mix `{}`; write skyndibiti or authority", self.name)
     }
 }
 
@@ -83,11 +83,11 @@
 impl FromStr for Mix {
     type Err = UnknownMix;
 
-    fn from_str(word: &str) -> Result<Mix, UnknownMix> {
-        match word {
+    fn from_str(name: &str) -> Result<Mix, UnknownMix> {
+        match name {
             "skyndibiti" => Ok(Mix::Skyndibiti),
             "authority" => Ok(Mix::Authority),
-            _ => Err(UnknownMix { word: word.to_owned() }),
+            _ => Err(UnknownMix { name: name.to_owned() }),
         }
     }
 }
