--- a/crates/wardtiller/src/load/report.rs
+++ b/crates/wardtiller/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run has measured.
+//! The measurements of a run and their report.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -8,18 +8,18 @@
 
 use super::ledger::{Violation, WriteCounts};
 
-/// The longest latency that is told apart, in microseconds.
+/// The highest latency that a histogram can record, in microseconds; longer ones are counted as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Digits that a latency is exact to.
+/// The precision of the latency histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A class of requests that is measured by itself.
+/// A class of requests with a latency histogram of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// A read of a kind that accepts staleness.
+    /// A read with a read kind that accepts staleness.
     StaleRead,
-    /// A read of what the session itself wrote.
+    /// A read of the session's own writes.
     OwnRead,
     /// Any other read.
     FreshRead,
@@ -48,14 +48,14 @@
     by_replica: BTreeMap<String, (u64, u64)>,
 }
 
-/// Collects measurements from every caller.
+/// Collects the measurements of all callers.
 #[derive(Default)]
 pub struct Measurements {
     counts: Mutex<Counts>,
 }
 
 impl Measurements {
-    /// Adds a request that was answered.
+    /// Adds the latency of a successful request.
     pub fn add_latency(&self, class: RequestClass, latency_us: u64) {
         let mut counts = self.counts.lock();
         let histogram = counts.latencies.entry(class).or_default().get_or_insert_with(|| {
@@ -65,12 +65,12 @@
         histogram.saturating_record(latency_us);
     }
 
-    /// Adds a request that was refused or given up.
+    /// Adds a request that was refused or abandoned.
     pub fn add_refusal(&self, verdict: &str, reason: &str) {
         *self.counts.lock().refusals.entry(format!("{verdict} {reason}")).or_default() += 1;
     }
 
-    /// Adds a read, with whether a replica served it.
+    /// Adds a sampled read by whether a replica served it.
     pub fn add_served(&self, kind: &str, by_replica: bool) {
         let mut counts = self.counts.lock();
         let (replica, all) = counts.by_replica.entry(kind.to_owned()).or_default();
@@ -78,7 +78,7 @@
         *all += 1;
     }
 
-    /// Sums everything up.
+    /// Returns the latencies and rates by class, for a run of this many seconds.
     pub fn report(&self, seconds: f64) -> Vec<ClassReport> {
         let counts = self.counts.lock();
         let measured = counts.latencies.iter().filter_map(|(class, histogram)| {
@@ -96,12 +96,12 @@
         measured.collect()
     }
 
-    /// Returns the refusals by verdict and reason.
+    /// Returns the number of refusals by verdict and reason.
     pub fn refusals(&self) -> BTreeMap<String, u64> {
         self.counts.lock().refusals.clone()
     }
 
-    /// Returns the share of reads served by replicas, by kind.
+    /// Returns the share of sampled reads that replicas served, by read kind.
     pub fn replica_share(&self) -> BTreeMap<String, f64> {
         let counts = self.counts.lock();
         let shares = counts.by_replica.iter().filter(|(_, (_, all))| *all > 0);
@@ -109,53 +109,54 @@
     }
 }
 
-/// The latencies of one class.
+/// The latencies of one request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
     /// The class.
     pub class: &'static str,
-    /// Requests answered.
+    /// The number of successful requests.
     pub requests: u64,
-    /// Requests answered each second.
+    /// Successful requests per second.
     pub per_second: f64,
-    /// The median.
+    /// The median latency in microseconds.
     pub p50_us: u64,
-    /// The 90th percentile.
+    /// The 90th percentile of the latency in microseconds.
     pub p90_us: u64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latency in microseconds.
     pub p99_us: u64,
-    /// The longest.
+    /// The maximum latency in microseconds.
     pub max_us: u64,
 }
 
 /// The report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// How long callers were driven.
+    /// The duration of the run in seconds.
     pub seconds: f64,
     /// The seed of every random choice.
     pub seed: u64,
     /// Latencies by class.
     pub classes: Vec<ClassReport>,
-    /// Refusals by verdict and reason.
+    /// The number of refusals by verdict and reason.
     pub refusals: BTreeMap<String, u64>,
-    /// The share of reads served by replicas, by kind; sampled.
+    /// The share of sampled reads that replicas served, by read kind.
     pub replica_share: BTreeMap<String, f64>,
-    /// The fates of writes.
+    /// The number of writes by outcome.
     pub writes: WriteCounts,
-    /// From the last acknowledged write of a term to the first of the next, by group.
+    /// The time from the last acknowledged write of a term to the first one of the next term, in milliseconds, with the
+    /// group.
     pub failover_gaps_ms: Vec<(String, u64)>,
-    /// Own reads that were compared with what was written.
+    /// The number of own reads that were compared with the session's writes.
     pub own_reads_checked: u64,
     /// Sessions that got a `write_lost` error because a write of theirs did not survive a failover.
     #[serde(rename = "told_of_lost_writes")]
     pub sessions_with_lost_writes: u64,
-    /// Broken promises; must be none.
+    /// Violated consistency guarantees; empty in a correct run.
     pub violations: Vec<Violation>,
 }
 
 impl LoadReport {
-    /// Renders the report for people.
+    /// Formats the report as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
