--- a/crates/wardtiller/src/load.rs
+++ b/crates/wardtiller/src/load.rs
@@ -1,8 +1,8 @@
-//! The load tool: drives a system with a user's mix of requests and checks its promises.
+//! The load tool: runs a mix of requests against a system and checks its consistency guarantees.
 //!
-//! Each caller is a session that roams between daemons, with its token or without. What it was told
-//! is compared with what the groups hold in the end, see [`ledger`]. `docs/MEASURING.md` says how to
-//! read the report.
+//! Each caller is a session that reconnects to random daemons, with or without its session token. The outcomes of its
+//! writes are compared with the contents of the groups at the end of the run, see [`ledger`]. `docs/MEASURING.md`
+//! explains the report.
 
 pub mod caller;
 pub mod compare;
