--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: a session that roams between daemons.
+//! One caller: a session that reconnects to random daemons.
 
 use std::{
     net::SocketAddr,
@@ -19,41 +19,41 @@
     report::{Measurements, RequestClass},
 };
 
-/// Requests of a session on one connection before it may roam.
-const REQUESTS_BEFORE_ROAMING: u64 = 20;
+/// After each of so many requests, a session may reconnect to another daemon.
+const REQUESTS_BEFORE_RECONNECT: u64 = 20;
 
-/// One read in this many is asked which server served it.
+/// One of this many reads is followed by a query for the server that served it.
 const SERVED_BY_SAMPLE_INTERVAL: u64 = 4;
 
-/// A poller polls this often for each write.
+/// The average number of a poller's requests for each write.
 const POLLS_PER_WRITE: u64 = 50;
 
-/// How long a caller waits after it could not connect, or was told to come later.
+/// The delay after a failed connection attempt or request.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What all callers of a run share.
+/// The parameters and results that all callers of a run share.
 pub struct LoadContext {
-    /// Where daemons take callers.
+    /// The caller addresses of the daemons.
     pub targets: Vec<SocketAddr>,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The groups.
+    /// The groups of the service.
     pub groups: Vec<String>,
     /// The user to log in as.
     pub user: String,
-    /// What callers do.
+    /// The mix of requests.
     pub mix: Mix,
-    /// When callers end.
-    pub until: Instant,
-    /// The time between the requests of one caller.
+    /// The end of the run.
+    pub deadline: Instant,
+    /// The delay between two requests of one caller.
     pub pace: Duration,
-    /// What callers were told.
+    /// The outcomes of the writes.
     pub ledger: Ledger,
-    /// What was measured.
+    /// The measurements.
     pub measurements: Measurements,
-    /// Own reads that were compared.
+    /// The number of own reads that were compared with the session's writes.
     pub own_reads_checked: AtomicU64,
-    /// Sessions that were told of a lost write.
+    /// The number of sessions that got a `write_lost` error.
     pub lost_writes_reported: AtomicU64,
 }
 
@@ -67,21 +67,21 @@
     client: Option<Client>,
     requests: u64,
     sequence: u64,
-    /// The highest of its writes that was acknowledged.
+    /// The sequence number of the last acknowledged write.
     acknowledged: u64,
-    /// Whether a write of unknown effect is newer than that.
+    /// Whether a write with an unknown effect is newer than `acknowledged`.
     uncertain: bool,
     token: String,
 }
 
-/// A request that was not answered well.
+/// A failed request.
 struct Failure {
     verdict: Verdict,
     reason: String,
 }
 
 impl Caller {
-    /// Makes the caller with a number; all its choices follow from the seed and the number.
+    /// Creates a caller. The seed and the number determine all its random choices.
     pub fn new(shared: Arc<LoadContext>, number: usize, seed: u64) -> Caller {
         let role = shared.mix.role(number);
         let group = shared.groups[number % shared.groups.len()].clone();
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Runs until the end of the run.
+    /// Sends requests until the end of the run.
     pub async fn run(mut self) {
-        while Instant::now() < self.shared.until {
+        while Instant::now() < self.shared.deadline {
             if !self.is_connected() && !self.connect().await {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
@@ -115,7 +115,8 @@
                 Role::Updater => self.update().await,
             }
             self.requests += 1;
-            if self.requests.is_multiple_of(REQUESTS_BEFORE_ROAMING) && self.rng.random_bool(0.5) {
+            if self.requests.is_multiple_of(REQUESTS_BEFORE_RECONNECT) && self.rng.random_bool(0.5)
+            {
                 self.client = None;
             }
             if !self.shared.pace.is_zero() {
@@ -128,7 +129,7 @@
         self.client.as_ref().is_some_and(|client| !client.is_closed())
     }
 
-    /// Connects to any daemon, with the session's token or, half of the time, without.
+    /// Connects to a random daemon, half of the time with the session token.
     async fn connect(&mut self) -> bool {
         let target = self.shared.targets[self.rng.random_range(0..self.shared.targets.len())];
         let send_token = !self.token.is_empty() && self.rng.random_bool(0.5);
@@ -153,7 +154,7 @@
             }
             Err(error) => {
                 let failure = read_failure(&error);
-                // A connection that could not be made has run nothing.
+                // Nothing runs without a connection.
                 self.shared
                     .measurements
                     .add_refusal("not_run", &format!("connect {}", failure.reason));
@@ -174,8 +175,8 @@
         Ok(rows.collect())
     }
 
-    /// Runs a request and measures it.
-    async fn measured(&self, class: RequestClass, sql: &str) -> Result<Vec<String>, Failure> {
+    /// Runs a request and records its latency or its refusal.
+    async fn run_measured(&self, class: RequestClass, sql: &str) -> Result<Vec<String>, Failure> {
         let began = Instant::now();
         let outcome = self.query(sql).await;
         match &outcome {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Reads with stated staleness; now and then a poller writes too, as a tablet confirms an order.
+    /// Sends a read that accepts staleness, or occasionally a write.
     async fn poll(&mut self) {
         if self.rng.random_range(0..POLLS_PER_WRITE) == 0 {
             return self.update().await;
@@ -210,7 +211,7 @@
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql =
             format!("SELECT name FROM menu WHERE id = {item} /* wardtiller.read_kind='{kind}' */");
-        if self.measured(RequestClass::StaleRead, &sql).await.is_ok() {
+        if self.run_measured(RequestClass::StaleRead, &sql).await.is_ok() {
             self.sample_served_by(kind).await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -220,14 +221,14 @@
     async fn read_fresh(&mut self) {
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql = format!("SELECT name FROM menu WHERE id = {item}");
-        if self.measured(RequestClass::FreshRead, &sql).await.is_ok() {
+        if self.run_measured(RequestClass::FreshRead, &sql).await.is_ok() {
             self.sample_served_by("fresh").await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Writes two rows in one transaction, then reads them back, perhaps through another daemon.
+    /// Writes two rows in one transaction, then reads its own writes.
     async fn transact(&mut self) {
         self.sequence += 1;
         let (caller, sequence) = (self.number, self.sequence);
@@ -242,7 +243,7 @@
     }
 
     async fn transaction(&self, caller: usize, sequence: u64) -> Result<(), Failure> {
-        // Until its commit is sent, a transaction that fails has not run.
+        // A transaction that fails before its commit is sent has not run.
         let not_run = |failure: Failure| Failure { verdict: Verdict::NotRun, ..failure };
         self.query("BEGIN").await.map_err(not_run)?;
         let order = format!("INSERT INTO orders VALUES ({caller}, {sequence})");
@@ -252,14 +253,14 @@
             self.query(&hold).await
         };
         if let Err(failure) = inserted.await {
-            // The transaction may be over already; then there is nothing to roll back.
+            // The rollback fails if the transaction has already ended.
             let _ = self.query("ROLLBACK").await;
             return Err(not_run(failure));
         }
         self.query("COMMIT").await.map(drop)
     }
 
-    /// Writes one row into both tables with one statement each, as one request.
+    /// Writes one row into each of the two tables in a single request, then reads its own writes.
     async fn update(&mut self) {
         self.sequence += 1;
         let (caller, sequence) = (self.number, self.sequence);
@@ -267,7 +268,7 @@
             "INSERT INTO orders VALUES ({caller}, {sequence}); \
              INSERT INTO holds VALUES ({caller}, {sequence})"
         );
-        let outcome = self.measured(RequestClass::Write, &sql).await.map(drop);
+        let outcome = self.run_measured(RequestClass::Write, &sql).await.map(drop);
         self.record_outcome(sequence, outcome).await;
         self.read_back().await;
     }
@@ -305,14 +306,14 @@
         }
     }
 
-    /// Reads what this session wrote last and compares.
+    /// Reads the last write of this session and records a violation if the result doesn't match.
     async fn read_back(&mut self) {
         if self.acknowledged == 0 {
             return;
         }
         let sql =
             format!("SELECT coalesce(max(seq), 0) FROM orders WHERE caller = {}", self.number);
-        let found = match self.measured(RequestClass::OwnRead, &sql).await {
+        let found = match self.run_measured(RequestClass::OwnRead, &sql).await {
             Ok(found) => found,
             Err(failure) if failure.reason == "write_lost" => {
                 self.shared.lost_writes_reported.fetch_add(1, Ordering::Relaxed);
@@ -326,18 +327,18 @@
         let found: u64 = found.first().and_then(|found| found.parse().ok()).unwrap_or(0);
         self.shared.own_reads_checked.fetch_add(1, Ordering::Relaxed);
         if found < self.acknowledged {
-            let seen = format!(
+            let observation = format!(
                 "caller {} was acknowledged {} and read {found}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.record_violation("a session reads its own writes", seen);
+            self.shared.ledger.record_violation("a session reads its own writes", observation);
         }
         if found > self.acknowledged && !self.uncertain {
-            let seen = format!(
+            let observation = format!(
                 "caller {} read {found} beyond its last write {}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.record_violation("\"not run\" is true", seen);
+            self.shared.ledger.record_violation("\"not run\" is true", observation);
         }
     }
 }
@@ -345,26 +346,26 @@
 /// Rows in the table that pollers read.
 pub const MENU_ITEMS: u32 = 100;
 
-/// Reads the verdict out of an error, as any caller can.
+/// Parses the verdict and the reason in an error.
 fn read_failure(error: &Error) -> Failure {
     let Some(db) = error.as_db_error() else {
-        // The connection broke; what was sent may have run.
+        // The connection broke, so the request may have run.
         return Failure { verdict: Verdict::MayHaveRun, reason: "connection lost".to_owned() };
     };
     let detail = db.detail().unwrap_or_default();
-    let word = |key: &str| {
+    let field = |key: &str| {
         let rest = detail.split_whitespace().find_map(|part| part.strip_prefix(key));
         rest.map(str::to_owned)
     };
-    let verdict = match word("verdict=").as_deref() {
+    let verdict = match field("verdict=").as_deref() {
         Some("not_run") => Verdict::NotRun,
         Some("may_have_run") => Verdict::MayHaveRun,
         Some(_) => Verdict::Ran,
-        // An endpoint's own error: the statement was undone as a whole, or the session was closed
-        // between requests.
+        // An error of the endpoint itself: the statement was rolled back as a whole, or the session was closed between
+        // requests.
         None => Verdict::NotRun,
     };
     let reason =
-        word("reason=").unwrap_or_else(|| format!("{} {}", db.code().code(), db.message()));
+        field("reason=").unwrap_or_else(|| format!("{} {}", db.code().code(), db.message()));
     Failure { verdict, reason }
 }
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs a load and settles its ledger.
+//! Runs a load and verifies its results.
 
 use std::{
     collections::HashMap,
@@ -23,7 +23,7 @@
 };
 use crate::local_system::LocalSystem;
 
-/// How a load is run.
+/// The options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
     mix: Option<Mix>,
@@ -48,13 +48,13 @@
 }
 
 impl LoadOptions {
-    /// Sets what callers do; by default what fits the configuration.
+    /// Sets the mix of requests; `None` chooses it by the read kinds of the service.
     pub fn mix(mut self, mix: Option<Mix>) -> LoadOptions {
         self.mix = mix;
         self
     }
 
-    /// Sets for how long callers are driven.
+    /// Sets the duration of the run in seconds.
     pub fn seconds(mut self, seconds: u64) -> LoadOptions {
         self.seconds = seconds;
         self
@@ -66,40 +66,40 @@
         self
     }
 
-    /// Sets how many callers there are.
+    /// Sets the number of concurrent callers.
     pub fn callers(mut self, callers: usize) -> LoadOptions {
         self.callers = callers;
         self
     }
 
-    /// Sets the time between the requests of one caller.
+    /// Sets the delay between two requests of one caller.
     pub fn pace(mut self, pace: Duration) -> LoadOptions {
         self.pace = pace;
         self
     }
 
-    /// Sets the faults that are brought about.
+    /// Sets the faults to inject.
     pub fn faults(mut self, faults: Vec<Fault>) -> LoadOptions {
         self.faults = faults;
         self
     }
 }
 
-/// Polls in a row that must find the tables; each may be served by another replica.
+/// The number of consecutive successful reads from replicas before a run starts. Each read may reach another replica.
 const REQUIRED_CONSECUTIVE_READS: usize = 16;
 
-/// How long the replicas may take to have the tables.
+/// The time limit for the tables to appear on the replicas.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The system that is driven.
+/// The system under load.
 pub enum Target<'a> {
-    /// One that runs already.
+    /// A running system, by the caller addresses of its daemons.
     Running(Vec<SocketAddr>),
     /// A local system, which supports fault injection.
     Local(&'a mut LocalSystem),
 }
 
-/// Runs a load against the first service of a configuration.
+/// Runs a load against the first service of a configuration and verifies the result.
 pub fn run_load(
     configuration: &Configuration,
     mut target: Target<'_>,
@@ -161,7 +161,7 @@
             groups: self.service.groups.iter().map(|group| group.to_string()).collect(),
             user: self.user.clone(),
             mix: self.mix(),
-            until: began + Duration::from_secs(self.options.seconds),
+            deadline: began + Duration::from_secs(self.options.seconds),
             pace: self.options.pace,
             ledger: Ledger::default(),
             measurements: Measurements::default(),
@@ -185,7 +185,7 @@
         Ok(client)
     }
 
-    /// Makes the tables in every group, empty.
+    /// Recreates the tables in every group.
     async fn prepare(&self) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
@@ -200,20 +200,20 @@
                 (0..MENU_ITEMS).map(|item| format!("({item}, 'dish {item}')")).collect();
             let sql = format!("INSERT INTO menu VALUES {}", items.join(", "));
             client.batch_execute(&sql).await?;
-            // A session that has written nothing, whatever the policy makes of one that has.
+            // A new connection, since the read policy may route a session that has written to the primary.
             self.wait_for_replicas(&self.connect(group).await?).await?;
         }
         Ok(())
     }
 
-    /// Waits until polls find what was just written, which accept data from before it.
+    /// Waits until the replicas serve the new tables to reads that accept staleness.
     async fn wait_for_replicas(&self, client: &Client) -> eyre::Result<()> {
         let kind = self.mix().read_kind();
         let poll = format!("SELECT count(*) FROM menu /* wardtiller.read_kind='{kind}' */");
-        let until = Instant::now() + PREPARE_TIMEOUT;
+        let deadline = Instant::now() + PREPARE_TIMEOUT;
         let mut consecutive_reads = 0;
         while consecutive_reads < REQUIRED_CONSECUTIVE_READS {
-            ensure!(Instant::now() < until, "the replicas did not catch up in time");
+            ensure!(Instant::now() < deadline, "the replicas did not catch up in time");
             let found = client.simple_query(&poll).await.is_ok() && served_by_replica(client).await;
             consecutive_reads = if found { consecutive_reads + 1 } else { 0 };
             if !found {
@@ -223,15 +223,15 @@
         Ok(())
     }
 
-    /// Holds what each group contains against what callers were told.
+    /// Compares the contents of each group with the outcomes that the callers recorded.
     async fn verify(&self, shared: &LoadContext) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
             let mut found: HashMap<WriteId, (u64, u64)> = HashMap::new();
-            for id in rows(&client, group, "orders").await? {
+            for id in read_writes(&client, group, "orders").await? {
                 found.entry(id).or_default().0 += 1;
             }
-            for id in rows(&client, group, "holds").await? {
+            for id in read_writes(&client, group, "holds").await? {
                 found.entry(id).or_default().1 += 1;
             }
             shared.ledger.verify_group(group, &found);
@@ -258,7 +258,7 @@
     }
 }
 
-/// Whether a replica answered the client's last statement.
+/// Returns whether a replica served the client's last statement.
 async fn served_by_replica(client: &Client) -> bool {
     let Ok(messages) = client.simple_query("SHOW wardtiller.served_by").await else { return false };
     messages.iter().any(|message| {
@@ -267,7 +267,7 @@
     })
 }
 
-async fn rows(client: &Client, group: &str, table: &str) -> eyre::Result<Vec<WriteId>> {
+async fn read_writes(client: &Client, group: &str, table: &str) -> eyre::Result<Vec<WriteId>> {
     let messages = client.simple_query(&format!("SELECT caller, seq FROM {table}")).await?;
     let mut rows = Vec::new();
     for message in &messages {
