--- a/crates/wardtiller/src/local_system.rs
+++ b/crates/wardtiller/src/local_system.rs
@@ -1,4 +1,4 @@
-//! A whole system on this machine: stand-ins for the platform and the endpoints, and real daemons.
+//! A complete system on the local machine: real daemons, with stand-ins for the platform and the endpoints.
 
 use std::{
     collections::BTreeMap,
@@ -15,7 +15,7 @@
 use standin::{EndpointOptions, GroupStandin, Network, PlatformStandin};
 use store::{CatalogNode, ConsulClient};
 
-/// How a local system is set up.
+/// The options of a local system.
 #[derive(Clone, Debug)]
 pub struct LocalSystemOptions {
     daemons: usize,
@@ -36,74 +36,75 @@
 }
 
 impl LocalSystemOptions {
-    /// Sets how many daemons there are.
+    /// Sets the number of daemons.
     pub fn daemons(mut self, daemons: usize) -> LocalSystemOptions {
         self.daemons = daemons;
         self
     }
 
-    /// Sets where the first daemon listens; the next ones take the following ports.
+    /// Sets the caller address of the first daemon. The others use the following ports.
     pub fn first_listen(mut self, address: Option<SocketAddr>) -> LocalSystemOptions {
         self.first_listen = address;
         self
     }
 
-    /// Sets how far the data that replicas show lags.
+    /// Sets the delay after which replicas apply a committed change.
     pub fn apply_lag(mut self, lag: Duration) -> LocalSystemOptions {
         self.endpoint.apply_lag = lag;
         self
     }
 
-    /// Sets how the endpoints behave.
+    /// Sets the options of the endpoints.
     pub fn endpoint(mut self, endpoint: EndpointOptions) -> LocalSystemOptions {
         self.endpoint = endpoint;
         self
     }
 
-    /// Changes each daemon's settings before it starts.
+    /// Sets a function that change_count the settings of each daemon before it starts.
     pub fn adjust(mut self, adjust: fn(&mut HostSettings)) -> LocalSystemOptions {
         self.adjust = adjust;
         self
     }
 }
 
-/// The prefix of the local system's keys.
+/// The key prefix of the local system in the store.
 const PREFIX: &str = "wardtiller";
 
-/// How long the daemons get to be ready.
+/// The time limit for the daemons to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long one call to the stand-in platform may take.
+/// The timeout of one call to the platform stand-in.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running local system.
 pub struct LocalSystem {
-    /// The stand-in platform.
+    /// The platform stand-in.
     pub platform: PlatformStandin,
-    /// The stand-in groups.
+    /// The group stand-ins.
     pub groups: BTreeMap<GroupId, GroupStandin>,
-    /// The daemons; `None` for one that was stopped or killed.
+    /// The daemons. An entry is `None` while its daemon is stopped or killed.
     pub daemons: Vec<Option<Daemon>>,
-    /// The configuration, with the addresses of the stand-ins.
+    /// The text of the configuration, with the addresses of the stand-ins.
     pub configuration_text: String,
-    /// The same, read.
+    /// The parsed configuration.
     pub configuration: Configuration,
     settings: Vec<HostSettings>,
     nodes: Vec<CatalogNode>,
-    changes: u64,
+    change_count: u64,
 }
 
 impl LocalSystem {
-    /// Starts stand-ins for everything that a configuration names, and daemons before them.
+    /// Starts stand-ins for the platform and for all endpoints of the configuration, then the daemons. Returns when the
+    /// daemons are ready.
     pub fn start(text: &str, options: &LocalSystemOptions) -> eyre::Result<LocalSystem> {
         let network = Network::new();
         let wanted = check_configuration("the configuration", text)?;
-        let platform = PlatformStandin::start(&network, any_port())?;
+        let platform = PlatformStandin::start(&network, unused_port())?;
         let mut text = text.to_owned();
         let mut groups = BTreeMap::new();
         for (id, group) in &wanted.groups {
             let standin = start_group(&network, group, options)?;
-            for (server, running) in ordered(group).zip(&standin.servers) {
+            for (server, running) in primary_first(group).zip(&standin.servers) {
                 let (old, new) = (server.address, running.address());
                 text = replace_address(&text, old, new);
             }
@@ -118,7 +119,7 @@
             configuration,
             settings: Vec::new(),
             nodes: Vec::new(),
-            changes: 0,
+            change_count: 0,
         };
         system.start_daemons(options)?;
         system.apply(&system.configuration_text.clone(), None)?;
@@ -135,10 +136,10 @@
             settings.daemon.availability_zone = zone.unwrap_or_else(|| Name::from("local"));
             settings.daemon.listen = Some(match options.first_listen {
                 Some(first) => SocketAddr::new(first.ip(), first.port() + u16::try_from(index)?),
-                None => any_port(),
+                None => unused_port(),
             });
-            settings.daemon.peer_listen = Some(any_port());
-            settings.daemon.operator_listen = Some(any_port());
+            settings.daemon.peer_listen = Some(unused_port());
+            settings.daemon.operator_listen = Some(unused_port());
             settings.daemon.serve_threads = 2;
             settings.platform.address = Some(self.platform.address());
             (options.adjust)(&mut settings);
@@ -146,11 +147,11 @@
             self.daemons.push(Some(daemon));
             self.settings.push(settings);
         }
-        self.list_hosts();
+        self.publish_host_list();
         Ok(())
     }
 
-    /// Starts a daemon, noting the ports that it got.
+    /// Starts a daemon and stores its actual addresses in the settings.
     fn launch(&self, settings: &mut HostSettings) -> eyre::Result<Daemon> {
         let store = Arc::new(ConsulClient::new(self.platform.address(), PLATFORM_TIMEOUT));
         let daemon = Daemon::start(settings.clone(), store)?;
@@ -168,10 +169,10 @@
         zones
     }
 
-    /// Puts every daemon and endpoint into the platform's host list as live.
-    fn list_hosts(&mut self) {
+    /// Lists every daemon and endpoint as live in the platform's host list.
+    fn publish_host_list(&mut self) {
         let daemons = self.settings.iter().map(|settings| {
-            let address = settings.daemon.peer_listen.unwrap_or_else(any_port);
+            let address = settings.daemon.peer_listen.unwrap_or_else(unused_port);
             let zone = &settings.daemon.availability_zone;
             PlatformStandin::node(&settings.daemon.host, address, zone, "daemon", "live")
         });
@@ -186,7 +187,7 @@
         self.platform.set_nodes(self.nodes.clone());
     }
 
-    /// Changes what the platform's host list says of the host at an address.
+    /// Sets the state in the host list of the hosts that use the port of this address.
     pub fn set_listed_state(&mut self, address: SocketAddr, state: &str) {
         for node in &mut self.nodes {
             let port = node.meta.get("port").map(String::as_str);
@@ -197,32 +198,32 @@
         self.platform.set_nodes(self.nodes.clone());
     }
 
-    /// Applies a configuration, as an operator would.
+    /// Applies a configuration and returns its revision. Fails if the revision in force is not `base`.
     pub fn apply(&mut self, text: &str, base: Option<u64>) -> eyre::Result<u64> {
-        self.changes += 1;
-        let change_id = format!("local-{}", self.changes);
+        self.change_count += 1;
+        let change_id = format!("local-{}", self.change_count);
         let store = ConsulClient::new(self.platform.address(), PLATFORM_TIMEOUT);
         let name = "the configuration";
         Ok(apply_configuration(&store, PREFIX, name, text, base, &change_id)?)
     }
 
-    /// Waits until every daemon has a configuration and knows every primary and every member.
+    /// Waits until every daemon has a configuration and knows every primary and every member. Fails after a timeout.
     pub fn wait_until_ready(&self) -> eyre::Result<()> {
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         let members = self.daemons.iter().flatten().count();
         while !self.daemons.iter().flatten().all(|daemon| is_ready(daemon, members)) {
-            ensure!(Instant::now() < until, "the daemons did not become ready in time");
+            ensure!(Instant::now() < deadline, "the daemons did not become ready in time");
             thread::sleep(Duration::from_millis(5));
         }
         Ok(())
     }
 
-    /// Returns where callers connect, for the daemons that run.
+    /// Returns the caller addresses of the running daemons.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().flatten().map(Daemon::caller_address).collect()
     }
 
-    /// Returns a daemon.
+    /// Returns a running daemon.
     pub fn daemon(&self, index: usize) -> eyre::Result<&Daemon> {
         self.daemons
             .get(index)
@@ -230,12 +231,12 @@
             .ok_or_eyre("there is no such daemon, or it is not running")
     }
 
-    /// Ends a daemon at once, as a crash does.
+    /// Ends a daemon at once, without a graceful shutdown.
     pub fn kill_daemon(&mut self, index: usize) {
         self.daemons[index] = None;
     }
 
-    /// Stops a daemon as planned; returns whether it finished all its work in time.
+    /// Stops a daemon gracefully. Returns whether it finished all its work in time.
     pub fn stop_daemon(&mut self, index: usize) -> bool {
         match self.daemons[index].take() {
             Some(daemon) => daemon.stop(),
@@ -243,24 +244,24 @@
         }
     }
 
-    /// Starts a daemon that was ended, at the addresses that it had.
+    /// Restarts a stopped or killed daemon at its previous addresses.
     pub fn restart_daemon(&mut self, index: usize) -> eyre::Result<()> {
         let mut settings = self.settings[index].clone();
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             match self.launch(&mut settings) {
                 Ok(daemon) => {
                     self.daemons[index] = Some(daemon);
                     return Ok(());
                 }
-                // The old sockets take a moment to be freed.
-                Err(error) if Instant::now() >= until => return Err(error),
+                // The previous sockets may still be in use for a short time.
+                Err(error) if Instant::now() >= deadline => return Err(error),
                 Err(_) => thread::sleep(Duration::from_millis(20)),
             }
         }
     }
 
-    /// Returns the stand-ins of a group.
+    /// Returns the stand-in of a group.
     pub fn group(&self, service: &str, group: &str) -> eyre::Result<&GroupStandin> {
         match self.groups.get(&GroupId::new(service, group)) {
             Some(standin) => Ok(standin),
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Stops every daemon as planned, all at the same time.
+    /// Stops all daemons gracefully and concurrently. Returns whether all finished their work in time.
     pub fn stop(mut self) -> bool {
         let stopping: Vec<_> = self
             .daemons
@@ -280,14 +281,14 @@
     }
 }
 
-fn any_port() -> SocketAddr {
+fn unused_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
 fn is_ready(daemon: &Daemon, members: usize) -> bool {
     let report = daemon.show();
-    let all_led = report.groups.iter().filter(|group| group.owned).all(|group| {
-        // Until the age of a server's data is known, reads that accept staleness go to the primary.
+    let all_groups_ready = report.groups.iter().filter(|group| group.owned).all(|group| {
+        // While the staleness of a server is unknown, reads that accept staleness go to the primary.
         group.primary.is_some()
             && group.servers.iter().all(|server| server.answers && server.staleness_ms.is_some())
     });
@@ -295,11 +296,11 @@
     report.revision > 0
         && report.members_usable == members
         && owned == report.groups_to_own
-        && all_led
+        && all_groups_ready
 }
 
-/// The servers of a group with the first primary in front, the order in which stand-ins start.
-fn ordered(group: &config::Group) -> impl Iterator<Item = &config::Server> {
+/// Returns the servers of a group with the first primary first, the order in which the stand-ins start.
+fn primary_first(group: &config::Group) -> impl Iterator<Item = &config::Server> {
     let first = group.first_primary.index();
     let rest = group.servers.iter().enumerate().filter(move |(index, _)| *index != first);
     std::iter::once(&group.servers[first]).chain(rest.map(|(_, server)| server))
@@ -315,7 +316,7 @@
         slots: group.options.slots as usize,
         ..options.endpoint.clone()
     };
-    let addresses = vec![any_port(); group.servers.len()];
+    let addresses = vec![unused_port(); group.servers.len()];
     Ok(GroupStandin::start(network, &addresses, &endpoint)?)
 }
 
