--- a/crates/wardtiller/src/lib.rs
+++ b/crates/wardtiller/src/lib.rs
@@ -1,12 +1,11 @@
-//! The commands of wardtiller, each a function, and the local system that the demo, the load tool
-//! and the tests run on.
+//! The commands of the `wardtiller` binary, and the local system that the demo, the load tool and the tests run on.
 
 pub mod commands;
 pub mod load;
 pub mod local_system;
 pub mod sizing;
 
-#[allow(missing_docs, reason = "the items are made by xflags, whose help texts say it all")]
+#[allow(missing_docs, reason = "xflags generates the items, and the help texts document them")]
 mod cli;
 
 pub use cli::{Wardtiller, WardtillerCmd};
--- a/crates/wardtiller/src/main.rs
+++ b/crates/wardtiller/src/main.rs
@@ -1,4 +1,4 @@
-//! The `wardtiller` program.
+//! The entry point of the `wardtiller` binary.
 
 use std::process::ExitCode;
 
