--- a/crates/wardtiller/src/cli.rs
+++ b/crates/wardtiller/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The definition of the command line. Its doc comments are the help texts.
 
 use std::{net::SocketAddr, path::PathBuf};
 
