--- a/crates/wardtiller/src/commands.rs
+++ b/crates/wardtiller/src/commands.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The commands, one module each.
 
 mod apply;
 mod check;
@@ -13,14 +13,14 @@
 
 use crate::{Wardtiller, WardtillerCmd};
 
-/// The exit code of a command that did what it was asked.
+/// The exit code of a successful command.
 pub const EXIT_DONE: u8 = 0;
-/// The exit code of a command that failed, or of a check that found mistakes.
+/// The exit code of a failed command, or of a check that found errors.
 pub const EXIT_FAILED: u8 = 1;
-/// The exit code of a command line that can't be understood.
+/// The exit code for an invalid command line.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Runs the command that the process's arguments name.
+/// Parses the arguments of the process and runs the command.
 pub fn run_from_arguments() -> ExitCode {
     let flags = match Wardtiller::from_env() {
         Ok(flags) => flags,
@@ -51,17 +51,17 @@
     }
 }
 
-/// Writes a line to standard output. A reader that has gone away, as `head` does, is no failure.
+/// Writes a line to standard output. Ignores errors, such as a pipe that its reader has closed.
 pub(crate) fn write_out(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Writes a line to standard error, for people.
+/// Writes a line to standard error. Ignores errors.
 pub(crate) fn write_error(line: &str) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
-/// Reads a file, naming it in the error.
+/// Reads a file. The error contains its path.
 pub(crate) fn read_file(path: &std::path::Path) -> eyre::Result<String> {
     use eyre::WrapErr;
     std::fs::read_to_string(path).wrap_err_with(|| format!("can't read {}", path.display()))
