--- a/crates/wardtiller/src/commands/apply.rs
+++ b/crates/wardtiller/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `wardtiller apply`: puts a configuration in force.
+//! `wardtiller apply`: checks a configuration and activates it on all daemons.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use super::{EXIT_DONE, EXIT_FAILED, read_file, write_error, write_out};
 use crate::cli::Apply;
 
-/// How long one call to the platform may take.
+/// The timeout of one call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Applies the file that the flags name.
+/// Applies the configuration file in the flags.
 pub(crate) fn run(flags: &Apply) -> eyre::Result<u8> {
     let text = read_file(&flags.file)?;
     let store = ConsulClient::new(flags.platform, CALL_TIMEOUT);
