--- a/crates/wardtiller/src/commands/check.rs
+++ b/crates/wardtiller/src/commands/check.rs
@@ -1,11 +1,11 @@
-//! `wardtiller check`: reports every mistake of a configuration.
+//! `wardtiller check`: reports every error in a configuration.
 
 use config::{Configuration, check_configuration};
 
 use super::{EXIT_DONE, EXIT_FAILED, read_file, write_error, write_out};
 use crate::cli::Check;
 
-/// Checks the file that the flags name.
+/// Checks the configuration file in the flags.
 pub(crate) fn run(flags: &Check) -> eyre::Result<u8> {
     let text = read_file(&flags.file)?;
     match check_configuration(&flags.file.display().to_string(), &text) {
