--- a/crates/wardtiller/src/commands/demo.rs
+++ b/crates/wardtiller/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `wardtiller demo`: a whole system on this machine.
+//! `wardtiller demo`: runs a complete system on the local machine.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
     local_system::{LocalSystem, LocalSystemOptions},
 };
 
-/// The configuration that is used when none is named.
+/// The default configuration.
 pub(crate) const SAMPLE: &str = include_str!("../../../../examples/skyndibiti.ini");
 
-const DAEMONS: usize = 2;
-const LAG_MS: u64 = 500;
+const DEFAULT_DAEMONS: usize = 2;
+const DEFAULT_LAG_MS: u64 = 500;
 
-/// Runs the system until it is told to stop, then stops it as planned.
+/// Runs the system until a stop signal arrives, then shuts it down gracefully.
 pub(crate) fn run(flags: &Demo) -> eyre::Result<u8> {
     telemetry::init_logging(LevelFilter::Warn);
     let text = match &flags.config {
@@ -25,9 +25,9 @@
         None => SAMPLE.to_owned(),
     };
     let options = LocalSystemOptions::default()
-        .daemons(flags.daemons.unwrap_or(DAEMONS))
+        .daemons(flags.daemons.unwrap_or(DEFAULT_DAEMONS))
         .first_listen(flags.listen)
-        .apply_lag(Duration::from_millis(flags.lag_ms.unwrap_or(LAG_MS)));
+        .apply_lag(Duration::from_millis(flags.lag_ms.unwrap_or(DEFAULT_LAG_MS)));
     let system = LocalSystem::start(&text, &options)?;
     for daemon in system.daemons.iter().flatten() {
         let line = json!({
@@ -37,14 +37,14 @@
         });
         write_out(&line.to_string());
     }
-    write_out(&paste_line(&system));
+    write_out(&psql_command(&system));
     wait_for_stop()?;
     write_error("stopping");
     Ok(if system.stop() { EXIT_DONE } else { EXIT_FAILED })
 }
 
-/// Returns the line to paste into a shell that has a PostgreSQL client.
-fn paste_line(system: &LocalSystem) -> String {
+/// Returns the `psql` command that connects to the first daemon.
+fn psql_command(system: &LocalSystem) -> String {
     let address = system.caller_addresses().first().copied();
     let service = system.configuration.services.keys().next();
     let user = system.configuration.users.keys().next();
