--- a/crates/wardtiller/src/commands/load.rs
+++ b/crates/wardtiller/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `wardtiller load`: drives a system and checks its promises.
+//! `wardtiller load`: runs a load against a system and checks its consistency guarantees.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
     local_system::{LocalSystem, LocalSystemOptions},
 };
 
-const DAEMONS: usize = 8;
-const LAG_MS: u64 = 500;
-const SECONDS: u64 = 10;
-const SEED: u64 = 1;
-const CALLERS: usize = 48;
+const DEFAULT_DAEMONS: usize = 8;
+const DEFAULT_LAG_MS: u64 = 500;
+const DEFAULT_SECONDS: u64 = 10;
+const DEFAULT_SEED: u64 = 1;
+const DEFAULT_CALLERS: usize = 48;
 
-/// Runs the load that the flags describe.
+/// Runs a load with the options in the flags.
 pub(crate) fn run(flags: &Load) -> eyre::Result<u8> {
     telemetry::init_logging(if flags.verbose { LevelFilter::Info } else { LevelFilter::Error });
     let text = match &flags.config {
@@ -40,12 +40,13 @@
         return print(flags, &run_load(&configuration, targets, &options)?);
     }
     let endpoint = EndpointOptions {
-        apply_lag: Duration::from_millis(flags.lag_ms.unwrap_or(LAG_MS)),
+        apply_lag: Duration::from_millis(flags.lag_ms.unwrap_or(DEFAULT_LAG_MS)),
         service_time: Duration::from_micros(flags.service_us.unwrap_or(0)),
         ..EndpointOptions::default()
     };
-    let system_options =
-        LocalSystemOptions::default().daemons(flags.daemons.unwrap_or(DAEMONS)).endpoint(endpoint);
+    let system_options = LocalSystemOptions::default()
+        .daemons(flags.daemons.unwrap_or(DEFAULT_DAEMONS))
+        .endpoint(endpoint);
     let mut system = LocalSystem::start(&text, &system_options)?;
     let delay = Duration::from_millis(flags.answer_delay_ms.unwrap_or(0));
     for server in system.groups.values().flat_map(|group| &group.servers) {
@@ -64,9 +65,9 @@
     let faults: Result<Vec<Fault>, _> = flags.fault.iter().map(|text| text.parse()).collect();
     Ok(LoadOptions::default()
         .mix(mix)
-        .seconds(flags.seconds.unwrap_or(SECONDS))
-        .seed(flags.seed.unwrap_or(SEED))
-        .callers(flags.callers.unwrap_or(CALLERS))
+        .seconds(flags.seconds.unwrap_or(DEFAULT_SECONDS))
+        .seed(flags.seed.unwrap_or(DEFAULT_SEED))
+        .callers(flags.callers.unwrap_or(DEFAULT_CALLERS))
         .pace(Duration::from_millis(flags.pace_ms.unwrap_or(0)))
         .faults(faults?))
 }
@@ -80,13 +81,16 @@
     Ok(if report.violations.is_empty() { EXIT_DONE } else { EXIT_FAILED })
 }
 
-/// The length of a slice of an interleaved comparison.
-const SLICE: Duration = Duration::from_millis(500);
+/// The duration of one slice of an interleaved comparison.
+const SLICE_DURATION: Duration = Duration::from_millis(500);
 
-/// Drives a daemon and an endpoint in turn with the same statement.
+/// Compares a daemon with a direct connection to an endpoint, and prints the result.
 fn compare(flags: &Load, system: &LocalSystem, _options: &LoadOptions) -> eyre::Result<u8> {
-    let reports =
-        compare_direct(system, flags.callers.unwrap_or(CALLERS), flags.seconds.unwrap_or(SECONDS))?;
+    let reports = compare_direct(
+        system,
+        flags.callers.unwrap_or(DEFAULT_CALLERS),
+        flags.seconds.unwrap_or(DEFAULT_SECONDS),
+    )?;
     if flags.json {
         write_out(&serde_json::to_string_pretty(&reports)?);
         return Ok(EXIT_DONE);
@@ -111,11 +115,11 @@
     let Some(user) = system.configuration.users.keys().next() else {
         eyre::bail!("the configuration names no user");
     };
-    let through = format!(
+    let parameters = format!(
         "user={user} dbname={} options='-c wardtiller.group={} -c wardtiller.session='",
         id.service, id.group
     );
-    let ways = [
+    let paths = [
         AccessPath {
             name: "direct",
             address: group.servers[0].address(),
@@ -124,9 +128,10 @@
         AccessPath {
             name: "through a daemon",
             address: system.daemon(0)?.caller_address(),
-            parameters: through,
+            parameters,
         },
     ];
-    let slices = (seconds as usize * 1_000 / (SLICE.as_millis() as usize * ways.len())).max(1);
-    compare_access_paths(&ways, "SELECT 1", callers, slices, SLICE)
+    let slices =
+        (seconds as usize * 1_000 / (SLICE_DURATION.as_millis() as usize * paths.len())).max(1);
+    compare_access_paths(&paths, "SELECT 1", callers, slices, SLICE_DURATION)
 }
