--- a/crates/wardtiller/src/commands/run.rs
+++ b/crates/wardtiller/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `wardtiller run`: the daemon of a host.
+//! `wardtiller run`: runs the daemon of this host.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use super::{EXIT_DONE, EXIT_FAILED, read_file, signals::wait_for_stop, write_error};
 use crate::cli::Run;
 
-/// Runs the daemon until it is told to stop, then stops it as planned.
+/// Runs the daemon until a stop signal arrives, then shuts it down gracefully.
 pub(crate) fn run(flags: &Run) -> eyre::Result<u8> {
     let text = read_file(&flags.settings)?;
     let settings = match HostSettings::read(&flags.settings.display().to_string(), &text) {
@@ -29,9 +29,9 @@
         callers = daemon.caller_address().to_string().as_str(),
         peers = daemon.peer_address().to_string().as_str(),
         operators = daemon.operator_address().to_string().as_str();
-        "the daemon runs"
+        "daemon started"
     );
     wait_for_stop()?;
-    log::info!("a planned stop begins");
+    log::info!("stop signal received; shutting down gracefully");
     Ok(if daemon.stop() { EXIT_DONE } else { EXIT_FAILED })
 }
