--- a/crates/wardtiller/src/commands/show.rs
+++ b/crates/wardtiller/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `wardtiller show`: the state of daemons, for people or as JSON.
+//! `wardtiller show`: prints the state of daemons as text or JSON.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,10 +8,10 @@
 use super::{EXIT_DONE, EXIT_FAILED, write_error, write_out};
 use crate::cli::Show;
 
-/// How long a daemon may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout for the report of one daemon.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Shows every daemon that the flags name.
+/// Prints the state of the daemons in the flags.
 pub(crate) fn run(flags: &Show) -> eyre::Result<u8> {
     ensure!(
         !flags.operator.is_empty(),
@@ -39,7 +39,8 @@
 }
 
 fn read_report(address: SocketAddr) -> eyre::Result<ShowReport> {
-    let agent = ureq::Agent::config_builder().timeout_global(Some(TIMEOUT)).build().new_agent();
+    let agent =
+        ureq::Agent::config_builder().timeout_global(Some(REPORT_TIMEOUT)).build().new_agent();
     let mut response = agent
         .get(format!("http://{address}/show"))
         .call()
@@ -62,15 +63,15 @@
             report.up_ms / 1_000,
             if report.stopping { ", stopping" } else { "" },
         ),
-        frozen(report),
+        store_notice(report),
     ];
     lines.extend(report.groups.iter().flat_map(render_group));
     lines.retain(|line| !line.is_empty());
     lines.join("\n")
 }
 
-/// Says what isolation freezes.
-fn frozen(report: &ShowReport) -> String {
+/// Returns a notice while the daemon can't reach the store, or an empty string.
+fn store_notice(report: &ShowReport) -> String {
     if report.store_reachable {
         return String::new();
     }
