--- a/crates/wardtiller/src/commands/signals.rs
+++ b/crates/wardtiller/src/commands/signals.rs
@@ -1,8 +1,8 @@
-//! Waits for the signal to stop.
+//! Signal handling.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Blocks until the process is told to stop, by Ctrl-C or SIGTERM.
+/// Blocks until the process receives SIGINT or SIGTERM.
 pub(crate) fn wait_for_stop() -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
