--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -1,7 +1,7 @@
-//! Measures the slopes of `docs/CAPACITY.md` and prints its tables.
+//! Measures the unit costs of the capacity model in `docs/CAPACITY.md` and prints its tables.
 //!
 //! Run it with `cargo run --release -p wardtiller --example sizing`. It takes about a minute.
-#![allow(clippy::print_stdout, reason = "printing is what it is for")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 use std::{
     collections::BTreeMap,
@@ -20,41 +20,41 @@
 use wardtiller::{
     local_system::{LocalSystem, LocalSystemOptions},
     sizing::{
-        ControlLimits, ControlPlan, PlannedSize, Slopes, control_costs, render_costs, spread_hops,
-        store_load,
+        ControlLimits, ControlPlan, PlannedSize, UnitCosts, broadcast_hops, control_costs,
+        render_costs, store_load,
     },
 };
 
 fn main() -> eyre::Result<()> {
-    println!("## Decisions\n");
-    let owners_cpu_ns_per_member = measure_decisions();
+    println!("## Routing and ownership\n");
+    let owners_cpu_ns_per_member = measure_routing_and_ownership();
     println!("\n## State\n");
     let member_bytes = measure_members();
-    let check = measure_configuration();
+    let configuration_costs = measure_configuration();
     println!("\n## A running daemon\n");
-    let duties = measure_duties()?;
+    let control = measure_control_work()?;
     measure_callers()?;
-    measure_spread()?;
-    let slopes = Slopes {
+    measure_change_propagation()?;
+    let unit_costs = UnitCosts {
         status_bytes: status_bytes(),
-        status_cpu_us: duties.status_cpu_us,
+        status_cpu_us: control.status_cpu_us,
         gossip_bytes: gossip_bytes(0),
         gossip_bytes_per_group: gossip_bytes(1) - gossip_bytes(0),
-        gossip_cpu_us: duties.gossip_cpu_us,
+        gossip_cpu_us: control.gossip_cpu_us,
         member_bytes,
-        configured_group_bytes: check.bytes_per_group,
-        owned_group_bytes: duties.owned_group_bytes,
-        group_text_bytes: check.text_per_group,
-        change_cpu_us_per_group: check.cpu_us_per_group,
+        configured_group_bytes: configuration_costs.bytes_per_group,
+        owned_group_bytes: control.owned_group_bytes,
+        group_text_bytes: configuration_costs.text_per_group,
+        change_cpu_us_per_group: configuration_costs.cpu_us_per_group,
         owners_cpu_ns_per_member,
     };
-    println!("\nslopes: {slopes:#?}");
-    print_plans(&slopes);
+    println!("\nunit costs: {unit_costs:#?}");
+    print_plans(&unit_costs);
     Ok(())
 }
 
-fn print_plans(slopes: &Slopes) {
-    let today = ControlPlan {
+fn print_plans(unit_costs: &UnitCosts) {
+    let default_plan = ControlPlan {
         name: "the defaults",
         owners: 8.0,
         heartbeat_s: 0.25,
@@ -62,7 +62,7 @@
         watchers_per_zone: 2.0,
         host_list_s: 1.0,
     };
-    let fleet = ControlPlan {
+    let fleet_plan = ControlPlan {
         name: "the fleet's settings",
         owners: 3.0,
         heartbeat_s: 2.0,
@@ -71,16 +71,16 @@
         host_list_s: 5.0,
     };
     let size = PlannedSize::default();
-    for plan in [today, fleet] {
+    for plan in [default_plan, fleet_plan] {
         println!("\n### Control on one daemon, with {}\n", plan.name);
-        let costs = control_costs(&size, &plan, slopes);
+        let costs = control_costs(&size, &plan, unit_costs);
         println!("{}", render_costs(&costs, &ControlLimits::default()));
         println!("{:#?}", store_load(&size, &plan));
     }
-    println!("hops of news at fan-out 3: {}", spread_hops(size.daemons, 3.0));
+    println!("broadcast hops at fan-out 3: {}", broadcast_hops(size.daemons, 3.0));
 }
 
-/// Returns the time of one call in nanoseconds, over enough calls to be steady.
+/// Returns the average time of one call in nanoseconds, over at least 200 ms of calls.
 fn time_ns(mut call: impl FnMut()) -> f64 {
     let mut calls = 1_u32;
     loop {
@@ -106,7 +106,7 @@
     (0..count).map(member).collect()
 }
 
-fn measure_decisions() -> f64 {
+fn measure_routing_and_ownership() -> f64 {
     let candidate = |server: u16| Candidate {
         server: ServerId(server),
         usable: true,
@@ -122,23 +122,23 @@
         let mut turn = 0;
         let ns = time_ns(|| {
             turn += 1;
-            let question = ReadCriteria {
+            let criteria = ReadCriteria {
                 point: LogPoint::new(1, 50),
                 has_written: true,
                 policy: ReadPolicy::Cost,
                 sequence: turn,
                 avoid: None,
             };
-            black_box(route_read(&question, black_box(&candidates)));
+            black_box(route_read(&criteria, black_box(&candidates)));
         });
         println!("route a read among {servers} servers: {ns:.0} ns");
     }
     let group = GroupId::new("orders-db", "north");
     let mut per_member = 0.0;
     for count in [40, 400, 4_000] {
-        let listed = members(count);
+        let member_list = members(count);
         let ns = time_ns(|| {
-            black_box(select_owners(&group, black_box(&listed), 3));
+            black_box(select_owners(&group, black_box(&member_list), 3));
         });
         per_member = ns / count as f64;
         println!("owners of a group among {count} daemons: {:.1} us", ns / 1e3);
@@ -146,7 +146,7 @@
     per_member
 }
 
-/// Returns the memory that the process has resident, in bytes.
+/// Returns the resident memory of the process, in bytes.
 fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 =
@@ -154,7 +154,7 @@
     pages * 4_096.0
 }
 
-struct CheckSlopes {
+struct ConfigurationUnitCosts {
     bytes_per_group: f64,
     text_per_group: f64,
     cpu_us_per_group: f64,
@@ -181,9 +181,9 @@
     text
 }
 
-fn measure_configuration() -> CheckSlopes {
-    let mut slopes =
-        CheckSlopes { bytes_per_group: 0.0, text_per_group: 0.0, cpu_us_per_group: 0.0 };
+fn measure_configuration() -> ConfigurationUnitCosts {
+    let mut unit_costs =
+        ConfigurationUnitCosts { bytes_per_group: 0.0, text_per_group: 0.0, cpu_us_per_group: 0.0 };
     for groups in [220, 2_200, 22_000] {
         let text = configuration_text(groups);
         let before = resident_bytes();
@@ -195,17 +195,17 @@
         let largest = chunks.iter().map(|chunk| chunk.text.len()).max().unwrap_or(0);
         let parts: Vec<ConfigurationPart> =
             chunks.iter().map(|chunk| read_part(&chunk.text).expect("no mistakes")).collect();
-        // A change means to read the one chunk that changed and to join it with the others.
+        // Applying a change parses the changed chunk and joins it with the others.
         let change_us = time_ns(|| {
             let changed = read_part(&chunks[0].text).expect("no mistakes");
             black_box(Configuration::join(parts.iter().skip(1).chain([&changed])));
         }) / 1e3;
-        slopes.bytes_per_group = bytes / groups as f64;
-        slopes.text_per_group = text.len() as f64 / groups as f64;
-        slopes.cpu_us_per_group = change_us / groups as f64;
+        unit_costs.bytes_per_group = bytes / groups as f64;
+        unit_costs.text_per_group = text.len() as f64 / groups as f64;
+        unit_costs.cpu_us_per_group = change_us / groups as f64;
         println!(
             "{groups} groups: {:.1} MB of text in {} chunks of at most {largest} bytes, checked in \
-             {:.1} ms, a change taken over in {:.1} ms, {:.1} MB in memory",
+             {:.1} ms, a change applied in {:.1} ms, {:.1} MB in memory",
             text.len() as f64 / 1e6,
             chunks.len(),
             elapsed.as_secs_f64() * 1e3,
@@ -214,21 +214,21 @@
         );
         black_box(configuration);
     }
-    slopes
+    unit_costs
 }
 
 fn measure_members() -> f64 {
     let before = resident_bytes();
-    let listed: Vec<Vec<Member>> = (0..50).map(|_| members(4_000)).collect();
+    let member_list: Vec<Vec<Member>> = (0..50).map(|_| members(4_000)).collect();
     let per_member = (resident_bytes() - before) / (50.0 * 4_000.0);
     println!("a daemon in the member list: {per_member:.0} bytes");
-    black_box(listed);
+    black_box(member_list);
     per_member
 }
 
-/// The bytes of a status question and its answer, with TCP and IP headers.
+/// Returns the bytes of a status request and its response, with TCP and IP headers.
 fn status_bytes() -> f64 {
-    const HEADERS: usize = 40;
+    const HEADER_BYTES: usize = 40;
     let status = model::ServerStatus {
         promised_term: model::Term(12),
         log_term: model::Term(12),
@@ -245,18 +245,18 @@
         ],
     };
     let json = serde_json::to_string(&status).expect("a status is plain data").len();
-    let question = 5 + "SELECT wardtiller_status()".len() + 1;
+    let request = 5 + "SELECT wardtiller_status()".len() + 1;
     let description = 7 + "wardtiller".len() + 1 + 18;
-    let answer = description + 11 + json + 14 + 6;
-    // A question, an answer, and an acknowledgement of each.
-    let bytes = question + answer + 4 * HEADERS;
-    println!("a status question and its answer: {bytes} bytes, {json} of them the status");
+    let response = description + 11 + json + 14 + 6;
+    // A request, a response, and a TCP acknowledgement of each.
+    let bytes = request + response + 4 * HEADER_BYTES;
+    println!("a status request and its response: {bytes} bytes, {json} of them the status");
     bytes as f64
 }
 
-/// The bytes of one note between daemons, with its frame and headers.
+/// Returns the bytes of one gossip message with its frame and headers.
 fn gossip_bytes(groups: usize) -> f64 {
-    const HEADERS: usize = 80;
+    const HEADER_BYTES: usize = 80;
     let demand = GroupDemand {
         service: "orders-db".to_owned(),
         group: "north".to_owned(),
@@ -270,10 +270,10 @@
         demands: vec![demand; groups],
     };
     let envelope = Envelope { request_id: 100_000, body: Some(Body::Gossip(note)) };
-    (envelope.encoded_len() + 4 + HEADERS) as f64
+    (envelope.encoded_len() + 4 + HEADER_BYTES) as f64
 }
 
-/// Returns the processor time of each thread name, in seconds.
+/// Returns the CPU time by thread name, in seconds.
 fn thread_seconds() -> BTreeMap<String, f64> {
     const TICKS_PER_SECOND: f64 = 100.0;
     let mut seconds = BTreeMap::new();
@@ -290,56 +290,59 @@
     seconds
 }
 
-struct DutySlopes {
+struct ControlUnitCosts {
     status_cpu_us: f64,
     gossip_cpu_us: f64,
     owned_group_bytes: f64,
 }
 
-/// Groups and daemons of the system whose duties are timed.
-const TIMED_GROUPS: usize = 24;
-const TIMED_DAEMONS: usize = 3;
-const TIMED: Duration = Duration::from_secs(10);
+/// The number of groups in the measured system.
+const MEASURED_GROUPS: usize = 24;
+/// The number of daemons in the measured system.
+const MEASURED_DAEMONS: usize = 3;
+/// The duration of the measurement.
+const MEASURED_PERIOD: Duration = Duration::from_secs(10);
 
-fn measure_duties() -> eyre::Result<DutySlopes> {
-    let text = configuration_text(TIMED_GROUPS) + "[failover]\nheartbeat_ms = 50\n";
+fn measure_control_work() -> eyre::Result<ControlUnitCosts> {
+    let text = configuration_text(MEASURED_GROUPS) + "[failover]\nheartbeat_ms = 50\n";
     let options = LocalSystemOptions::default()
-        .daemons(TIMED_DAEMONS)
+        .daemons(MEASURED_DAEMONS)
         .adjust(|settings| settings.control.gossip_ms = 20);
     let before_bytes = resident_bytes();
     let system = LocalSystem::start(&text, &options)?;
-    let grown = resident_bytes() - before_bytes;
+    let grown_bytes = resident_bytes() - before_bytes;
     let before = thread_seconds();
-    std::thread::sleep(TIMED);
+    std::thread::sleep(MEASURED_PERIOD);
     let after = thread_seconds();
-    let spent = |name: &str| {
+    let cpu_seconds = |name: &str| {
         after.get(name).copied().unwrap_or(0.0) - before.get(name).copied().unwrap_or(0.0)
     };
-    let asks = (TIMED_DAEMONS * TIMED_GROUPS * 3) as f64 * TIMED.as_secs_f64() / 0.05;
-    let exchanges = TIMED_DAEMONS as f64 * TIMED.as_secs_f64() / 0.02 * 2.0;
-    let slopes = DutySlopes {
-        status_cpu_us: spent("watch") * 1e6 / asks,
-        gossip_cpu_us: spent("control") * 1e6 / exchanges,
-        // The stand-ins' memory is in it too, so this is an upper bound.
-        owned_group_bytes: grown / (TIMED_DAEMONS * TIMED_GROUPS) as f64,
+    let status_requests =
+        (MEASURED_DAEMONS * MEASURED_GROUPS * 3) as f64 * MEASURED_PERIOD.as_secs_f64() / 0.05;
+    let exchanges = MEASURED_DAEMONS as f64 * MEASURED_PERIOD.as_secs_f64() / 0.02 * 2.0;
+    let unit_costs = ControlUnitCosts {
+        status_cpu_us: cpu_seconds("watch") * 1e6 / status_requests,
+        gossip_cpu_us: cpu_seconds("control") * 1e6 / exchanges,
+        // An upper bound, since it includes the memory of the stand-ins.
+        owned_group_bytes: grown_bytes / (MEASURED_DAEMONS * MEASURED_GROUPS) as f64,
     };
     println!(
-        "{TIMED_DAEMONS} daemons, {TIMED_GROUPS} groups of 3 servers each, {} s: watch threads \
-         {:.2} s for {asks:.0} status questions, control threads {:.2} s for {exchanges:.0} notes",
-        TIMED.as_secs(),
-        spent("watch"),
-        spent("control"),
+        "{MEASURED_DAEMONS} daemons, {MEASURED_GROUPS} groups of 3 servers each, {} s: watch threads \
+         {:.2} s for {status_requests:.0} status requests, control threads {:.2} s for {exchanges:.0} gossip exchanges",
+        MEASURED_PERIOD.as_secs(),
+        cpu_seconds("watch"),
+        cpu_seconds("control"),
     );
     println!(
-        "memory of an owned group, its stand-in servers included: at most {:.0} KB",
-        slopes.owned_group_bytes / 1e3
+        "memory of an owned group, including its stand-in servers: at most {:.0} KB",
+        unit_costs.owned_group_bytes / 1e3
     );
     system.stop();
-    Ok(slopes)
+    Ok(unit_costs)
 }
 
-/// Applies changes and waits until each is in force on every daemon.
-fn measure_spread() -> eyre::Result<()> {
+/// Measures the time from accepting a change until it is in force on every daemon.
+fn measure_change_propagation() -> eyre::Result<()> {
     const CHANGES: u64 = 10;
     for daemons in [4, 8, 16] {
         let options = LocalSystemOptions::default()
@@ -349,8 +352,8 @@
         let mut longest = Duration::ZERO;
         let mut total = Duration::ZERO;
         for change in 1..=CHANGES {
-            let wanted = format!("staleness_ms = {}", 5_000 + change);
-            let text = system.configuration_text.replace("staleness_ms = 5000", &wanted);
+            let staleness = format!("staleness_ms = {}", 5_000 + change);
+            let text = system.configuration_text.replace("staleness_ms = 5000", &staleness);
             let revision = system.apply(&text, None)?;
             let accepted = Instant::now();
             let behind = |system: &LocalSystem| {
@@ -373,7 +376,7 @@
     Ok(())
 }
 
-/// Connects idle callers, which cost this process nothing on their own side, and watches memory.
+/// Measures the memory per idle caller. The callers are bare sockets, so that they use no memory of this process.
 fn measure_callers() -> eyre::Result<()> {
     const CALLERS: usize = 4_000;
     let system =
@@ -389,14 +392,14 @@
     let elapsed = began.elapsed().as_secs_f64();
     let per_caller = (resident_bytes() - before) / (CALLERS - 1) as f64;
     println!(
-        "{CALLERS} idle callers of one daemon: {:.1} KB each, {:.0} log-ins/s one after the other",
+        "{CALLERS} idle callers of one daemon: {:.1} KB each, {:.0} sequential logins/s",
         per_caller / 1e3,
         (CALLERS - 1) as f64 / elapsed
     );
     Ok(())
 }
 
-/// Logs in and reads until the daemon is ready for a request.
+/// Logs in and reads until the daemon accepts requests.
 fn open_idle(address: SocketAddr) -> eyre::Result<TcpStream> {
     let mut body = Vec::new();
     body.extend_from_slice(&196_608_u32.to_be_bytes());
@@ -407,7 +410,7 @@
     let mut answer = [0; 1_024];
     loop {
         let length = socket.read(&mut answer)?;
-        // `ReadyForQuery` is the last message, five bytes behind its letter.
+        // `ReadyForQuery` is the last message: its type byte and five bytes.
         if length == 0 || answer[..length].ends_with(&[b'Z', 0, 0, 0, 5, b'I']) {
             return Ok(socket);
         }
--- a/crates/wardtiller/src/sizing.rs
+++ b/crates/wardtiller/src/sizing.rs
@@ -1,30 +1,29 @@
-//! The sums of `docs/CAPACITY.md`: from measured slopes to the planned size.
+//! The capacity model of `docs/CAPACITY.md`: projects measured unit costs to a planned size.
 //!
-//! The slopes are measured by `examples/sizing.rs`; here is only arithmetic, so that a reader can
-//! redo it and a test can check it.
+//! `examples/sizing.rs` measures the unit costs. This module only does the arithmetic.
 
 use std::fmt::Write;
 
-/// What the design has to carry.
+/// The size of a planned installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedSize {
-    /// Daemons.
+    /// The number of daemons.
     pub daemons: f64,
-    /// Database groups.
+    /// The number of database groups.
     pub groups: f64,
-    /// Servers of a group.
+    /// Servers per group.
     pub servers_per_group: f64,
-    /// Client connections.
+    /// The number of client connections.
     pub callers: f64,
-    /// Statements each second.
+    /// Statements per second.
     pub statements_per_s: f64,
-    /// Regions.
+    /// The number of regions.
     pub regions: f64,
-    /// Availability zones.
+    /// The number of availability zones.
     pub zones: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// Daemons restarted or replaced a day.
+    /// Daemons restarted or replaced per day.
     pub restarts_per_day: f64,
 }
 
@@ -44,58 +43,58 @@
     }
 }
 
-/// The settings that decide how much control costs.
+/// The settings that determine the cost of the control work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControlPlan {
-    /// The name of the plan.
+    /// The name in the report.
     pub name: &'static str,
-    /// Owners of a group.
+    /// Owners per group.
     pub owners: f64,
-    /// Seconds between two questions for a server's status.
+    /// The interval between two status requests to a server, in seconds.
     pub heartbeat_s: f64,
-    /// Seconds between two exchanges of notes.
+    /// The interval between two gossip exchanges, in seconds.
     pub gossip_s: f64,
-    /// Daemons of each zone that watch the store.
+    /// Daemons per zone that watch the store.
     pub watchers_per_zone: f64,
-    /// Seconds between two reads of the host list by a watcher.
+    /// The interval between two reads of the host list by a watcher, in seconds.
     pub host_list_s: f64,
 }
 
-/// What was measured.
+/// Measured unit costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Slopes {
-    /// Bytes of a status question and its answer, both ways.
+pub struct UnitCosts {
+    /// Bytes of a status request and its response together.
     pub status_bytes: f64,
-    /// Processor time of a status question on the watch thread, in microseconds.
+    /// CPU time of a status request on the watch thread, in microseconds.
     pub status_cpu_us: f64,
-    /// Bytes of an exchange of notes without demands.
+    /// Bytes of a gossip message without demands.
     pub gossip_bytes: f64,
-    /// Bytes that each shared group adds to a note.
+    /// Bytes that each shared group adds to a gossip message.
     pub gossip_bytes_per_group: f64,
-    /// Processor time of an exchange of notes, in microseconds.
+    /// CPU time of a gossip exchange, in microseconds.
     pub gossip_cpu_us: f64,
-    /// Bytes of a daemon in the member list.
+    /// Memory of a daemon in the member list, in bytes.
     pub member_bytes: f64,
-    /// Bytes of a group and its servers in the configuration in force.
+    /// Memory of a group and its servers in the configuration in force, in bytes.
     pub configured_group_bytes: f64,
-    /// Bytes of the state of a group that is owned, without its connections.
+    /// Memory of the state of an owned group without its connections, in bytes.
     pub owned_group_bytes: f64,
-    /// Bytes of a group in the configuration's text.
+    /// Bytes of a group in the text of the configuration.
     pub group_text_bytes: f64,
-    /// Processor time to take a change over, in microseconds for each configured group.
+    /// CPU time to apply a configuration change, in microseconds per configured group.
     pub change_cpu_us_per_group: f64,
-    /// Processor time to choose the owners of a group, in nanoseconds for each member.
+    /// CPU time to select the owners of a group, in nanoseconds per member.
     pub owners_cpu_ns_per_member: f64,
 }
 
-/// The limits for control on one daemon.
+/// The resource limits for the control work of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControlLimits {
     /// Processor time, as a share of a core.
     pub core_share: f64,
     /// Memory in bytes.
     pub memory_bytes: f64,
-    /// Bytes each second.
+    /// Bytes per second.
     pub bytes_per_s: f64,
 }
 
@@ -105,14 +104,14 @@
     }
 }
 
-/// What one role costs one daemon.
+/// The cost of one role on one daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleCost {
     /// The role.
     pub role: &'static str,
-    /// Messages each second, in and out.
+    /// Messages per second, in and out.
     pub messages_per_s: f64,
-    /// Bytes each second, in and out.
+    /// Bytes per second, in and out.
     pub bytes_per_s: f64,
     /// Processor time, as a share of a core.
     pub core_share: f64,
@@ -122,112 +121,118 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Works out what control costs one daemon, by role.
-pub fn control_costs(size: &PlannedSize, plan: &ControlPlan, slopes: &Slopes) -> Vec<RoleCost> {
+/// Computes the cost of the control work on one daemon, by role.
+pub fn control_costs(
+    size: &PlannedSize,
+    plan: &ControlPlan,
+    unit_costs: &UnitCosts,
+) -> Vec<RoleCost> {
     let owned = size.groups * plan.owners / size.daemons;
-    let asks_per_s = owned * size.servers_per_group / plan.heartbeat_s;
-    // Each exchange is answered, and each daemon is asked as often as it asks.
+    let status_requests_per_s = owned * size.servers_per_group / plan.heartbeat_s;
+    // Each daemon receives as many gossip exchanges as it starts.
     let exchanges_per_s = 2.0 / plan.gossip_s;
     let shared_groups = owned * (plan.owners - 1.0) / (size.daemons / size.regions);
-    let note_bytes = slopes.gossip_bytes + shared_groups * slopes.gossip_bytes_per_group;
-    let change_bytes = changed_chunk_bytes(size, slopes);
+    let message_bytes = unit_costs.gossip_bytes + shared_groups * unit_costs.gossip_bytes_per_group;
+    let change_bytes = changed_chunk_bytes(size, unit_costs);
     let changes_per_s = size.changes_per_day / SECONDS_PER_DAY;
-    let head_bytes = chunks(size, slopes) * CHUNK_NAME_BYTES;
+    let head_bytes = chunks(size, unit_costs) * CHUNK_NAME_BYTES;
     let regional_groups = size.groups / size.regions;
     let members_change_per_s = 2.0 * size.restarts_per_day / size.regions / SECONDS_PER_DAY;
     let regional_members = size.daemons / size.regions;
     vec![
         RoleCost {
             role: "owner of groups",
-            messages_per_s: 2.0 * asks_per_s,
-            bytes_per_s: asks_per_s * slopes.status_bytes,
-            core_share: asks_per_s * slopes.status_cpu_us / 1e6,
-            memory_bytes: owned * slopes.owned_group_bytes,
+            messages_per_s: 2.0 * status_requests_per_s,
+            bytes_per_s: status_requests_per_s * unit_costs.status_bytes,
+            core_share: status_requests_per_s * unit_costs.status_cpu_us / 1e6,
+            memory_bytes: owned * unit_costs.owned_group_bytes,
         },
         RoleCost {
             role: "gossip and member tracking",
             messages_per_s: 2.0 * exchanges_per_s,
-            bytes_per_s: exchanges_per_s * 2.0 * note_bytes,
-            core_share: exchanges_per_s * slopes.gossip_cpu_us / 1e6
+            bytes_per_s: exchanges_per_s * 2.0 * message_bytes,
+            core_share: exchanges_per_s * unit_costs.gossip_cpu_us / 1e6
                 + members_change_per_s
                     * regional_groups
                     * regional_members
-                    * slopes.owners_cpu_ns_per_member
+                    * unit_costs.owners_cpu_ns_per_member
                     / 1e9,
-            memory_bytes: size.daemons * slopes.member_bytes,
+            memory_bytes: size.daemons * unit_costs.member_bytes,
         },
         RoleCost {
             role: "configuration",
             messages_per_s: 4.0 * changes_per_s,
             bytes_per_s: changes_per_s * (change_bytes + head_bytes),
-            core_share: changes_per_s * size.groups * slopes.change_cpu_us_per_group / 1e6,
-            memory_bytes: size.groups * (slopes.configured_group_bytes + slopes.group_text_bytes),
+            core_share: changes_per_s * size.groups * unit_costs.change_cpu_us_per_group / 1e6,
+            memory_bytes: size.groups
+                * (unit_costs.configured_group_bytes + unit_costs.group_text_bytes),
         },
     ]
 }
 
-/// The size that the configuration's chunks are aimed at, in bytes.
+/// The target size of a configuration chunk, in bytes.
 const CHUNK_BYTES: f64 = 32.0 * 1024.0;
 
-/// Bytes of a chunk's name in the head: 32 digits, quotes and a comma.
+/// Bytes of a chunk name in the configuration head: 32 hexadecimal digits, quotes and a comma.
 const CHUNK_NAME_BYTES: f64 = 35.0;
 
-fn chunks(size: &PlannedSize, slopes: &Slopes) -> f64 {
-    let text = size.groups * slopes.group_text_bytes;
-    let wanted = (text / CHUNK_BYTES).max(1.0);
-    2_f64.powf(wanted.log2().ceil())
+fn chunks(size: &PlannedSize, unit_costs: &UnitCosts) -> f64 {
+    let text = size.groups * unit_costs.group_text_bytes;
+    let target_count = (text / CHUNK_BYTES).max(1.0);
+    2_f64.powf(target_count.log2().ceil())
 }
 
-fn changed_chunk_bytes(size: &PlannedSize, slopes: &Slopes) -> f64 {
-    size.groups * slopes.group_text_bytes / chunks(size, slopes)
+fn changed_chunk_bytes(size: &PlannedSize, unit_costs: &UnitCosts) -> f64 {
+    size.groups * unit_costs.group_text_bytes / chunks(size, unit_costs)
 }
 
-/// Calls that the store gets each second, and watches that wait.
+/// The load on the metadata store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLoad {
-    /// Watches that wait in the calm state.
-    pub waiting_watches: f64,
-    /// Reads each second in the calm state.
-    pub calm_reads_per_s: f64,
-    /// Reads that one change of the configuration causes.
+    /// Open watches while nothing changes.
+    pub open_watches: f64,
+    /// Reads per second while nothing changes.
+    pub steady_reads_per_s: f64,
+    /// Reads caused by one configuration change.
     pub reads_per_change: f64,
-    /// Reads each second averaged over a day of changes and restarts.
+    /// Reads per second, averaged over a day with its changes and restarts.
     pub daily_reads_per_s: f64,
-    /// Writes each second averaged over a day.
+    /// Writes per second, averaged over a day.
     pub daily_writes_per_s: f64,
-    /// Reads when every daemon of a zone starts at the same time.
+    /// Reads when all daemons of a zone start at the same time.
     pub zone_restart_reads: f64,
 }
 
-/// Works out the store's load. A watcher renews its watch every 30 s; a daemon that does not watch
-/// looks once a minute; a daemon that starts reads the head and the host list, and gets the chunks
-/// from another daemon.
+/// Computes the load on the store. A watcher renews its watch every 30 s, and any other daemon reads once a minute. A
+/// starting daemon reads the configuration head and the host list, and gets the chunks from another daemon.
 pub fn store_load(size: &PlannedSize, plan: &ControlPlan) -> StoreLoad {
     let watchers = size.zones * plan.watchers_per_zone;
     let others = size.daemons - watchers;
-    let calm = watchers / 30.0 + watchers / plan.host_list_s + others / 60.0;
-    // The head and the one chunk that changed.
+    let steady = watchers / 30.0 + watchers / plan.host_list_s + others / 60.0;
+    // The head and the changed chunk.
     let reads_per_change = watchers * 2.0;
     let changes_per_s = size.changes_per_day / SECONDS_PER_DAY;
-    let per_start = 2.0;
+    let reads_per_start = 2.0;
     let starts_per_s = size.restarts_per_day / SECONDS_PER_DAY;
     StoreLoad {
-        waiting_watches: watchers,
-        calm_reads_per_s: calm,
+        open_watches: watchers,
+        steady_reads_per_s: steady,
         reads_per_change,
-        daily_reads_per_s: calm + changes_per_s * reads_per_change + starts_per_s * per_start,
+        daily_reads_per_s: steady
+            + changes_per_s * reads_per_change
+            + starts_per_s * reads_per_start,
         daily_writes_per_s: changes_per_s * 3.0,
-        zone_restart_reads: size.daemons / size.zones * per_start,
+        zone_restart_reads: size.daemons / size.zones * reads_per_start,
     }
 }
 
-/// The hops that news needs to reach every daemon, when each daemon that hears it tells `fanout`
-/// others at once: the spread covers a share of the daemons, gossip the rest.
-pub fn spread_hops(daemons: f64, fanout: f64) -> f64 {
+/// Returns the number of hops until a broadcast reaches every daemon, when each daemon forwards it to `fanout` others.
+/// A broadcast can miss some daemons, which receive the update by gossip.
+pub fn broadcast_hops(daemons: f64, fanout: f64) -> f64 {
     (daemons.ln() / (fanout + 1.0).ln()).ceil()
 }
 
-/// Renders the costs as a table, each beside its limit.
+/// Formats the costs as a Markdown table with the limits below them.
 pub fn render_costs(costs: &[RoleCost], limits: &ControlLimits) -> String {
     let mut text = String::from(
         "| role | messages/s | KB/s | core | MB |\n| --- | ---: | ---: | ---: | ---: |\n",
--- a/crates/wardtiller/tests/sizing.rs
+++ b/crates/wardtiller/tests/sizing.rs
@@ -1,8 +1,8 @@
-//! The sums of the capacity page.
+//! Checks the arithmetic of the capacity model.
 
 use wardtiller::sizing::{
-    ControlLimits, ControlPlan, PlannedSize, Slopes, control_costs, render_costs, spread_hops,
-    store_load,
+    ControlLimits, ControlPlan, PlannedSize, UnitCosts, broadcast_hops, control_costs,
+    render_costs, store_load,
 };
 
 const PLAN: ControlPlan = ControlPlan {
@@ -14,7 +14,7 @@
     host_list_s: 5.0,
 };
 
-const SLOPES: Slopes = Slopes {
+const UNIT_COSTS: UnitCosts = UnitCosts {
     status_bytes: 500.0,
     status_cpu_us: 40.0,
     gossip_bytes: 100.0,
@@ -29,8 +29,8 @@
 };
 
 #[test]
-fn an_owner_asks_each_server_of_its_groups_once_a_heartbeat() {
-    let costs = control_costs(&PlannedSize::default(), &PLAN, &SLOPES);
+fn an_owner_requests_the_status_of_each_server_once_per_heartbeat() {
+    let costs = control_costs(&PlannedSize::default(), &PLAN, &UNIT_COSTS);
     // 22,000 groups × 3 owners / 4,000 daemons = 16.5 groups, 3 servers each, every 2 s.
     assert!((costs[0].messages_per_s - 49.5).abs() < 1e-9);
     assert!((costs[0].bytes_per_s - 24.75 * 500.0).abs() < 1e-9);
@@ -39,24 +39,24 @@
 }
 
 #[test]
-fn watches_follow_the_zones_and_not_the_fleet() {
+fn the_number_of_watches_depends_on_zones_and_not_on_daemons() {
     let size = PlannedSize::default();
     let doubled = PlannedSize { daemons: 2.0 * size.daemons, ..size };
     let (load, twice) = (store_load(&size, &PLAN), store_load(&doubled, &PLAN));
-    assert_eq!(load.waiting_watches, 64.0);
-    assert_eq!(twice.waiting_watches, 64.0);
+    assert_eq!(load.open_watches, 64.0);
+    assert_eq!(twice.open_watches, 64.0);
     assert_eq!(twice.reads_per_change, load.reads_per_change);
 }
 
 #[test]
-fn news_needs_few_hops() {
-    assert_eq!(spread_hops(4_000.0, 3.0), 6.0);
-    assert_eq!(spread_hops(8.0, 3.0), 2.0);
+fn the_number_of_broadcast_hops_is_logarithmic() {
+    assert_eq!(broadcast_hops(4_000.0, 3.0), 6.0);
+    assert_eq!(broadcast_hops(8.0, 3.0), 2.0);
 }
 
 #[test]
-fn the_table_sums_up_and_compares() {
-    let costs = control_costs(&PlannedSize::default(), &PLAN, &SLOPES);
+fn the_table_shows_the_total_and_the_limits() {
+    let costs = control_costs(&PlannedSize::default(), &PLAN, &UNIT_COSTS);
     let table = render_costs(&costs, &ControlLimits::default());
     assert!(table.contains("| limit | | 26.0 | 1.20 % | 128.0 |"), "{table}");
     assert!(table.contains("| all of control |"), "{table}");
