--- a/crates/wardtiller/tests/value_types.rs
+++ b/crates/wardtiller/tests/value_types.rs
@@ -1,7 +1,5 @@
-//! Values of every supported type through a daemon, in both formats, as drivers choose them.
-//!
-//! One driver sends small integers as two bytes, another one everything as text; the tests before used one driver's
-//! defaults, and the two bytes became text.
+//! Values of every supported type through a daemon, in the text and the binary format. Guards against decoding a binary
+//! parameter, such as a two-byte integer, as text.
 
 mod common;
 
@@ -14,7 +12,7 @@
     types::{FromSql, IsNull, ToSql, Type, to_sql_checked},
 };
 
-/// A value in the binary format as it is on the wire, whatever its type.
+/// The bytes of a value in the binary format, for any type.
 #[derive(Debug, PartialEq)]
 struct Raw(Vec<u8>);
 
@@ -41,15 +39,15 @@
     }
 }
 
-/// Writes a parameter as a type that the driver names, in the binary format.
-async fn write(client: &Client, id: i64, name: &Type, value: &(dyn ToSql + Sync)) {
+/// Inserts a value as a binary parameter of this type.
+async fn insert(client: &Client, id: i64, name: &Type, value: &(dyn ToSql + Sync)) {
     let sql = "INSERT INTO v (id, value) VALUES ($1, $2)";
     let statement = client.prepare_typed(sql, &[Type::INT8, name.clone()]).await.unwrap();
     client.execute(&statement, &[&id, value]).await.unwrap();
 }
 
-/// Returns a value as text, in the text format.
-async fn as_text(client: &Client, id: i64) -> Option<String> {
+/// Reads a value in the text format.
+async fn read_text(client: &Client, id: i64) -> Option<String> {
     let sql = format!("SELECT value FROM v WHERE id = {id}");
     let messages = client.simple_query(&sql).await.unwrap();
     let row = messages.into_iter().find_map(|message| match message {
@@ -59,71 +57,71 @@
     row.unwrap().get(0).map(str::to_owned)
 }
 
-async fn table(client: &Client, column: &str) {
+async fn create_table(client: &Client, column: &str) {
     client.batch_execute("DROP TABLE IF EXISTS v").await.unwrap();
     let sql = format!("CREATE TABLE v (id int PRIMARY KEY, value {column})");
     client.batch_execute(&sql).await.unwrap();
 }
 
 #[test]
-fn whole_numbers_of_every_size_are_the_number_that_was_sent() {
+fn integers_of_every_size_round_trip() {
     let system = small_system(1);
     block_on(async {
         let client = connect(system.caller_addresses()[0], "").await;
-        table(&client, "int").await;
-        write(&client, 1, &Type::INT2, &0_i16).await;
-        write(&client, 2, &Type::INT4, &-70_000_i32).await;
-        write(&client, 3, &Type::INT8, &i64::MAX).await;
-        write(&client, 4, &Type::INT2, &None::<i16>).await;
+        create_table(&client, "int").await;
+        insert(&client, 1, &Type::INT2, &0_i16).await;
+        insert(&client, 2, &Type::INT4, &-70_000_i32).await;
+        insert(&client, 3, &Type::INT8, &i64::MAX).await;
+        insert(&client, 4, &Type::INT2, &None::<i16>).await;
         let rows = client.query("SELECT id, value FROM v ORDER BY id", &[]).await.unwrap();
         let values: Vec<(i64, Option<i64>)> =
             rows.iter().map(|row| (row.get(0), row.get(1))).collect();
         let expected = [(1, Some(0)), (2, Some(-70_000)), (3, Some(i64::MAX)), (4, None)];
         assert_eq!(values, expected);
-        assert_eq!(as_text(&client, 2).await.as_deref(), Some("-70000"));
-        assert_eq!(as_text(&client, 4).await, None);
+        assert_eq!(read_text(&client, 2).await.as_deref(), Some("-70000"));
+        assert_eq!(read_text(&client, 4).await, None);
     });
 }
 
 #[test]
-fn other_types_come_back_as_they_were_in_both_formats() {
+fn other_types_round_trip_in_both_formats() {
     let system = small_system(1);
     block_on(async {
         let client = connect(system.caller_addresses()[0], "").await;
-        table(&client, "float8").await;
-        write(&client, 1, &Type::FLOAT4, &1.5_f32).await;
-        write(&client, 2, &Type::FLOAT8, &-0.25_f64).await;
+        create_table(&client, "float8").await;
+        insert(&client, 1, &Type::FLOAT4, &1.5_f32).await;
+        insert(&client, 2, &Type::FLOAT8, &-0.25_f64).await;
         let row = client.query_one("SELECT value FROM v WHERE id = 1", &[]).await.unwrap();
         assert_eq!(row.get::<_, f64>(0), 1.5);
-        assert_eq!(as_text(&client, 2).await.as_deref(), Some("-0.25"));
+        assert_eq!(read_text(&client, 2).await.as_deref(), Some("-0.25"));
 
-        table(&client, "text").await;
-        write(&client, 1, &Type::TEXT, &"0 ü '").await;
-        write(&client, 2, &Type::VARCHAR, &"17").await;
+        create_table(&client, "text").await;
+        insert(&client, 1, &Type::TEXT, &"0 ü '").await;
+        insert(&client, 2, &Type::VARCHAR, &"17").await;
         let row = client.query_one("SELECT value FROM v WHERE id = 1", &[]).await.unwrap();
         assert_eq!(row.get::<_, String>(0), "0 ü '");
-        assert_eq!(as_text(&client, 2).await.as_deref(), Some("17"));
+        assert_eq!(read_text(&client, 2).await.as_deref(), Some("17"));
 
-        table(&client, "bool").await;
-        write(&client, 1, &Type::BOOL, &true).await;
-        write(&client, 2, &Type::BOOL, &false).await;
+        create_table(&client, "bool").await;
+        insert(&client, 1, &Type::BOOL, &true).await;
+        insert(&client, 2, &Type::BOOL, &false).await;
         let rows = client.query("SELECT value FROM v ORDER BY id", &[]).await.unwrap();
         let values: Vec<bool> = rows.iter().map(|row| row.get(0)).collect();
         assert_eq!(values, [true, false]);
-        assert_eq!(as_text(&client, 1).await.as_deref(), Some("t"));
+        assert_eq!(read_text(&client, 1).await.as_deref(), Some("t"));
 
-        table(&client, "bytea").await;
+        create_table(&client, "bytea").await;
         let bytes = vec![0_u8, 1, 0x5c, 255];
-        write(&client, 1, &Type::BYTEA, &bytes).await;
+        insert(&client, 1, &Type::BYTEA, &bytes).await;
         let row = client.query_one("SELECT value FROM v WHERE id = 1", &[]).await.unwrap();
         assert_eq!(row.get::<_, Vec<u8>>(0), bytes);
-        assert_eq!(as_text(&client, 1).await.as_deref(), Some("\\x00015cff"));
+        assert_eq!(read_text(&client, 1).await.as_deref(), Some("\\x00015cff"));
     });
 }
 
-/// The bytes are PostgreSQL's own, written out by hand.
+/// The expected bytes follow the binary formats of PostgreSQL.
 #[test]
-fn types_that_no_number_holds_have_postgresql_s_bytes_and_text() {
+fn structured_types_have_the_same_bytes_and_text_as_in_postgresql() {
     let microseconds = |since_2000: i64| since_2000.to_be_bytes().to_vec();
     let numeric: [i16; 6] = [2, 0, 0, 2, 12, 5_000];
     let numeric = numeric.iter().flat_map(|part| part.to_be_bytes()).collect();
@@ -143,10 +141,10 @@
     block_on(async {
         let client = connect(system.caller_addresses()[0], "").await;
         for (column, name, bytes, text) in cases {
-            table(&client, column).await;
-            write(&client, 1, &name, &Raw(bytes.clone())).await;
-            assert_eq!(as_text(&client, 1).await.as_deref(), Some(text), "{column}");
-            // A literal is text, whatever the column.
+            create_table(&client, column).await;
+            insert(&client, 1, &name, &Raw(bytes.clone())).await;
+            assert_eq!(read_text(&client, 1).await.as_deref(), Some(text), "{column}");
+            // A literal is sent as text for every column type.
             let literal = format!("INSERT INTO v (id, value) VALUES (2, '{text}')");
             client.batch_execute(&literal).await.unwrap();
             let rows = client.query("SELECT value FROM v ORDER BY id", &[]).await.unwrap();
@@ -161,11 +159,11 @@
 }
 
 #[test]
-fn a_type_that_is_not_supported_is_refused_and_nothing_is_written() {
+fn an_unsupported_type_is_refused_and_nothing_is_written() {
     let system = small_system(1);
     block_on(async {
         let client = connect(system.caller_addresses()[0], "").await;
-        table(&client, "text").await;
+        create_table(&client, "text").await;
         let sql = "INSERT INTO v (id, value) VALUES ($1, $2)";
         let types = [Type::INT8, Type::INT4_ARRAY];
         let statement = client.prepare_typed(sql, &types).await.unwrap();
