--- a/crates/wardtiller/tests/callers.rs
+++ b/crates/wardtiller/tests/callers.rs
@@ -1,15 +1,18 @@
-//! What ordinary drivers rely on: log-in, pipelining, cancellation, errors, settings.
+//! Features that PostgreSQL drivers rely on: authentication, pipelining, cancellation, errors and settings.
 
 mod common;
 
-use common::{SMALL, block_on, column, connect, small_system, start, value};
+use common::{
+    SMALL_CONFIGURATION, block_on, connect, query_column, query_value, small_system, start,
+};
 use tokio_postgres::NoTls;
 use wardtiller::local_system::LocalSystemOptions;
 
 #[test]
-fn a_user_with_a_verifier_logs_in_by_password_only() {
+fn a_user_with_a_verifier_needs_its_password_to_log_in() {
     let verifier = wire::make_verifier("right horse");
-    let text = format!("{SMALL}\n[user desk]\nverifier = {verifier}\nservices = shop\n");
+    let text =
+        format!("{SMALL_CONFIGURATION}\n[user desk]\nverifier = {verifier}\nservices = shop\n");
     let system = start(&text, LocalSystemOptions::default().daemons(1));
     let address = system.caller_addresses()[0];
     block_on(async {
@@ -26,16 +29,16 @@
             })
         };
         let client = log_in("desk", "right horse").await.expect("the password is right");
-        assert_eq!(value(&client, "SELECT 1").await, "1");
+        assert_eq!(query_value(&client, "SELECT 1").await, "1");
         for (user, password) in [("desk", "wrong horse"), ("nobody", "right horse")] {
-            let Err(error) = log_in(user, password).await else { panic!("{user} is let in") };
+            let Err(error) = log_in(user, password).await else { panic!("{user} is logged in") };
             assert_eq!(error.code().map(|code| code.code()), Some("28P01"), "{user}");
         }
     });
 }
 
 #[test]
-fn unknown_names_are_refused_with_what_is_known() {
+fn errors_for_unknown_names_list_the_known_names() {
     let system = small_system(1);
     let address = system.caller_addresses()[0];
     block_on(async {
@@ -46,15 +49,15 @@
         };
         assert!(format!("{error:?}").contains("known here: shop"), "{error:?}");
         let client = connect(address, "").await;
-        let error = column(&client, "SET wardtiller.read_kind = 'mneu'").await.unwrap_err();
+        let error = query_column(&client, "SET wardtiller.read_kind = 'mneu'").await.unwrap_err();
         assert!(format!("{error:?}").contains("known: menu"), "{error:?}");
-        let error = column(&client, "SET wardtiller.session = 'nonsense'").await.unwrap_err();
+        let error = query_column(&client, "SET wardtiller.session = 'nonsense'").await.unwrap_err();
         assert_eq!(error.code().map(|code| code.code()), Some("22023"));
     });
 }
 
 #[test]
-fn pipelined_requests_get_their_own_answers() {
+fn pipelined_requests_get_their_own_responses() {
     let system = small_system(2);
     let address = system.caller_addresses()[1];
     block_on(async {
@@ -74,13 +77,13 @@
             }
         });
         futures::future::join_all(requests).await;
-        assert_eq!(value(&client, "SELECT count(*) FROM t").await, "67");
+        assert_eq!(query_value(&client, "SELECT count(*) FROM t").await, "67");
     });
 }
 
 #[test]
-fn a_running_statement_is_cancelled_here_and_at_another_owner() {
-    let text = SMALL.replace("connections = 12", "connections = 12\nowners = 1");
+fn a_running_statement_is_cancelled_on_a_local_and_on_a_remote_owner() {
+    let text = SMALL_CONFIGURATION.replace("connections = 12", "connections = 12\nowners = 1");
     let system = start(&text, LocalSystemOptions::default().daemons(2));
     for address in system.caller_addresses() {
         block_on(async {
@@ -89,8 +92,8 @@
             let running = client.simple_query("SELECT pg_sleep(600)");
             let cancelling = async {
                 loop {
-                    // The statement may not have reached its server yet; then nothing is cancelled.
-                    token.cancel_query(NoTls).await.expect("the request is taken");
+                    // The request has no effect until the statement has reached its server.
+                    token.cancel_query(NoTls).await.expect("the cancel request is accepted");
                     tokio::task::yield_now().await;
                 }
             };
@@ -106,37 +109,37 @@
 }
 
 #[test]
-fn an_error_ends_a_transaction_and_nothing_of_it_stays() {
+fn an_error_aborts_the_transaction_and_rolls_it_back() {
     let system = small_system(1);
     let address = system.caller_addresses()[0];
     block_on(async {
         let client = connect(address, "").await;
-        column(&client, "CREATE TABLE t (id INTEGER)").await.unwrap();
+        query_column(&client, "CREATE TABLE t (id INTEGER)").await.unwrap();
         for broken in ["SELECT * FROM nothing", "LISTEN a"] {
-            column(&client, "BEGIN").await.unwrap();
-            column(&client, "INSERT INTO t VALUES (1)").await.unwrap();
-            assert!(column(&client, broken).await.is_err());
-            let error = column(&client, "INSERT INTO t VALUES (2)").await.unwrap_err();
+            query_column(&client, "BEGIN").await.unwrap();
+            query_column(&client, "INSERT INTO t VALUES (1)").await.unwrap();
+            assert!(query_column(&client, broken).await.is_err());
+            let error = query_column(&client, "INSERT INTO t VALUES (2)").await.unwrap_err();
             assert_eq!(error.code().map(|code| code.code()), Some("25P02"), "{broken}");
-            column(&client, "COMMIT").await.expect("it ends, rolled back");
-            assert_eq!(value(&client, "SELECT count(*) FROM t").await, "0", "{broken}");
+            query_column(&client, "COMMIT").await.expect("the transaction ends and is rolled back");
+            assert_eq!(query_value(&client, "SELECT count(*) FROM t").await, "0", "{broken}");
         }
     });
 }
 
 #[test]
-fn nothing_of_one_caller_is_seen_by_another() {
-    let text = SMALL.replace("connections = 12", "connections = 4\nowners = 1");
+fn session_state_is_isolated_between_callers() {
+    let text = SMALL_CONFIGURATION.replace("connections = 12", "connections = 4\nowners = 1");
     let system = start(&text, LocalSystemOptions::default().daemons(1));
     let address = system.caller_addresses()[0];
     block_on(async {
         let first = connect(address, "").await;
         let second = connect(address, "").await;
-        column(&first, "SET search_path = 'mine'").await.unwrap();
+        query_column(&first, "SET search_path = 'mine'").await.unwrap();
         first.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
         let prepared = first.prepare("SELECT id FROM t").await.unwrap();
         assert!(first.query(&prepared, &[]).await.unwrap().is_empty());
-        assert!(column(&second, "SHOW wardtiller.session").await.unwrap()[0].eq("w1"));
+        assert!(query_column(&second, "SHOW wardtiller.session").await.unwrap()[0].eq("w1"));
         let error = second.simple_query("EXECUTE s").await.unwrap_err();
         assert_eq!(error.code().map(|code| code.code()), Some("0A000"));
     });
--- a/crates/wardtiller/tests/common/mod.rs
+++ b/crates/wardtiller/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of whole systems share.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Helpers for the tests that run a complete system.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::{
     net::SocketAddr,
@@ -9,8 +9,8 @@
 use tokio_postgres::{Client, NoTls};
 use wardtiller::local_system::{LocalSystem, LocalSystemOptions};
 
-/// A service with one group of three servers, small enough to follow.
-pub(crate) const SMALL: &str = "\
+/// A service with one group of three servers, and short failure detection timeouts.
+pub(crate) const SMALL_CONFIGURATION: &str = "\
 [service shop]
 request_deadline_ms = 8000
 acknowledge_timeout_ms = 4000
@@ -43,28 +43,28 @@
 takeover_after_ms = 500
 ";
 
-/// Starts the small system with a number of daemons.
+/// Starts a system with [`SMALL_CONFIGURATION`].
 pub(crate) fn small_system(daemons: usize) -> LocalSystem {
-    start(SMALL, LocalSystemOptions::default().daemons(daemons))
+    start(SMALL_CONFIGURATION, LocalSystemOptions::default().daemons(daemons))
 }
 
-/// Starts a system.
+/// Starts a system with short control intervals.
 pub(crate) fn start(text: &str, options: LocalSystemOptions) -> LocalSystem {
-    let quick = options.adjust(|settings| {
+    let options = options.adjust(|settings| {
         settings.control.gossip_ms = 50;
         settings.control.peer_timeout_ms = 500;
         settings.platform.host_list_ms = 50;
         settings.platform.watch_wait_ms = 2_000;
     });
-    LocalSystem::start(text, &quick).expect("the system starts")
+    LocalSystem::start(text, &options).expect("the system starts")
 }
 
-/// Connects a driver; `options` are further parameters such as `options='-c …'`.
+/// Connects to a daemon with additional parameters such as `options='-c …'`.
 pub(crate) async fn connect(address: SocketAddr, options: &str) -> Client {
-    try_connect(address, options).await.expect("the daemon takes the caller")
+    try_connect(address, options).await.expect("the daemon accepts the caller")
 }
 
-/// Connects a driver, or tells why not.
+/// Connects to a daemon and returns the error if that fails.
 pub(crate) async fn try_connect(
     address: SocketAddr,
     options: &str,
@@ -73,14 +73,14 @@
         format!("host={} port={} user=app dbname=shop {options}", address.ip(), address.port());
     let (client, connection) = tokio_postgres::connect(&parameters, NoTls).await?;
     tokio::spawn(async move {
-        // The end of the connection shows in the client's next call.
+        // The client's next call returns the connection's error.
         let _ = connection.await;
     });
     Ok(client)
 }
 
-/// Runs one simple query and returns its first column.
-pub(crate) async fn column(
+/// Runs a simple query and returns its first query_column.
+pub(crate) async fn query_column(
     client: &Client,
     sql: &str,
 ) -> Result<Vec<String>, tokio_postgres::Error> {
@@ -92,28 +92,29 @@
     Ok(rows.collect())
 }
 
-/// Returns the first column of a query's only row.
-pub(crate) async fn value(client: &Client, sql: &str) -> String {
-    let mut found = column(client, sql).await.unwrap_or_else(|error| panic!("{sql}: {error:?}"));
-    assert_eq!(found.len(), 1, "{sql}");
-    found.remove(0)
+/// Runs a simple query and returns the first query_column of its only row.
+pub(crate) async fn query_value(client: &Client, sql: &str) -> String {
+    let mut values =
+        query_column(client, sql).await.unwrap_or_else(|error| panic!("{sql}: {error:?}"));
+    assert_eq!(values.len(), 1, "{sql}");
+    values.remove(0)
 }
 
-/// Waits for a condition that must come true, however long that takes.
+/// Waits until a condition is true. Panics after a timeout that no working system reaches.
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let until = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !condition() {
-        assert!(Instant::now() < until, "never came true: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
 
-/// Runs a test on a runtime of its own, so that the system itself is never dropped inside one.
+/// Runs a future on a new runtime, so that the test drops the system outside of any runtime.
 pub(crate) fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("threads are at hand")
+        .expect("the runtime starts")
         .block_on(future)
 }
--- a/crates/wardtiller/tests/end_to_end.rs
+++ b/crates/wardtiller/tests/end_to_end.rs
@@ -1,8 +1,10 @@
-//! One request through every part: caller, daemon, owner, endpoint, and back.
+//! Requests through the complete path: caller, daemon, owner and endpoint.
 
 mod common;
 
-use common::{SMALL, block_on, column, connect, small_system, start, value};
+use common::{
+    SMALL_CONFIGURATION, block_on, connect, query_column, query_value, small_system, start,
+};
 use wardtiller::local_system::LocalSystemOptions;
 
 #[test]
@@ -11,17 +13,22 @@
     let addresses = system.caller_addresses();
     block_on(async {
         let first = connect(addresses[0], "").await;
-        column(&first, "CREATE TABLE orders (id INTEGER PRIMARY KEY, what TEXT)").await.unwrap();
-        column(&first, "INSERT INTO orders VALUES (1, 'soup')").await.unwrap();
-        let token = value(&first, "SHOW wardtiller.session").await;
+        query_column(&first, "CREATE TABLE orders (id INTEGER PRIMARY KEY, what TEXT)")
+            .await
+            .unwrap();
+        query_column(&first, "INSERT INTO orders VALUES (1, 'soup')").await.unwrap();
+        let token = query_value(&first, "SHOW wardtiller.session").await;
         assert!(token.starts_with("w1;one@1:"), "{token}");
 
         let options = format!("options='-c wardtiller.session={token}'");
         let with_token = connect(addresses[1], &options).await;
-        assert_eq!(value(&with_token, "SELECT what FROM orders WHERE id = 1").await, "soup");
+        assert_eq!(query_value(&with_token, "SELECT what FROM orders WHERE id = 1").await, "soup");
 
         let without_token = connect(addresses[1], "").await;
-        assert_eq!(value(&without_token, "SELECT what FROM orders WHERE id = 1").await, "soup");
+        assert_eq!(
+            query_value(&without_token, "SELECT what FROM orders WHERE id = 1").await,
+            "soup"
+        );
     });
 }
 
@@ -49,7 +56,7 @@
 }
 
 #[test]
-fn what_pooled_connections_cannot_carry_is_refused() {
+fn statements_that_pooled_connections_do_not_support_are_refused() {
     let system = small_system(1);
     let addresses = system.caller_addresses();
     block_on(async {
@@ -63,22 +70,22 @@
             "PREPARE p AS SELECT 1",
         ];
         for sql in refused {
-            let error = column(&client, sql).await.expect_err(sql);
+            let error = query_column(&client, sql).await.expect_err(sql);
             let code = error.code().map(|code| code.code().to_owned());
             assert_eq!(code.as_deref(), Some("0A000"), "{sql}");
         }
-        assert_eq!(value(&client, "SELECT 1").await, "1");
+        assert_eq!(query_value(&client, "SELECT 1").await, "1");
     });
 }
 
 #[test]
-fn more_daemons_than_connections_share_a_group() {
-    let text = SMALL.replace("connections = 12", "connections = 4");
+fn few_connections_limit_the_number_of_owners() {
+    let text = SMALL_CONFIGURATION.replace("connections = 12", "connections = 4");
     let system = start(&text, LocalSystemOptions::default().daemons(6));
     block_on(async {
         for address in system.caller_addresses() {
             let client = connect(address, "").await;
-            assert_eq!(value(&client, "SELECT 1").await, "1");
+            assert_eq!(query_value(&client, "SELECT 1").await, "1");
         }
     });
     let owning = system.daemons.iter().flatten();
--- a/crates/wardtiller/tests/failover.rs
+++ b/crates/wardtiller/tests/failover.rs
@@ -1,11 +1,12 @@
-//! Failures of servers, the store and daemons, through the whole system.
+//! Failures of servers, the store and daemons in a complete system.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    SMALL, block_on, column, connect, small_system, start, try_connect, value, wait_until,
+    SMALL_CONFIGURATION, block_on, connect, query_column, query_value, small_system, start,
+    try_connect, wait_until,
 };
 use model::ServerRole;
 use standin::ServerFaults;
@@ -14,21 +15,20 @@
 
 async fn make_table(system: &LocalSystem) {
     let client = connect(system.caller_addresses()[0], "").await;
-    column(&client, "CREATE TABLE orders (id INTEGER)").await.expect("the table is made");
+    query_column(&client, "CREATE TABLE orders (id INTEGER)").await.expect("the table is made");
 }
 
-/// Returns the verdict that an error carries, if the daemon sent it.
+/// Returns the verdict in an error from the daemon, or `None` for other errors.
 fn verdict(error: &tokio_postgres::Error) -> Option<String> {
     let detail = error.as_db_error()?.detail()?;
     let verdict = detail.split_whitespace().find_map(|part| part.strip_prefix("verdict="))?;
     Some(verdict.to_owned())
 }
 
-/// Writes a row, again and again while the daemon says that it did not run; returns whether it was
-/// acknowledged in the end.
-async fn write_until_known(client: &mut Client, system: &LocalSystem, id: u32) -> bool {
+/// Writes a row and retries while the verdict is "not run". Returns whether the write was acknowledged.
+async fn write_with_retries(client: &mut Client, system: &LocalSystem, id: u32) -> bool {
     loop {
-        match column(client, &format!("INSERT INTO orders VALUES ({id})")).await {
+        match query_column(client, &format!("INSERT INTO orders VALUES ({id})")).await {
             Ok(_) => return true,
             Err(error) => match verdict(&error).as_deref() {
                 Some("not_run") => {}
@@ -42,12 +42,12 @@
     }
 }
 
-/// Brings a fault about.
-type Break = fn(&mut ServerFaults);
+/// Sets a fault on a server.
+type InjectFault = fn(&mut ServerFaults);
 
 #[test]
 fn a_failed_primary_is_replaced_and_no_acknowledged_write_is_lost() {
-    let rows: [(&str, Break); 4] = [
+    let rows: [(&str, InjectFault); 4] = [
         ("crashed", |faults| faults.crashed = true),
         ("paused", |faults| faults.paused = true),
         ("cut off from all", |faults| {
@@ -65,30 +65,30 @@
             let mut client = connect(system.caller_addresses()[0], "").await;
             let mut acknowledged = Vec::new();
             for id in 0..20 {
-                if write_until_known(&mut client, &system, id).await {
+                if write_with_retries(&mut client, &system, id).await {
                     acknowledged.push(id.to_string());
                 }
             }
             assert_eq!(acknowledged.len(), 20, "{name}: writes before the fault");
             old.change_faults(fault);
             for id in 20..40 {
-                if write_until_known(&mut client, &system, id).await {
+                if write_with_retries(&mut client, &system, id).await {
                     acknowledged.push(id.to_string());
                 }
             }
             let kind = "SELECT count(*) FROM orders /* wardtiller.read_kind='menu' */";
-            value(&client, kind).await;
+            query_value(&client, kind).await;
             let leader = group.primary().expect("a new primary leads");
-            assert_ne!(leader.address(), old.address(), "{name}: somebody else leads");
+            assert_ne!(leader.address(), old.address(), "{name}: another server leads");
             let other = connect(system.caller_addresses()[1], "").await;
-            let found = column(&other, "SELECT id FROM orders ORDER BY id").await.unwrap();
+            let found = query_column(&other, "SELECT id FROM orders ORDER BY id").await.unwrap();
             for id in &acknowledged {
                 let times = found.iter().filter(|found| *found == id).count();
-                assert_eq!(times, 1, "{name}: write {id} stands once");
+                assert_eq!(times, 1, "{name}: write {id} exists once");
             }
         });
         old.change_faults(|faults| *faults = ServerFaults::default());
-        wait_until("the old primary follows", || {
+        wait_until("the old primary is a replica", || {
             let (old, new) = (old.status(), group.primary().map(|new| new.status()));
             old.role == ServerRole::Replica
                 && new.is_some_and(|new| new.held_position == old.held_position)
@@ -97,13 +97,13 @@
 }
 
 #[test]
-fn some_daemons_reach_an_old_primary_that_believes_it_leads() {
+fn a_partially_reachable_old_primary_loses_no_acknowledged_write() {
     let system = small_system(2);
     let group = system.group("shop", "one").unwrap();
     let old = group.primary().expect("a primary leads").clone();
     block_on(async {
         make_table(&system).await;
-        // The second daemon still reaches it, and its replicas do not.
+        // The second daemon still reaches the old primary; the replicas don't.
         old.change_faults(|faults| {
             faults.cut_from = vec!["entry-1".to_owned()];
             faults.cut_from_servers = true;
@@ -113,14 +113,14 @@
             let mut client = connect(address, "").await;
             for id in 0..10 {
                 let id = id + 100 * (index as u32 + 1);
-                if write_until_known(&mut client, &system, id).await {
+                if write_with_retries(&mut client, &system, id).await {
                     acknowledged.push(id.to_string());
                 }
             }
         }
         assert!(!acknowledged.is_empty());
         let client = connect(system.caller_addresses()[0], "").await;
-        let found = column(&client, "SELECT id FROM orders").await.unwrap();
+        let found = query_column(&client, "SELECT id FROM orders").await.unwrap();
         for id in &acknowledged {
             assert!(found.contains(id), "the acknowledged write {id} is on the new primary");
         }
@@ -131,8 +131,9 @@
 }
 
 #[test]
-fn nothing_is_promoted_without_the_store_and_the_present_primary_goes_on() {
-    let text = SMALL.replace("request_deadline_ms = 8000", "request_deadline_ms = 1500");
+fn without_the_store_no_replica_is_promoted_and_the_primary_keeps_serving() {
+    let text =
+        SMALL_CONFIGURATION.replace("request_deadline_ms = 8000", "request_deadline_ms = 1500");
     let system = start(&text, LocalSystemOptions::default().daemons(2));
     let group = system.group("shop", "one").unwrap();
     let old = group.primary().expect("a primary leads").clone();
@@ -140,14 +141,17 @@
     block_on(async {
         make_table(&system).await;
         let client = connect(system.caller_addresses()[0], "").await;
-        column(&client, "INSERT INTO orders VALUES (1)").await.expect("the primary goes on");
+        query_column(&client, "INSERT INTO orders VALUES (1)")
+            .await
+            .expect("the primary keeps serving");
         old.change_faults(|faults| faults.crashed = true);
-        // The first request may have been under way to the crashed server; the second is not.
-        let _ = column(&client, "INSERT INTO orders VALUES (2)").await;
-        let error = column(&client, "INSERT INTO orders VALUES (3)").await.expect_err("no primary");
+        // The first request may still be sent to the crashed server; the second one isn't.
+        let _ = query_column(&client, "INSERT INTO orders VALUES (2)").await;
+        let error =
+            query_column(&client, "INSERT INTO orders VALUES (3)").await.expect_err("no primary");
         assert_eq!(verdict(&error).as_deref(), Some("not_run"), "{error:?}");
         let kind = "SELECT count(*) FROM orders /* wardtiller.read_kind='menu' */";
-        value(&client, kind).await;
+        query_value(&client, kind).await;
     });
     assert!(group.servers.iter().all(|server| server.status().log_term.0 == 1));
     system.platform.change_faults(|faults| faults.down = false);
@@ -157,8 +161,8 @@
 }
 
 #[test]
-fn a_write_that_no_second_server_confirms_is_of_unknown_effect() {
-    let text = SMALL
+fn a_write_without_replica_confirmation_may_have_run() {
+    let text = SMALL_CONFIGURATION
         .replace("acknowledge_timeout_ms = 4000", "acknowledge_timeout_ms = 300")
         .replace("suspect_after_ms = 400", "suspect_after_ms = 60000");
     let system = start(&text, LocalSystemOptions::default().daemons(1));
@@ -170,15 +174,15 @@
         }
         let client = connect(system.caller_addresses()[0], "").await;
         let error =
-            column(&client, "INSERT INTO orders VALUES (1)").await.expect_err("no evidence");
+            query_column(&client, "INSERT INTO orders VALUES (1)").await.expect_err("no evidence");
         assert_eq!(verdict(&error).as_deref(), Some("may_have_run"), "{error:?}");
         assert_eq!(error.code().map(|code| code.code()), Some("08007"));
     });
 }
 
 #[test]
-fn a_session_is_told_that_its_write_did_not_survive() {
-    let text = SMALL.replace("[service shop]", "[service shop]\nacknowledge = term");
+fn a_session_gets_an_error_when_its_write_was_lost_in_a_failover() {
+    let text = SMALL_CONFIGURATION.replace("[service shop]", "[service shop]\nacknowledge = term");
     let system = start(&text, LocalSystemOptions::default().daemons(1));
     let group = system.group("shop", "one").unwrap();
     let old = group.primary().expect("a primary leads").clone();
@@ -188,21 +192,24 @@
             replica.set_receive_delay(Duration::from_secs(3_600));
         }
         let client = connect(system.caller_addresses()[0], "").await;
-        // Term evidence alone acknowledges what only the primary holds, as operators may choose.
-        column(&client, "INSERT INTO orders VALUES (1)").await.expect("term evidence is enough");
-        let token = value(&client, "SHOW wardtiller.session").await;
+        // With `acknowledge = term`, a write that only the primary holds is acknowledged.
+        query_column(&client, "INSERT INTO orders VALUES (1)")
+            .await
+            .expect("term evidence is enough");
+        let token = query_value(&client, "SHOW wardtiller.session").await;
         old.change_faults(|faults| faults.crashed = true);
         wait_until("a new primary leads", || {
             group.primary().is_some_and(|primary| primary.address() != old.address())
         });
         let options = format!("options='-c wardtiller.session={token}'");
         let reader = connect(system.caller_addresses()[0], &options).await;
-        let error = column(&reader, "SELECT id FROM orders").await.expect_err("the write is lost");
+        let error =
+            query_column(&reader, "SELECT id FROM orders").await.expect_err("the write is lost");
         assert_eq!(error.code().map(|code| code.code()), Some("72000"), "{error:?}");
         let detail = error.as_db_error().and_then(|error| error.detail()).unwrap_or_default();
         assert!(detail.contains("reason=write_lost"), "{detail}");
-        column(&reader, "SET wardtiller.session = ''").await.expect("the session begins anew");
-        column(&reader, "SELECT 1").await.expect("and can go on");
+        query_column(&reader, "SET wardtiller.session = ''").await.expect("the session is reset");
+        query_column(&reader, "SELECT 1").await.expect("the session works again");
     });
 }
 
@@ -213,15 +220,15 @@
     let client = block_on(async {
         make_table(&system).await;
         let client = connect(addresses[0], "").await;
-        column(&client, "BEGIN").await.unwrap();
-        column(&client, "INSERT INTO orders VALUES (7)").await.unwrap();
+        query_column(&client, "BEGIN").await.unwrap();
+        query_column(&client, "INSERT INTO orders VALUES (7)").await.unwrap();
         client
     });
     system.kill_daemon(0);
     block_on(async {
-        assert!(column(&client, "COMMIT").await.is_err(), "the commit is not acknowledged");
+        assert!(query_column(&client, "COMMIT").await.is_err(), "the commit is not acknowledged");
         let other = connect(addresses[1], "").await;
-        let found = value(&other, "SELECT count(*) FROM orders").await;
+        let found = query_value(&other, "SELECT count(*) FROM orders").await;
         assert_eq!(found, "0");
     });
 }
@@ -235,33 +242,33 @@
     let working = std::thread::spawn(move || {
         block_on(async {
             let client = connect(addresses[0], "").await;
-            column(&client, "BEGIN").await.unwrap();
+            query_column(&client, "BEGIN").await.unwrap();
             begun.send(()).unwrap();
             for id in 0..50 {
-                column(&client, &format!("INSERT INTO orders VALUES ({id})")).await.unwrap();
+                query_column(&client, &format!("INSERT INTO orders VALUES ({id})")).await.unwrap();
             }
-            column(&client, "COMMIT").await.unwrap();
+            query_column(&client, "COMMIT").await.unwrap();
         });
     });
     has_begun.recv().unwrap();
     assert!(system.stop_daemon(0), "the daemon finished in time");
-    working.join().expect("the transaction was not cut");
+    working.join().expect("the transaction completed");
     block_on(async {
         let addresses = system.caller_addresses();
         let client = connect(addresses[0], "").await;
-        assert_eq!(value(&client, "SELECT count(*) FROM orders").await, "50");
+        assert_eq!(query_value(&client, "SELECT count(*) FROM orders").await, "50");
     });
 }
 
 #[test]
-fn a_stopped_daemon_takes_no_callers() {
+fn a_stopped_daemon_accepts_no_callers() {
     let mut system = small_system(2);
     let addresses = system.caller_addresses();
     system.stop_daemon(0);
     block_on(async {
         assert!(try_connect(addresses[0], "").await.is_err());
         let client = connect(addresses[1], "").await;
-        assert_eq!(value(&client, "SELECT 1").await, "1");
+        assert_eq!(query_value(&client, "SELECT 1").await, "1");
     });
 }
 
@@ -277,11 +284,13 @@
         let client = connect(addresses[0], "").await;
         let mut id = 0;
         while group.primary().is_none_or(|primary| primary.address() == old.address()) {
-            column(&client, &format!("INSERT INTO orders VALUES ({id})")).await.expect("no error");
+            query_column(&client, &format!("INSERT INTO orders VALUES ({id})"))
+                .await
+                .expect("no error");
             id += 1;
         }
-        column(&client, "INSERT INTO orders VALUES (-1)").await.expect("no error afterwards");
-        let found = value(&client, "SELECT count(*) FROM orders").await;
+        query_column(&client, "INSERT INTO orders VALUES (-1)").await.expect("no error afterwards");
+        let found = query_value(&client, "SELECT count(*) FROM orders").await;
         assert_eq!(found, (id + 1).to_string());
     });
     wait_until("the leaving server gets no new work", || {
