--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -1,4 +1,4 @@
-//! Builds a job out of a caller's messages.
+//! Builds requests for endpoints from a caller's messages.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -12,23 +12,26 @@
     },
     simplequery::Query,
 };
-use wire::{Answer, Classified, Effect, Prepared, PreparedStatements, endpoint_statement_name};
+use wire::{
+    Classification, Effect, PreparedStatement, PreparedStatements, ResponseBuilder,
+    endpoint_statement_name,
+};
 
-/// What the statements of one request do together.
+/// The combined effects of a request's statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestEffects {
-    /// Some statement may change data.
+    /// A statement may change data.
     pub(crate) writes: bool,
-    /// A transaction that may change data is begun.
+    /// A transaction that may change data is started.
     pub(crate) begins_writing: bool,
-    /// Some statement ends a transaction and keeps its changes.
+    /// A statement ends a transaction and keeps its changes.
     pub(crate) commits: bool,
-    /// Some statement is executed at all.
+    /// A statement is executed.
     pub(crate) executes: bool,
 }
 
 impl RequestEffects {
-    fn add(&mut self, classified: &Classified) {
+    fn add(&mut self, classified: &Classification) {
         for effect in &classified.effects {
             self.executes = true;
             match effect {
@@ -46,7 +49,7 @@
     }
 }
 
-/// A request made of messages for an endpoint.
+/// A request in the form of messages for an endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
     pub(crate) steps: Vec<Step>,
@@ -54,13 +57,13 @@
     pub(crate) effects: RequestEffects,
     pub(crate) read_kind: Option<String>,
     pub(crate) traceparent: Option<String>,
-    /// What the daemon has to do itself, in order.
+    /// Effects that the daemon handles itself, in order.
     pub(crate) local: Vec<Effect>,
-    /// The error that the whole request is answered with, by SQLSTATE and message.
+    /// The error that answers the whole request.
     pub(crate) error: Option<RequestError>,
 }
 
-/// An error found before anything was sent.
+/// An error found before anything was sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestError {
     pub(crate) code: &'static str,
@@ -72,8 +75,8 @@
         RequestError { code, message: message.into() }
     }
 
-    /// Returns the error that a text is answered with before anything is sent, if any.
-    fn for_statement(classified: &Classified) -> Option<RequestError> {
+    /// Returns the error of a statement that can't be run, if any.
+    fn for_statement(classified: &Classification) -> Option<RequestError> {
         if let Some(message) = classified.invalid() {
             return Some(RequestError::new("42601", format!("wardtiller: {message}")));
         }
@@ -86,8 +89,8 @@
 }
 
 impl Request {
-    /// Builds a request out of a simple query.
-    pub(crate) fn simple(query: Query, classified: &Classified) -> Request {
+    /// Builds a request from a simple query.
+    pub(crate) fn simple(query: Query, classified: &Classification) -> Request {
         let mut request = Request::default();
         if let Some(error) = RequestError::for_statement(classified) {
             request.error = Some(error);
@@ -110,7 +113,6 @@
         self.steps.iter().all(|step| step.shape() == StepShape::Canned)
     }
 
-    /// Whether there is nothing to do.
     pub(crate) fn is_empty(&self) -> bool {
         self.steps.is_empty() && self.local.is_empty() && self.error.is_none()
     }
@@ -120,11 +122,11 @@
     }
 
     fn add_canned(&mut self, message: &PgWireBackendMessage) {
-        let message = Answer::default().with(message).finish();
+        let message = ResponseBuilder::default().with(message).finish();
         self.add_step(StepShape::Canned, message, 0);
     }
 
-    fn require_statement(&mut self, prepared: &Prepared) {
+    fn require_statement(&mut self, prepared: &PreparedStatement) {
         if self.statements.iter().all(|known| known.id != prepared.id) {
             self.statements.push(Statement { id: prepared.id, parse: prepared.parse.clone() });
         }
@@ -143,28 +145,27 @@
     }
 }
 
-/// The statements and portals that a caller has named.
+/// The prepared statements and portals of a session.
 #[derive(Debug, Default)]
 pub(crate) struct ExtendedState {
     pub(crate) prepared: PreparedStatements,
-    portals: HashMap<String, Arc<Prepared>>,
+    portals: HashMap<String, Arc<PreparedStatement>>,
 }
 
-/// Portals of one transaction beyond this number are refused.
+/// Limits the portals of one transaction.
 const MAX_PORTALS: usize = 1_024;
 
 impl ExtendedState {
-    /// Forgets the portals, which end with the transaction.
+    /// Drops the portals, which end with the transaction.
     pub(crate) fn end_transaction(&mut self) {
         self.portals.clear();
     }
 
-    /// Adds a `Parse`.
     pub(crate) fn parse(
         &mut self,
         request: &mut Request,
         parse: Parse,
-        classified: Arc<Classified>,
+        classified: Arc<Classification>,
         read_kind: Option<String>,
     ) {
         if let Some(error) = RequestError::for_statement(&classified) {
@@ -173,7 +174,7 @@
         }
         let name = parse.name.clone().unwrap_or_default();
         let local = classified.is_local();
-        let prepared = Arc::new(Prepared::new(parse, classified, read_kind));
+        let prepared = Arc::new(PreparedStatement::new(parse, classified, read_kind));
         if let Err(message) = self.prepared.insert(&name, prepared.clone()) {
             request.fail(RequestError::new("42P05", message));
             return;
@@ -186,7 +187,6 @@
         request.add_step(StepShape::Parse, prepared.parse.clone(), prepared.id);
     }
 
-    /// Adds a `Bind`.
     pub(crate) fn bind(&mut self, request: &mut Request, bind: Bind) {
         let name = bind.statement_name.clone().unwrap_or_default();
         let Some(prepared) = self.prepared.get(&name).cloned() else {
@@ -217,7 +217,6 @@
         }
     }
 
-    /// Adds a `Describe`.
     pub(crate) fn describe(&mut self, request: &mut Request, describe: Describe) {
         let name = describe.name.clone().unwrap_or_default();
         let is_statement = describe.target_type == b'S';
@@ -247,7 +246,6 @@
         }
     }
 
-    /// Adds an `Execute`.
     pub(crate) fn execute(&mut self, request: &mut Request, execute: &Execute) {
         let name = execute.name.clone().unwrap_or_default();
         let Some(prepared) = self.portals.get(&name).cloned() else {
@@ -257,7 +255,7 @@
         if prepared.classified.is_local() {
             for effect in &prepared.classified.effects {
                 request.local.push(effect.clone());
-                // The answer is put in when the effect is carried out.
+                // `run_local_statements` fills in the answer.
                 request.add_step(StepShape::Canned, Bytes::new(), 0);
             }
             return;
@@ -272,7 +270,6 @@
         }
     }
 
-    /// Adds a `Close`.
     pub(crate) fn close(&mut self, request: &mut Request, close: &Close) {
         let name = close.name.clone().unwrap_or_default();
         if close.target_type == b'S' {
@@ -293,7 +290,7 @@
 }
 
 impl Request {
-    fn add_local_description(&mut self, classified: &Classified, is_statement: bool) {
+    fn add_local_description(&mut self, classified: &Classification, is_statement: bool) {
         if is_statement {
             let types = pgwire::messages::data::ParameterDescription::new(Vec::new());
             self.add_canned(&PgWireBackendMessage::ParameterDescription(types));
@@ -304,7 +301,7 @@
         });
         match shown_setting {
             Some(name) => {
-                let (description, _) = wire::row_answer(name, "");
+                let (description, _) = wire::single_row_response(name, "");
                 self.add_step(StepShape::Canned, description, 0);
             }
             None => self.add_canned(&PgWireBackendMessage::NoData(NoData::new())),
