--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -1,7 +1,7 @@
 //! Runs one request of a session: selects the group, runs the job and records metrics.
 
 use bytes::Bytes;
-use config::{Placement, Service, UntrackedReads};
+use config::{PlacementRequest, Service, UntrackedReads};
 use model::{GroupId, Refusal, RefusalReason};
 use peer::{Job, Setting};
 use pgwire::messages::PgWireBackendMessage;
@@ -34,7 +34,7 @@
                 return Ok(AfterRequest::Continue);
             }
         };
-        let mut span = self.context.tracer.enter("caller", request.traceparent.as_deref());
+        let mut span = self.context.tracer.start_request("caller", request.traceparent.as_deref());
         let class = if request.effects.is_read_only() { "read" } else { "write" };
         let job = match self.job(request, &service, &group, span.as_ref()) {
             Ok(job) => job,
@@ -46,10 +46,10 @@
         let outcome = self.run_job(&group, &job).await?;
         self.record_metrics(class, &job, &outcome);
         if let Some(mut span) = span.take() {
-            span.set("wardtiller.group", group.to_string());
-            span.set("wardtiller.class", class);
+            span.set_attribute("wardtiller.group", group.to_string());
+            span.set_attribute("wardtiller.class", class);
             if let Err(refusal) = &outcome {
-                span.set("wardtiller.verdict", refusal.verdict.as_str());
+                span.set_attribute("wardtiller.verdict", refusal.verdict.as_str());
             }
             self.context.tracer.finish(span);
         }
@@ -60,7 +60,7 @@
     }
 
     fn select_group(&self, service: &Service) -> Result<GroupId, RequestError> {
-        let placement = Placement {
+        let placement = PlacementRequest {
             named: self.group_name.as_deref(),
             user: &self.user,
             application_name: self.settings.get("application_name").unwrap_or_default(),
--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: a session that roams between daemons.
+//! One caller: a session that reconnects to random daemons.
 
 use std::{
     net::SocketAddr,
@@ -14,52 +14,52 @@
 use tokio_postgres::{Client, Error, NoTls, SimpleQueryMessage};
 
 use super::{
-    ledger::{Ledger, Told, WriteId},
+    ledger::{Ledger, WriteId, WriteOutcome},
     mix::{Mix, Role},
     report::{Measurements, RequestClass},
 };
 
-/// Requests of a session on one connection before it may roam.
-const REQUESTS_BEFORE_ROAMING: u64 = 20;
+/// After each of so many requests, a session may reconnect to another daemon.
+const REQUESTS_BEFORE_RECONNECT: u64 = 20;
 
-/// One read in this many is asked which server served it.
-const SERVED_SAMPLE: u64 = 4;
+/// One of this many reads is followed by a query for the server that served it.
+const SERVED_BY_SAMPLE_INTERVAL: u64 = 4;
 
-/// A poller polls this often for each write.
-const POLLS_TO_A_WRITE: u64 = 50;
+/// The average number of a poller's requests for each write.
+const POLLS_PER_WRITE: u64 = 50;
 
-/// How long a caller waits after it could not connect, or was told to come later.
+/// The delay after a failed connection attempt or request.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What all callers of a run share.
-pub struct Shared {
-    /// Where daemons take callers.
+/// The parameters and results that all callers of a run share.
+pub struct LoadContext {
+    /// The caller addresses of the daemons.
     pub targets: Vec<SocketAddr>,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The groups.
+    /// The groups of the service.
     pub groups: Vec<String>,
     /// The user to log in as.
     pub user: String,
-    /// What callers do.
+    /// The mix of requests.
     pub mix: Mix,
-    /// When callers end.
-    pub until: Instant,
-    /// The time between the requests of one caller.
+    /// The end of the run.
+    pub deadline: Instant,
+    /// The delay between two requests of one caller.
     pub pace: Duration,
-    /// What callers were told.
+    /// The outcomes of the writes.
     pub ledger: Ledger,
-    /// What was measured.
+    /// The measurements.
     pub measurements: Measurements,
-    /// Own reads that were compared.
-    pub own_reads: AtomicU64,
-    /// Sessions that were told of a lost write.
-    pub lost_told: AtomicU64,
+    /// The number of own reads that were compared with the session's writes.
+    pub own_reads_checked: AtomicU64,
+    /// The number of sessions that got a `write_lost` error.
+    pub lost_writes_reported: AtomicU64,
 }
 
 /// One caller.
 pub struct Caller {
-    shared: Arc<Shared>,
+    shared: Arc<LoadContext>,
     number: usize,
     role: Role,
     group: String,
@@ -67,22 +67,22 @@
     client: Option<Client>,
     requests: u64,
     sequence: u64,
-    /// The highest of its writes that was acknowledged.
+    /// The sequence number of the last acknowledged write.
     acknowledged: u64,
-    /// Whether a write of unknown effect is newer than that.
+    /// Whether a write with an unknown effect is newer than `acknowledged`.
     uncertain: bool,
     token: String,
 }
 
-/// A request that was not answered well.
+/// A failed request.
 struct Failure {
     verdict: Verdict,
     reason: String,
 }
 
 impl Caller {
-    /// Makes the caller with a number; all its choices follow from the seed and the number.
-    pub fn new(shared: Arc<Shared>, number: usize, seed: u64) -> Caller {
+    /// Creates a caller. The seed and the number determine all its random choices.
+    pub fn new(shared: Arc<LoadContext>, number: usize, seed: u64) -> Caller {
         let role = shared.mix.role(number);
         let group = shared.groups[number % shared.groups.len()].clone();
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(number as u64));
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Runs until the end of the run.
+    /// Sends requests until the end of the run.
     pub async fn run(mut self) {
-        while Instant::now() < self.shared.until {
+        while Instant::now() < self.shared.deadline {
             if !self.is_connected() && !self.connect().await {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
@@ -115,7 +115,8 @@
                 Role::Updater => self.update().await,
             }
             self.requests += 1;
-            if self.requests.is_multiple_of(REQUESTS_BEFORE_ROAMING) && self.rng.random_bool(0.5) {
+            if self.requests.is_multiple_of(REQUESTS_BEFORE_RECONNECT) && self.rng.random_bool(0.5)
+            {
                 self.client = None;
             }
             if !self.shared.pace.is_zero() {
@@ -128,12 +129,15 @@
         self.client.as_ref().is_some_and(|client| !client.is_closed())
     }
 
-    /// Connects to any daemon, with the session's token or, half of the time, without.
+    /// Connects to a random daemon, half of the time with the session token.
     async fn connect(&mut self) -> bool {
         let target = self.shared.targets[self.rng.random_range(0..self.shared.targets.len())];
-        let bring = !self.token.is_empty() && self.rng.random_bool(0.5);
-        let token =
-            if bring { format!(" -c wardtiller.session={}", self.token) } else { String::new() };
+        let send_token = !self.token.is_empty() && self.rng.random_bool(0.5);
+        let token = if send_token {
+            format!(" -c wardtiller.session={}", self.token)
+        } else {
+            String::new()
+        };
         let parameters = format!(
             "host={} port={} user={} dbname={} connect_timeout=3 options='-c wardtiller.group={}{token}'",
             target.ip(),
@@ -150,7 +154,7 @@
             }
             Err(error) => {
                 let failure = read_failure(&error);
-                // A connection that could not be made has run nothing.
+                // Nothing runs without a connection.
                 self.shared
                     .measurements
                     .add_refusal("not_run", &format!("connect {}", failure.reason));
@@ -171,8 +175,8 @@
         Ok(rows.collect())
     }
 
-    /// Runs a request and measures it.
-    async fn measured(&self, class: RequestClass, sql: &str) -> Result<Vec<String>, Failure> {
+    /// Runs a request and records its latency or its refusal.
+    async fn run_measured(&self, class: RequestClass, sql: &str) -> Result<Vec<String>, Failure> {
         let began = Instant::now();
         let outcome = self.query(sql).await;
         match &outcome {
@@ -188,8 +192,8 @@
         outcome
     }
 
-    async fn note_served(&mut self, kind: &str) {
-        if self.rng.random_range(0..SERVED_SAMPLE) != 0 {
+    async fn sample_served_by(&mut self, kind: &str) {
+        if self.rng.random_range(0..SERVED_BY_SAMPLE_INTERVAL) != 0 {
             return;
         }
         if let Ok(served) = self.query("SHOW wardtiller.served_by").await {
@@ -198,17 +202,17 @@
         }
     }
 
-    /// Reads with stated staleness; now and then a poller writes too, as a tablet confirms an order.
+    /// Sends a read that accepts staleness, or occasionally a write.
     async fn poll(&mut self) {
-        if self.rng.random_range(0..POLLS_TO_A_WRITE) == 0 {
+        if self.rng.random_range(0..POLLS_PER_WRITE) == 0 {
             return self.update().await;
         }
-        let kind = self.shared.mix.kind();
+        let kind = self.shared.mix.read_kind();
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql =
             format!("SELECT name FROM menu WHERE id = {item} /* wardtiller.read_kind='{kind}' */");
-        if self.measured(RequestClass::StaleRead, &sql).await.is_ok() {
-            self.note_served(kind).await;
+        if self.run_measured(RequestClass::StaleRead, &sql).await.is_ok() {
+            self.sample_served_by(kind).await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -217,14 +221,14 @@
     async fn read_fresh(&mut self) {
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql = format!("SELECT name FROM menu WHERE id = {item}");
-        if self.measured(RequestClass::FreshRead, &sql).await.is_ok() {
-            self.note_served("fresh").await;
+        if self.run_measured(RequestClass::FreshRead, &sql).await.is_ok() {
+            self.sample_served_by("fresh").await;
         } else {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Writes two rows in one transaction, then reads them back, perhaps through another daemon.
+    /// Writes two rows in one transaction, then reads its own writes.
     async fn transact(&mut self) {
         self.sequence += 1;
         let (caller, sequence) = (self.number, self.sequence);
@@ -234,12 +238,12 @@
         if outcome.is_ok() {
             self.shared.measurements.add_latency(RequestClass::Transaction, elapsed);
         }
-        self.note_outcome(sequence, outcome).await;
+        self.record_outcome(sequence, outcome).await;
         self.read_back().await;
     }
 
     async fn transaction(&self, caller: usize, sequence: u64) -> Result<(), Failure> {
-        // Until its commit is sent, a transaction that fails has not run.
+        // A transaction that fails before its commit is sent has not run.
         let not_run = |failure: Failure| Failure { verdict: Verdict::NotRun, ..failure };
         self.query("BEGIN").await.map_err(not_run)?;
         let order = format!("INSERT INTO orders VALUES ({caller}, {sequence})");
@@ -249,14 +253,14 @@
             self.query(&hold).await
         };
         if let Err(failure) = inserted.await {
-            // The transaction may be over already; then there is nothing to roll back.
+            // The rollback fails if the transaction has already ended.
             let _ = self.query("ROLLBACK").await;
             return Err(not_run(failure));
         }
         self.query("COMMIT").await.map(drop)
     }
 
-    /// Writes one row into both tables with one statement each, as one request.
+    /// Writes one row into each of the two tables in a single request, then reads its own writes.
     async fn update(&mut self) {
         self.sequence += 1;
         let (caller, sequence) = (self.number, self.sequence);
@@ -264,21 +268,21 @@
             "INSERT INTO orders VALUES ({caller}, {sequence}); \
              INSERT INTO holds VALUES ({caller}, {sequence})"
         );
-        let outcome = self.measured(RequestClass::Write, &sql).await.map(drop);
-        self.note_outcome(sequence, outcome).await;
+        let outcome = self.run_measured(RequestClass::Write, &sql).await.map(drop);
+        self.record_outcome(sequence, outcome).await;
         self.read_back().await;
     }
 
-    async fn note_outcome(&mut self, sequence: u64, outcome: Result<(), Failure>) {
+    async fn record_outcome(&mut self, sequence: u64, outcome: Result<(), Failure>) {
         let id = WriteId { group: self.group.clone(), caller: self.number, sequence };
         match outcome {
             Ok(()) => {
                 let at = Instant::now();
-                self.shared.ledger.note_write(id, Told::Acknowledged);
+                self.shared.ledger.record_write(id, WriteOutcome::Acknowledged);
                 self.acknowledged = sequence;
                 self.uncertain = false;
                 if let Ok(token) = self.query("SHOW wardtiller.session").await {
-                    self.note_token(token.first().map_or("", String::as_str), at);
+                    self.store_token(token.first().map_or("", String::as_str), at);
                 }
             }
             Err(failure) => {
@@ -287,54 +291,54 @@
                     self.shared.measurements.add_refusal(verdict, &failure.reason);
                 }
                 self.uncertain |= failure.verdict != Verdict::NotRun;
-                self.shared.ledger.note_write(id, Told::Refused(failure.verdict));
+                self.shared.ledger.record_write(id, WriteOutcome::Failed(failure.verdict));
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    fn note_token(&mut self, token: &str, at: Instant) {
+    fn store_token(&mut self, token: &str, at: Instant) {
         token.clone_into(&mut self.token);
         let parsed: Result<session::SessionToken, _> = token.parse();
         let point = parsed.ok().and_then(|token| token.point(&self.group));
         if let Some(point) = point {
-            self.shared.ledger.note_term(&self.group, point.term.0, at);
+            self.shared.ledger.record_term(&self.group, point.term.0, at);
         }
     }
 
-    /// Reads what this session wrote last and compares.
+    /// Reads the last write of this session and records a violation if the result doesn't match.
     async fn read_back(&mut self) {
         if self.acknowledged == 0 {
             return;
         }
         let sql =
             format!("SELECT coalesce(max(seq), 0) FROM orders WHERE caller = {}", self.number);
-        let found = match self.measured(RequestClass::OwnRead, &sql).await {
+        let found = match self.run_measured(RequestClass::OwnRead, &sql).await {
             Ok(found) => found,
             Err(failure) if failure.reason == "write_lost" => {
-                self.shared.lost_told.fetch_add(1, Ordering::Relaxed);
+                self.shared.lost_writes_reported.fetch_add(1, Ordering::Relaxed);
                 self.token.clear();
                 self.client = None;
                 return;
             }
             Err(_) => return,
         };
-        self.note_served("own").await;
+        self.sample_served_by("own").await;
         let found: u64 = found.first().and_then(|found| found.parse().ok()).unwrap_or(0);
-        self.shared.own_reads.fetch_add(1, Ordering::Relaxed);
+        self.shared.own_reads_checked.fetch_add(1, Ordering::Relaxed);
         if found < self.acknowledged {
-            let seen = format!(
+            let observation = format!(
                 "caller {} was acknowledged {} and read {found}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.note_violation("a session reads its own writes", seen);
+            self.shared.ledger.record_violation("a session reads its own writes", observation);
         }
         if found > self.acknowledged && !self.uncertain {
-            let seen = format!(
+            let observation = format!(
                 "caller {} read {found} beyond its last write {}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.note_violation("\"not run\" is true", seen);
+            self.shared.ledger.record_violation("\"not run\" is true", observation);
         }
     }
 }
@@ -342,26 +346,26 @@
 /// Rows in the table that pollers read.
 pub const MENU_ITEMS: u32 = 100;
 
-/// Reads the verdict out of an error, as any caller can.
+/// Parses the verdict and the reason in an error.
 fn read_failure(error: &Error) -> Failure {
     let Some(db) = error.as_db_error() else {
-        // The connection broke; what was sent may have run.
+        // The connection broke, so the request may have run.
         return Failure { verdict: Verdict::MayHaveRun, reason: "connection lost".to_owned() };
     };
     let detail = db.detail().unwrap_or_default();
-    let word = |key: &str| {
+    let field = |key: &str| {
         let rest = detail.split_whitespace().find_map(|part| part.strip_prefix(key));
         rest.map(str::to_owned)
     };
-    let verdict = match word("verdict=").as_deref() {
+    let verdict = match field("verdict=").as_deref() {
         Some("not_run") => Verdict::NotRun,
         Some("may_have_run") => Verdict::MayHaveRun,
         Some(_) => Verdict::Ran,
-        // An endpoint's own error: the statement was undone as a whole, or the session was closed
-        // between requests.
+        // An error of the endpoint itself: the statement was rolled back as a whole, or the session was closed between
+        // requests.
         None => Verdict::NotRun,
     };
     let reason =
-        word("reason=").unwrap_or_else(|| format!("{} {}", db.code().code(), db.message()));
+        field("reason=").unwrap_or_else(|| format!("{} {}", db.code().code(), db.message()));
     Failure { verdict, reason }
 }
