--- a/crates/wardtiller/src/commands/demo.rs
+++ b/crates/wardtiller/src/commands/demo.rs
@@ -54,6 +54,6 @@
             address.ip(),
             address.port()
         ),
-        _ => "the configuration names no service and user to connect with".to_owned(),
+        _ => "the configuration has no service or no user to connect with".to_owned(),
     }
 }
--- a/crates/wardtiller/src/commands/load.rs
+++ b/crates/wardtiller/src/commands/load.rs
@@ -110,10 +110,10 @@
     seconds: u64,
 ) -> eyre::Result<Vec<AccessPathReport>> {
     let Some((id, group)) = system.groups.iter().next() else {
-        eyre::bail!("the configuration names no group");
+        eyre::bail!("the configuration has no group");
     };
     let Some(user) = system.configuration.users.keys().next() else {
-        eyre::bail!("the configuration names no user");
+        eyre::bail!("the configuration has no user");
     };
     let parameters = format!(
         "user={user} dbname={} options='-c wardtiller.group={} -c wardtiller.session='",
--- a/crates/wardtiller/src/commands/show.rs
+++ b/crates/wardtiller/src/commands/show.rs
@@ -15,7 +15,7 @@
 pub(crate) fn run(flags: &Show) -> eyre::Result<u8> {
     ensure!(
         !flags.operator.is_empty(),
-        "no daemon was named; give the operators' address of one, such as --operator 127.0.0.1:6434"
+        "no daemon given; pass its operator address, such as --operator 127.0.0.1:6434"
     );
     let mut code = EXIT_DONE;
     let mut reports = Vec::new();
@@ -46,7 +46,7 @@
         .call()
         .wrap_err_with(|| format!("no daemon answers at {address}"))?;
     let report = response.body_mut().read_json();
-    report.wrap_err_with(|| format!("what answers at {address} is not a daemon"))
+    report.wrap_err_with(|| format!("the response from {address} is not a daemon report"))
 }
 
 fn render(report: &ShowReport) -> String {
--- a/crates/wardtiller/src/load/compare.rs
+++ b/crates/wardtiller/src/load/compare.rs
@@ -1,4 +1,4 @@
-//! Compares access through a daemon with a direct connection, in one interleaved run.
+//! Compares access through a daemon with a direct connection, in a single interleaved run.
 
 use std::{
     net::SocketAddr,
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use tokio_postgres::{Client, NoTls};
 
-/// The highest latency that a histogram can record, in microseconds; longer ones are elapsed_s as this value.
+/// The highest latency that a histogram can record, in microseconds; longer ones are counted as this value.
 const MAX_LATENCY_US: u64 = 10_000_000;
 
 /// A path to the data, either through a daemon or direct.
--- a/crates/wardtiller/src/load/faults.rs
+++ b/crates/wardtiller/src/load/faults.rs
@@ -71,7 +71,7 @@
         let known: Vec<&str> = FAULT_NAMES.iter().map(|(name, _)| *name).collect();
         write!(
             f,
-            "`{}` is no fault; write WHAT@START_MS+FOR_MS, such as crash-primary@3000+5000, with \
+            "`{}` is not a fault; write WHAT@START_MS+FOR_MS, such as crash-primary@3000+5000, with \
              one of: {}",
             self.text,
             known.join(", ")
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -105,16 +105,18 @@
     mut target: Target<'_>,
     options: &LoadOptions,
 ) -> eyre::Result<LoadReport> {
-    let service = configuration.services.values().next().ok_or_eyre("there is no service")?;
-    let user = configuration.users.keys().next().ok_or_eyre("there is no user")?.to_string();
+    let service =
+        configuration.services.values().next().ok_or_eyre("the configuration has no service")?;
+    let user =
+        configuration.users.keys().next().ok_or_eyre("the configuration has no user")?.to_string();
     let targets = match &target {
         Target::Running(targets) => targets.clone(),
         Target::Local(system) => system.caller_addresses(),
     };
-    ensure!(!targets.is_empty(), "there is no daemon to drive");
+    ensure!(!targets.is_empty(), "no caller address of a daemon is given");
     ensure!(
         options.faults.is_empty() || matches!(target, Target::Local(_)),
-        "faults need a local system; leave --target out"
+        "faults need a local system; remove --target"
     );
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let run = Run { service, user, targets, options };
@@ -129,7 +131,7 @@
     }
     runtime.block_on(async {
         for caller in callers {
-            caller.await.wrap_err("a caller failed")?;
+            caller.await.wrap_err("a caller task failed")?;
         }
         eyre::Ok(())
     })?;
@@ -180,7 +182,8 @@
             self.service.name
         );
         let connected = tokio_postgres::connect(&parameters, NoTls).await;
-        let (client, connection) = connected.wrap_err_with(|| format!("can't use {target}"))?;
+        let (client, connection) =
+            connected.wrap_err_with(|| format!("can't connect to {target}"))?;
         tokio::spawn(connection);
         Ok(client)
     }
