--- a/crates/wardtiller/src/local_system.rs
+++ b/crates/wardtiller/src/local_system.rs
@@ -60,7 +60,7 @@
         self
     }
 
-    /// Sets a function that change_count the settings of each daemon before it starts.
+    /// Sets a function that changes the settings of each daemon before it starts.
     pub fn adjust(mut self, adjust: fn(&mut HostSettings)) -> LocalSystemOptions {
         self.adjust = adjust;
         self
@@ -98,11 +98,11 @@
     /// daemons are ready.
     pub fn start(text: &str, options: &LocalSystemOptions) -> eyre::Result<LocalSystem> {
         let network = Network::new();
-        let wanted = check_configuration("the configuration", text)?;
+        let requested = check_configuration("the configuration", text)?;
         let platform = PlatformStandin::start(&network, unused_port())?;
         let mut text = text.to_owned();
         let mut groups = BTreeMap::new();
-        for (id, group) in &wanted.groups {
+        for (id, group) in &requested.groups {
             let standin = start_group(&network, group, options)?;
             for (server, running) in primary_first(group).zip(&standin.servers) {
                 let (old, new) = (server.address, running.address());
@@ -198,7 +198,7 @@
         self.platform.set_nodes(self.nodes.clone());
     }
 
-    /// Applies a configuration and returns its revision. Fails if the revision in force is not `base`.
+    /// Applies a configuration and returns its revision. Fails if `base` is given and isn't the revision in force.
     pub fn apply(&mut self, text: &str, base: Option<u64>) -> eyre::Result<u64> {
         self.change_count += 1;
         let change_id = format!("local-{}", self.change_count);
--- a/crates/wardtiller/src/sizing.rs
+++ b/crates/wardtiller/src/sizing.rs
@@ -90,7 +90,7 @@
 /// The resource limits for the control work of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControlLimits {
-    /// Processor time, as a share of a core.
+    /// CPU time, as a share of a core.
     pub core_share: f64,
     /// Memory in bytes.
     pub memory_bytes: f64,
@@ -113,7 +113,7 @@
     pub messages_per_s: f64,
     /// Bytes per second, in and out.
     pub bytes_per_s: f64,
-    /// Processor time, as a share of a core.
+    /// CPU time, as a share of a core.
     pub core_share: f64,
     /// Memory in bytes.
     pub memory_bytes: f64,
--- a/crates/wardtiller/tests/common/mod.rs
+++ b/crates/wardtiller/tests/common/mod.rs
@@ -79,7 +79,7 @@
     Ok(client)
 }
 
-/// Runs a simple query and returns its first query_column.
+/// Runs a simple query and returns its first column.
 pub(crate) async fn query_column(
     client: &Client,
     sql: &str,
@@ -92,7 +92,7 @@
     Ok(rows.collect())
 }
 
-/// Runs a simple query and returns the first query_column of its only row.
+/// Runs a simple query and returns the first column of its only row.
 pub(crate) async fn query_value(client: &Client, sql: &str) -> String {
     let mut values =
         query_column(client, sql).await.unwrap_or_else(|error| panic!("{sql}: {error:?}"));
--- a/crates/wardtiller/tests/configuration.rs
+++ b/crates/wardtiller/tests/configuration.rs
@@ -17,8 +17,8 @@
 
 /// Returns the configuration of the system with a different staleness.
 fn with_staleness(system: &LocalSystem, staleness_ms: u32) -> String {
-    let wanted = format!("staleness_ms = {staleness_ms}");
-    system.configuration_text.replace("staleness_ms = 60000", &wanted)
+    let replacement = format!("staleness_ms = {staleness_ms}");
+    system.configuration_text.replace("staleness_ms = 60000", &replacement)
 }
 
 fn in_force_everywhere(system: &LocalSystem, revision: u64) -> bool {
