--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins for the platform and for endpoints.
+//! In-process stand-ins for the platform and for database endpoints, with fault injection.
 //!
-//! They serve tests, the demo and the load tool, and nothing else: no daemon depends on them. They
-//! speak the published protocols, HTTP as Consul and the PostgreSQL protocol, so daemons can't tell,
-//! and each has the faults that the real ones have, on command.
+//! Only tests, the demo and the load tool use them. They speak the same protocols as the real systems: the HTTP API of
+//! Consul and the PostgreSQL wire protocol.
 
 mod answers;
 mod database;
