--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: Consul's key-value, session and catalogue endpoints over HTTP.
+//! A stand-in for the platform: the key-value, session and catalog endpoints of Consul's HTTP API.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,21 +23,21 @@
 
 use crate::Network;
 
-/// A value may not be larger than this.
-const LARGEST_VALUE_BYTES: usize = 1024 * 1024;
+/// The maximum size of a value.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// What is wrong with the platform at present.
+/// The current faults of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformFaults {
-    /// Every call fails, and waiting watches end.
+    /// Every call fails, and blocking reads end.
     pub down: bool,
-    /// Each call takes this much longer.
+    /// The additional delay of each call.
     pub delay: Duration,
-    /// So many of the next writes take effect and lose their answers.
+    /// The number of following writes that are executed but answered with an error.
     pub lose_answers: u32,
 }
 
-struct Stored {
+struct StoredValue {
     version: u64,
     value: Vec<u8>,
 }
@@ -45,7 +45,7 @@
 #[derive(Default)]
 struct Contents {
     version: u64,
-    values: BTreeMap<String, Stored>,
+    values: BTreeMap<String, StoredValue>,
     nodes: Vec<CatalogNode>,
     sessions: HashMap<String, (Duration, Instant)>,
     faults: PlatformFaults,
@@ -53,7 +53,7 @@
     writes: u64,
 }
 
-/// A running stand-in.
+/// A running platform stand-in.
 #[derive(Clone)]
 pub struct PlatformStandin {
     address: SocketAddr,
@@ -67,7 +67,7 @@
 }
 
 impl PlatformStandin {
-    /// Starts it at an address (port 0 for any).
+    /// Starts the platform at an address, where port 0 selects any free port.
     pub fn start(network: &Network, address: SocketAddr) -> std::io::Result<PlatformStandin> {
         let shared =
             Arc::new(Shared { contents: Mutex::default(), changed: watch::Sender::new(0) });
@@ -83,12 +83,12 @@
         Ok(PlatformStandin { address, shared, _network: network.clone() })
     }
 
-    /// Returns its address.
+    /// Returns the address of the HTTP listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the faults of the platform.
     pub fn change_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.shared.contents.lock().faults);
         self.shared.changed.send_modify(|count| *count += 1);
@@ -101,7 +101,7 @@
         contents.nodes = nodes;
     }
 
-    /// Makes a node of the host list.
+    /// Creates an entry of the host list.
     pub fn node(
         host: &str,
         address: SocketAddr,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns how many reads and writes it was asked for.
+    /// Returns the number of received reads and writes.
     pub fn calls(&self) -> (u64, u64) {
         let contents = self.shared.contents.lock();
         (contents.reads, contents.writes)
@@ -140,8 +140,8 @@
     cas: Option<u64>,
 }
 
-/// Delays a call as the faults say; an error when the platform is down.
-async fn pass(shared: &Shared) -> Result<(), StatusCode> {
+/// Applies the delay fault, and returns an error while the platform is down.
+async fn apply_faults(shared: &Shared) -> Result<(), StatusCode> {
     let faults = shared.contents.lock().faults;
     if !faults.delay.is_zero() {
         tokio::time::sleep(faults.delay).await;
@@ -158,11 +158,11 @@
     Query(query): Query<ReadQuery>,
 ) -> Response {
     shared.contents.lock().reads += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
     if let Some(index) = query.index {
-        wait_for_change(&shared, &key, index, read_wait(query.wait.as_deref())).await;
+        wait_for_change(&shared, &key, index, parse_duration(query.wait.as_deref())).await;
     }
     let contents = shared.contents.lock();
     if contents.faults.down {
@@ -181,7 +181,7 @@
 
 async fn wait_for_change(shared: &Shared, key: &str, index: u64, wait: Duration) {
     let mut changes = shared.changed.subscribe();
-    let until = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         changes.mark_unchanged();
         {
@@ -191,14 +191,14 @@
                 return;
             }
         }
-        if tokio::time::timeout_at(until, changes.changed()).await.is_err() {
+        if tokio::time::timeout_at(deadline, changes.changed()).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads a wait such as `500ms` or `30s`.
-fn read_wait(wait: Option<&str>) -> Duration {
+/// Parses a duration such as `500ms` or `30s`. The default is 5 seconds.
+fn parse_duration(wait: Option<&str>) -> Duration {
     let wait = wait.unwrap_or("5s");
     let milliseconds = wait.strip_suffix("ms").and_then(|number| number.parse().ok());
     let seconds = wait.strip_suffix('s').and_then(|number| number.parse().ok());
@@ -222,27 +222,27 @@
     body: Bytes,
 ) -> Response {
     shared.contents.lock().writes += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
-    if body.len() > LARGEST_VALUE_BYTES {
+    if body.len() > MAX_VALUE_BYTES {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
     let mut contents = shared.contents.lock();
-    let found = contents.values.get(&key).map_or(0, |stored| stored.version);
-    let applies = query.cas.is_none_or(|expected| expected == found);
+    let current = contents.values.get(&key).map_or(0, |stored| stored.version);
+    let applies = query.cas.is_none_or(|expected| expected == current);
     if applies {
         contents.version += 1;
         let version = contents.version;
-        contents.values.insert(key, Stored { version, value: body.to_vec() });
+        contents.values.insert(key, StoredValue { version, value: body.to_vec() });
     }
-    let lost = contents.faults.lose_answers > 0;
-    if lost {
+    let lose_response = contents.faults.lose_answers > 0;
+    if lose_response {
         contents.faults.lose_answers -= 1;
     }
     drop(contents);
     shared.changed.send_modify(|count| *count += 1);
-    if lost {
+    if lose_response {
         return StatusCode::GATEWAY_TIMEOUT.into_response();
     }
     Json(applies).into_response()
@@ -250,7 +250,7 @@
 
 async fn delete_key(State(shared): State<Arc<Shared>>, Path(key): Path<String>) -> Response {
     shared.contents.lock().writes += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
     shared.contents.lock().values.remove(&key);
@@ -263,20 +263,20 @@
     Json(request): Json<SessionRequest>,
 ) -> Response {
     shared.contents.lock().writes += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
     let mut contents = shared.contents.lock();
     contents.version += 1;
     let id = format!("lease-{}", contents.version);
-    let ttl = read_wait(Some(&request.ttl));
+    let ttl = parse_duration(Some(&request.ttl));
     contents.sessions.insert(id.clone(), (ttl, Instant::now()));
     Json(SessionCreated { id }).into_response()
 }
 
 async fn renew_session(State(shared): State<Arc<Shared>>, Path(id): Path<String>) -> Response {
     shared.contents.lock().writes += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
     let mut contents = shared.contents.lock();
@@ -291,7 +291,7 @@
 
 async fn list_nodes(State(shared): State<Arc<Shared>>) -> Response {
     shared.contents.lock().reads += 1;
-    if let Err(status) = pass(&shared).await {
+    if let Err(status) = apply_faults(&shared).await {
         return status.into_response();
     }
     let contents = shared.contents.lock();
