--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -6,27 +6,27 @@
 
 use crate::{Endpoint, EndpointOptions, replication::Peers};
 
-/// The runtime that stand-ins share.
+/// The runtime that all stand-ins share.
 #[derive(Clone)]
 pub struct Network {
     runtime: Arc<Runtime>,
 }
 
-/// The threads that all stand-ins together run on.
-const THREADS: usize = 4;
+/// The number of worker threads of the runtime.
+const WORKER_THREADS: usize = 4;
 
 impl Network {
     /// Starts the runtime.
     ///
     /// # Panics
-    /// Panics if the machine has no more threads.
+    /// Panics if the threads of the runtime can't be started.
     pub fn new() -> Network {
         let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .thread_name("standin")
             .enable_all()
             .build()
-            .expect("threads are at hand");
+            .expect("the runtime starts");
         Network { runtime: Arc::new(runtime) }
     }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// The servers of one group.
+/// The stand-in servers of one group.
 #[derive(Clone)]
 pub struct GroupStandin {
-    /// The servers, in the order of the addresses asked for.
+    /// The servers, in the order of the requested addresses.
     pub servers: Vec<Endpoint>,
     _network: Network,
 }
 
 impl GroupStandin {
-    /// Starts servers at the addresses (port 0 for any), the first one as primary.
+    /// Starts a server at each address, where port 0 selects any free port. The first server is the primary.
     pub fn start(
         network: &Network,
         addresses: &[SocketAddr],
@@ -72,7 +72,7 @@
         Ok(GroupStandin { servers, _network: network.clone() })
     }
 
-    /// Finds the server that leads in the highest term.
+    /// Returns the leading server with the highest term.
     pub fn primary(&self) -> Option<&Endpoint> {
         let leading = self.servers.iter().filter(|server| server.status().leads());
         leading.max_by_key(|server| server.status().log_term)
