--- a/crates/standin/src/value_codec.rs
+++ b/crates/standin/src/value_codec.rs
@@ -1,7 +1,7 @@
-//! Values between PostgreSQL's two formats and what SQLite stores.
+//! Conversion of values between the text and binary formats of PostgreSQL and the storage of SQLite.
 //!
-//! Drivers choose format and type for themselves: one sends a small integer as two bytes, another one as text. A
-//! type that is not known here, or a stored value that is not of its column's type, is an error, never another value.
+//! The driver chooses the format and the type of each parameter. An unsupported type, or a stored value that doesn't
+//! match the type of its column, is an error.
 
 use std::error::Error;
 
@@ -14,26 +14,26 @@
 
 use crate::database::Parameter;
 
-/// How timestamps are stored and written as text.
-const TIMESTAMP: &str = "%Y-%m-%d %H:%M:%S%.f";
-/// What follows a timestamp with time zone, which is stored in universal time.
-const UNIVERSAL: &str = "+00";
-/// The wire's number of the binary format.
+/// The format of timestamps in the storage and in text.
+const TIMESTAMP_FORMAT: &str = "%Y-%m-%d %H:%M:%S%.f";
+/// The suffix of a timestamp with time zone, which is stored in UTC.
+const UTC_SUFFIX: &str = "+00";
+/// The format code of the binary format in the protocol.
 const BINARY: i16 = 1;
 
-/// Why a value can't be passed on.
+/// The error of a value conversion.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CodecError {
-    /// The type with this number is not supported.
+    /// The type with this OID is not supported.
     UnknownType(u32),
-    /// The value can't be read as its type.
+    /// The parameter is not a valid value of this type.
     Invalid(&'static str),
-    /// What is stored is not of the column's type.
+    /// The stored value doesn't match this type of its column.
     Mismatch(&'static str),
 }
 
 impl CodecError {
-    /// Returns the code by which drivers tell errors apart.
+    /// Returns the SQLSTATE code.
     pub(crate) fn sqlstate(&self) -> &'static str {
         match self {
             CodecError::UnknownType(_) => "0A000",
@@ -57,7 +57,7 @@
     }
 }
 
-/// A type that values are told to have.
+/// A supported PostgreSQL type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ValueType {
     Bool,
@@ -75,7 +75,7 @@
 }
 
 impl ValueType {
-    /// Returns the type that a driver names by its number.
+    /// Returns the type with an OID.
     pub(crate) fn from_oid(oid: u32) -> Result<ValueType, CodecError> {
         Ok(match Type::from_oid(oid) {
             Some(Type::BOOL) => ValueType::Bool,
@@ -96,8 +96,8 @@
         })
     }
 
-    /// Returns the type that a column is declared with, or a parameter is cast to. Whole numbers of any size are
-    /// stored alike, and told as the largest; whatever else is not known is told as text.
+    /// Returns the type by its name in a column declaration or a cast. All integer types map to `Int8`, since SQLite
+    /// stores them alike. Unknown types map to `Text`.
     pub(crate) fn from_name(name: &str) -> ValueType {
         let name = name.to_lowercase();
         let name = name.split('(').next().unwrap_or_default().trim();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the number by which a driver is told of it.
+    /// Returns the OID of the type.
     pub(crate) fn oid(self) -> u32 {
         self.wire_type().oid()
     }
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Reads a parameter.
+    /// Decodes a parameter.
     pub(crate) fn decode(self, value: &[u8], format: i16) -> Result<Parameter, CodecError> {
         let decoded = match format {
             BINARY => self.decode_binary(value),
@@ -173,8 +173,8 @@
             ValueType::Float8 => Parameter::Float(self.read(value)?),
             ValueType::Text => Parameter::Text(self.read(value)?),
             ValueType::Numeric => Parameter::Text(self.read::<Decimal>(value)?.to_string()),
-            ValueType::Timestamp => timestamp(self.read(value)?),
-            ValueType::TimestampTz => timestamp_tz(self.read(value)?),
+            ValueType::Timestamp => timestamp_parameter(self.read(value)?),
+            ValueType::TimestampTz => timestamp_tz_parameter(self.read(value)?),
             ValueType::Uuid => Parameter::Text(self.read::<Uuid>(value)?.to_string()),
         })
     }
@@ -185,7 +185,7 @@
 
     fn decode_text(self, text: &str) -> Option<Parameter> {
         Some(match self {
-            ValueType::Bool => Parameter::Integer(i64::from(truth(text)?)),
+            ValueType::Bool => Parameter::Integer(i64::from(parse_bool(text)?)),
             ValueType::Bytea => Parameter::Bytes(from_hex(text.strip_prefix("\\x")?)?),
             ValueType::Int2 => Parameter::Integer(i64::from(text.parse::<i16>().ok()?)),
             ValueType::Int4 => Parameter::Integer(i64::from(text.parse::<i32>().ok()?)),
@@ -193,13 +193,13 @@
             ValueType::Float4 | ValueType::Float8 => Parameter::Float(text.parse().ok()?),
             ValueType::Text => Parameter::Text(text.to_owned()),
             ValueType::Numeric => Parameter::Text(text.parse::<Decimal>().ok()?.to_string()),
-            ValueType::Timestamp => timestamp(parse_timestamp(text)?),
-            ValueType::TimestampTz => timestamp_tz(parse_timestamp_tz(text)?),
+            ValueType::Timestamp => timestamp_parameter(parse_timestamp(text)?),
+            ValueType::TimestampTz => timestamp_tz_parameter(parse_timestamp_tz(text)?),
             ValueType::Uuid => Parameter::Text(Uuid::parse_str(text).ok()?.to_string()),
         })
     }
 
-    /// Writes a stored value, with its length before it.
+    /// Appends the length and the encoding of a stored value.
     pub(crate) fn encode(
         self,
         value: ValueRef<'_>,
@@ -273,7 +273,7 @@
     }
 }
 
-/// Numbers too are told as text where a column's type is not known.
+/// Returns the value as text. Accepts numbers, since a column with an unknown type is of type `Text`.
 fn as_text(value: ValueRef<'_>) -> Option<String> {
     match value {
         ValueRef::Integer(number) => Some(number.to_string()),
@@ -283,7 +283,7 @@
     }
 }
 
-fn truth(text: &str) -> Option<bool> {
+fn parse_bool(text: &str) -> Option<bool> {
     match text.to_lowercase().as_str() {
         "t" | "true" | "y" | "yes" | "on" | "1" => Some(true),
         "f" | "false" | "n" | "no" | "off" | "0" => Some(false),
@@ -291,16 +291,16 @@
     }
 }
 
-fn timestamp(at: NaiveDateTime) -> Parameter {
-    Parameter::Text(at.format(TIMESTAMP).to_string())
+fn timestamp_parameter(at: NaiveDateTime) -> Parameter {
+    Parameter::Text(at.format(TIMESTAMP_FORMAT).to_string())
 }
 
-fn timestamp_tz(at: DateTime<Utc>) -> Parameter {
-    Parameter::Text(format!("{}{UNIVERSAL}", at.format(TIMESTAMP)))
+fn timestamp_tz_parameter(at: DateTime<Utc>) -> Parameter {
+    Parameter::Text(format!("{}{UTC_SUFFIX}", at.format(TIMESTAMP_FORMAT)))
 }
 
 fn parse_timestamp(text: &str) -> Option<NaiveDateTime> {
-    NaiveDateTime::parse_from_str(&text.replace('T', " "), TIMESTAMP).ok()
+    NaiveDateTime::parse_from_str(&text.replace('T', " "), TIMESTAMP_FORMAT).ok()
 }
 
 fn parse_timestamp_tz(text: &str) -> Option<DateTime<Utc>> {
