--- a/crates/standin/src/answers.rs
+++ b/crates/standin/src/answers.rs
@@ -1,28 +1,32 @@
-//! Answers that the stand-in makes itself, without its database.
+//! Responses that don't come from the database.
 
 use pgwire::messages::data::{FieldDescription, RowDescription};
 
-use crate::database::Outcome;
+use crate::database::StatementResult;
 
-/// PostgreSQL's number for text.
+/// The PostgreSQL type OID of `text`.
 pub(crate) const TEXT_OID: u32 = 25;
 
-/// An answer without rows.
-pub(crate) fn tagged(tag: &str) -> Outcome {
-    Outcome { tag: tag.to_owned(), ..Outcome::default() }
+/// Returns a response without rows.
+pub(crate) fn tag_only(tag: &str) -> StatementResult {
+    StatementResult { tag: tag.to_owned(), ..StatementResult::default() }
 }
 
-/// The description of a single column of text.
+/// Returns the description of a single text column.
 pub(crate) fn text_column(name: &str) -> RowDescription {
     let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
     RowDescription::new(vec![field])
 }
 
-/// A single value as text.
-pub(crate) fn text_row(name: &str, value: &str) -> Outcome {
+/// Returns a response with a single text value.
+pub(crate) fn text_value(name: &str, value: &str) -> StatementResult {
     let mut data = bytes::BytesMut::new();
     bytes::BufMut::put_i32(&mut data, value.len() as i32);
     data.extend_from_slice(value.as_bytes());
     let row = pgwire::messages::data::DataRow::new(data, 1);
-    Outcome { description: Some(text_column(name)), rows: vec![row], tag: "SELECT 1".to_owned() }
+    StatementResult {
+        description: Some(text_column(name)),
+        rows: vec![row],
+        tag: "SELECT 1".to_owned(),
+    }
 }
--- a/crates/standin/src/database.rs
+++ b/crates/standin/src/database.rs
@@ -1,4 +1,4 @@
-//! An in-memory SQLite database that answers in PostgreSQL's terms.
+//! An in-memory SQLite database with results in the formats of PostgreSQL.
 
 use bytes::BytesMut;
 use pgwire::messages::data::{DataRow, FieldDescription, RowDescription};
@@ -9,7 +9,7 @@
     value_codec::{CodecError, ValueType},
 };
 
-/// A parameter of a statement.
+/// A statement parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Parameter {
     Null,
@@ -31,15 +31,15 @@
     }
 }
 
-/// What a statement returned.
+/// The result of a statement.
 #[derive(Debug, Default)]
-pub(crate) struct Outcome {
+pub(crate) struct StatementResult {
     pub(crate) description: Option<RowDescription>,
     pub(crate) rows: Vec<DataRow>,
     pub(crate) tag: String,
 }
 
-/// A database.
+/// An in-memory database.
 #[derive(Debug)]
 pub(crate) struct Database {
     connection: Connection,
@@ -47,7 +47,7 @@
 
 impl Database {
     pub(crate) fn new() -> Database {
-        let connection = Connection::open_in_memory().expect("memory is at hand");
+        let connection = Connection::open_in_memory().expect("an in-memory database opens");
         connection.set_prepared_statement_cache_capacity(512);
         Database { connection }
     }
@@ -58,33 +58,33 @@
             Backup::new(&self.connection, &mut copy.connection).expect("both databases are open");
         backup
             .run_to_completion(i32::MAX, std::time::Duration::ZERO, None)
-            .expect("nobody else uses the databases");
+            .expect("no other connection uses the databases");
         drop(backup);
         copy
     }
 
-    /// Describes the columns that a statement returns and the number of its parameters.
+    /// Returns the number of parameters and the result columns of a statement.
     pub(crate) fn describe(&self, sql: &str) -> Result<(usize, Option<RowDescription>), String> {
         let statement = self.connection.prepare(sql).map_err(|error| error.to_string())?;
         let description = describe_columns(&statement, &[]);
         Ok((statement.parameter_count(), description))
     }
 
-    /// Runs a statement. `formats` are the formats that the columns are wanted in.
-    pub(crate) fn run(
+    /// Runs a statement. `formats` are the requested formats of the result columns.
+    pub(crate) fn run_statement(
         &self,
         sql: &str,
         parameters: &[Parameter],
         formats: &[i16],
-    ) -> Result<Outcome, ServerError> {
-        let mut statement = self.connection.prepare_cached(sql).map_err(refused)?;
+    ) -> Result<StatementResult, ServerError> {
+        let mut statement = self.connection.prepare_cached(sql).map_err(syntax_error)?;
         for index in 1..=statement.parameter_count() {
-            let place = statement
+            let position = statement
                 .parameter_name(index)
                 .and_then(|name| name[1..].parse::<usize>().ok())
                 .unwrap_or(index);
-            let parameter = parameters.get(place.wrapping_sub(1)).unwrap_or(&Parameter::Null);
-            statement.raw_bind_parameter(index, parameter).map_err(refused)?;
+            let parameter = parameters.get(position.wrapping_sub(1)).unwrap_or(&Parameter::Null);
+            statement.raw_bind_parameter(index, parameter).map_err(syntax_error)?;
         }
         let description = describe_columns(&statement, formats);
         let fields = description.iter().flat_map(|description| &description.fields);
@@ -93,10 +93,10 @@
         let types = types.collect::<Result<Vec<_>, CodecError>>()?;
         let mut rows = Vec::new();
         let mut cursor = statement.raw_query();
-        while let Some(row) = cursor.next().map_err(refused)? {
+        while let Some(row) = cursor.next().map_err(syntax_error)? {
             let mut data = BytesMut::new();
             for (column, (value_type, format)) in types.iter().enumerate() {
-                let value = row.get_ref(column).map_err(refused)?;
+                let value = row.get_ref(column).map_err(syntax_error)?;
                 value_type.encode(value, *format, &mut data)?;
             }
             rows.push(DataRow::new(data, types.len() as i16));
@@ -104,11 +104,11 @@
         drop(cursor);
         drop(statement);
         if matches!(first_word(sql).as_str(), "CREATE" | "DROP" | "ALTER") {
-            // A statement that was prepared before still tells the types that its columns had then.
+            // Cached statements keep the column types from before the schema change.
             self.connection.flush_prepared_statement_cache();
         }
         let tag = command_tag(sql, rows.len(), self.connection.changes());
-        Ok(Outcome { description, rows, tag })
+        Ok(StatementResult { description, rows, tag })
     }
 
     pub(crate) fn begin(&self) {
@@ -126,15 +126,17 @@
     }
 }
 
-fn refused(error: rusqlite::Error) -> ServerError {
+fn syntax_error(error: rusqlite::Error) -> ServerError {
     ServerError::new("42601", error.to_string())
 }
 
-/// Returns the first word of a statement in capitals, behind any comments.
+/// Returns the first word of a statement in upper case, after any leading comments.
 pub(crate) fn first_word(sql: &str) -> String {
     let mut rest = sql.trim_start();
-    while let Some((_, behind)) = rest.strip_prefix("/*").and_then(|rest| rest.split_once("*/")) {
-        rest = behind.trim_start();
+    while let Some((_, after_comment)) =
+        rest.strip_prefix("/*").and_then(|rest| rest.split_once("*/"))
+    {
+        rest = after_comment.trim_start();
     }
     let word = rest.split(|c: char| !c.is_ascii_alphabetic()).next();
     word.unwrap_or_default().to_uppercase()
@@ -159,7 +161,7 @@
         .columns()
         .enumerate()
         .map(|(index, column)| {
-            let type_id = type_of(column.decl_type(), column.name()).oid();
+            let type_id = column_type(column.decl_type(), column.name()).oid();
             let format = match formats {
                 [] => 0,
                 [all] => *all,
@@ -171,8 +173,9 @@
     Some(RowDescription::new(fields))
 }
 
-/// Guesses a column's type, since SQLite only knows it for each value.
-fn type_of(declared: Option<&str>, name: &str) -> ValueType {
+/// Returns the declared type of a column. For an expression, derives the type from the column name, since SQLite has
+/// types only for values.
+fn column_type(declared: Option<&str>, name: &str) -> ValueType {
     let numeric = ["count(", "sum(", "max(", "min(", "coalesce(", "total("];
     match declared {
         Some(declared) => ValueType::from_name(declared),
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in server on the network.
+//! A stand-in for a database server, with its network listener.
 
 use std::{
     collections::HashMap,
@@ -30,20 +30,20 @@
     server_session::ServerSession,
 };
 
-/// How a stand-in server behaves while nothing is wrong.
+/// The options of a stand-in server.
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
-    /// Connections that it grants.
+    /// The maximum number of connections.
     pub connections: usize,
-    /// How long a new connection takes.
+    /// The time to establish a connection.
     pub connection_cost: Duration,
-    /// Statements that run at a time.
+    /// The maximum number of concurrent statements.
     pub slots: usize,
-    /// How long each statement takes, beside the database's own work.
+    /// The additional execution time of each statement.
     pub service_time: Duration,
-    /// How long a change takes to be held by a replica.
+    /// The delay until a replica receives a committed change.
     pub receive_delay: Duration,
-    /// How long a change takes to be visible on a replica.
+    /// The delay until a committed change is visible on a replica.
     pub apply_lag: Duration,
 }
 
@@ -60,28 +60,28 @@
     }
 }
 
-/// What the connections of a server share.
+/// The state that all connections of a server share.
 pub(crate) struct Shared {
     pub(crate) core: Arc<ServerCore>,
     pub(crate) slots: Semaphore,
     options: EndpointOptions,
     faults_changed: watch::Sender<u64>,
-    running: Mutex<HashMap<i32, Arc<Notify>>>,
-    next_process: AtomicI32,
-    most_connections: Mutex<usize>,
+    cancel_signals: Mutex<HashMap<i32, Arc<Notify>>>,
+    next_process_id: AtomicI32,
+    max_connections_seen: Mutex<usize>,
 }
 
 impl Shared {
-    /// Waits while a fault keeps the server from hearing or answering the caller.
-    pub(crate) async fn until_reachable(&self, caller: &str) {
+    /// Waits while a fault cuts the server off from the caller.
+    pub(crate) async fn wait_until_reachable(&self, caller: &str) {
         let mut changes = self.faults_changed.subscribe();
         loop {
             changes.mark_unchanged();
-            let cut = {
+            let unreachable = {
                 let faults = self.core.faults.read();
                 faults.paused || faults.cut_from.iter().any(|name| caller.contains(name.as_str()))
             };
-            if !cut || changes.changed().await.is_err() {
+            if !unreachable || changes.changed().await.is_err() {
                 return;
             }
         }
@@ -98,7 +98,7 @@
     }
 }
 
-/// A running stand-in server and the means to hurt it.
+/// A running stand-in server with fault injection.
 #[derive(Clone)]
 pub struct Endpoint {
     shared: Arc<Shared>,
@@ -122,9 +122,9 @@
             slots: Semaphore::new(options.slots),
             options,
             faults_changed: watch::Sender::new(0),
-            running: Mutex::default(),
-            next_process: AtomicI32::new(1),
-            most_connections: Mutex::new(0),
+            cancel_signals: Mutex::default(),
+            next_process_id: AtomicI32::new(1),
+            max_connections_seen: Mutex::new(0),
         });
         tokio::spawn(accept(listener, shared.clone(), Handle::current()));
         Endpoint { shared }
@@ -135,40 +135,40 @@
         self.shared.core.address
     }
 
-    /// Changes what is wrong with the server.
+    /// Changes the faults of the server.
     pub fn change_faults(&self, change: impl FnOnce(&mut ServerFaults)) {
         change(&mut self.shared.core.faults.write());
         self.shared.faults_changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes how far a replica's visible data lags.
+    /// Sets the delay until a committed change is visible on a replica.
     pub fn set_apply_lag(&self, lag: Duration) {
         *self.shared.core.apply_lag.lock() = lag;
     }
 
-    /// Changes how long a change takes to be held by a replica.
+    /// Sets the delay until a replica receives a committed change.
     pub fn set_receive_delay(&self, delay: Duration) {
         *self.shared.core.receive_delay.lock() = delay;
     }
 
-    /// Returns the server's status, whatever is wrong with it.
+    /// Returns the status of the server, regardless of its faults.
     pub fn status(&self) -> ServerStatus {
         self.shared.core.status()
     }
 
-    /// Returns the committed transactions that the server holds.
+    /// Returns the committed transactions in the log of the server.
     pub fn log(&self) -> Vec<Arc<LogRecord>> {
         self.shared.core.state.lock().log.clone()
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.shared.core.state.lock().connections
     }
 
-    /// Returns the most connections that were ever open at once.
-    pub fn most_connections(&self) -> usize {
-        *self.shared.most_connections.lock()
+    /// Returns the highest number of connections that were open at the same time.
+    pub fn max_connections_seen(&self) -> usize {
+        *self.shared.max_connections_seen.lock()
     }
 }
 
@@ -180,25 +180,25 @@
 
 async fn serve(socket: TcpStream, shared: Arc<Shared>) {
     let _ = socket.set_nodelay(true);
-    let crashed = shared.clone();
+    let state = shared.clone();
     let mut changes = shared.faults_changed.subscribe();
-    let down = async move {
+    let crashed = async move {
         loop {
-            if crashed.core.faults.read().crashed || changes.changed().await.is_err() {
+            if state.core.faults.read().crashed || changes.changed().await.is_err() {
                 return;
             }
         }
     };
     tokio::select! {
-        () = down => {}
+        () = crashed => {}
         () = serve_session(socket, shared) => {}
     }
 }
 
-/// Counts an open connection for as long as it lives.
+/// Counts an open connection until it is dropped.
 struct OpenConnection {
     shared: Arc<Shared>,
-    process: i32,
+    process_id: i32,
 }
 
 impl OpenConnection {
@@ -210,19 +210,19 @@
         state.connections += 1;
         let open = state.connections;
         drop(state);
-        let mut most = shared.most_connections.lock();
-        *most = (*most).max(open);
-        drop(most);
-        let process = shared.next_process.fetch_add(1, Ordering::Relaxed);
-        shared.running.lock().insert(process, Arc::new(Notify::new()));
-        Some(OpenConnection { shared, process })
+        let mut max_seen = shared.max_connections_seen.lock();
+        *max_seen = (*max_seen).max(open);
+        drop(max_seen);
+        let process_id = shared.next_process_id.fetch_add(1, Ordering::Relaxed);
+        shared.cancel_signals.lock().insert(process_id, Arc::new(Notify::new()));
+        Some(OpenConnection { shared, process_id })
     }
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.shared.core.state.lock().connections -= 1;
-        self.shared.running.lock().remove(&self.process);
+        self.shared.cancel_signals.lock().remove(&self.process_id);
     }
 }
 
@@ -231,15 +231,15 @@
     let parameters = match stream.start(None).await {
         Ok(StartupRequest::Session { parameters, .. }) => parameters,
         Ok(StartupRequest::Cancel { process, .. }) => {
-            if let Some(running) = shared.running.lock().get(&process) {
-                running.notify_waiters();
+            if let Some(signal) = shared.cancel_signals.lock().get(&process) {
+                signal.notify_waiters();
             }
             return;
         }
         Err(_) => return,
     };
     let caller = parameters.get("application_name").cloned().unwrap_or_default();
-    shared.until_reachable(&caller).await;
+    shared.wait_until_reachable(&caller).await;
     tokio::time::sleep(shared.options.connection_cost).await;
     let shutting_down = shared.core.faults.read().shutting_down;
     let open = OpenConnection::new(shared.clone()).filter(|_| !shutting_down);
@@ -255,16 +255,16 @@
         let _ = stream.flush().await;
         return;
     };
-    greet(&mut stream, open.process);
-    shared.until_reachable(&caller).await;
+    add_startup_messages(&mut stream, open.process_id);
+    shared.wait_until_reachable(&caller).await;
     if stream.flush().await.is_err() {
         return;
     }
-    let cancelled = shared.running.lock().get(&open.process).cloned().unwrap_or_default();
+    let cancelled = shared.cancel_signals.lock().get(&open.process_id).cloned().unwrap_or_default();
     ServerSession::new(shared, stream, caller, cancelled).run().await;
 }
 
-fn greet(stream: &mut CallerStream, process: i32) {
+fn add_startup_messages(stream: &mut CallerStream, process_id: i32) {
     stream.add(&PgWireBackendMessage::Authentication(Authentication::Ok));
     for (name, value) in [
         ("server_version", "15.0 (stand-in)"),
@@ -277,7 +277,7 @@
         let status = ParameterStatus::new(name.to_owned(), value.to_owned());
         stream.add(&PgWireBackendMessage::ParameterStatus(status));
     }
-    let key = BackendKeyData::new(process, SecretKey::I32(process));
+    let key = BackendKeyData::new(process_id, SecretKey::I32(process_id));
     stream.add(&PgWireBackendMessage::BackendKeyData(key));
     let ready = ReadyForQuery::new(TransactionStatus::Idle);
     stream.add(&PgWireBackendMessage::ReadyForQuery(ready));
--- a/crates/standin/src/replication.rs
+++ b/crates/standin/src/replication.rs
@@ -12,10 +12,10 @@
 
 use crate::server_core::{LogRecord, ServerCore};
 
-/// How often a replica asks its primary for more.
+/// The interval at which a replica pulls from its primary.
 const PULL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The servers that can reach each other, by address.
+/// The servers of a group by address.
 #[derive(Clone, Default)]
 pub(crate) struct Peers {
     servers: Arc<Mutex<HashMap<SocketAddr, Weak<ServerCore>>>>,
@@ -31,14 +31,14 @@
     }
 }
 
-/// Pulls the log of whichever primary the server follows, until the server is dropped.
+/// Replicates the log of the primary that the server follows, until the server is dropped.
 pub(crate) async fn replicate(core: Weak<ServerCore>, peers: Peers) {
     let mut interval = tokio::time::interval(PULL_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
         let Some(core) = core.upgrade() else { return };
-        if is_cut(&core) {
+        if is_disconnected(&core) {
             continue;
         }
         pull(&core, &peers);
@@ -46,13 +46,13 @@
     }
 }
 
-fn is_cut(core: &ServerCore) -> bool {
+fn is_disconnected(core: &ServerCore) -> bool {
     let faults = core.faults.read();
     faults.crashed || faults.paused || faults.cut_from_servers
 }
 
-/// What a primary sends: its log and terms, as shared records.
-struct Shipment {
+/// A batch of log records and the terms of the primary.
+struct LogBatch {
     log_term: model::Term,
     log: Vec<Arc<LogRecord>>,
     term_starts: Vec<model::TermStart>,
@@ -69,15 +69,19 @@
         (state.leader, state.log.len(), last_term)
     };
     let Some(leader) = leader.and_then(|address| peers.find(address)) else { return };
-    if is_cut(&leader) {
+    if is_disconnected(&leader) {
         return;
     }
-    let Some(shipment) = ship(&leader, held, last_term) else { return };
-    take(core, shipment);
+    let Some(batch) = read_batch(&leader, held, last_term) else { return };
+    append_batch(core, batch);
 }
 
-/// Takes what the leader has beyond `held`, or its whole log when the two differ below that.
-fn ship(leader: &ServerCore, held: usize, last_term: Option<model::Term>) -> Option<Shipment> {
+/// Returns the records of the leader after the first `held` ones, or the whole log if the logs differ.
+fn read_batch(
+    leader: &ServerCore,
+    held: usize,
+    last_term: Option<model::Term>,
+) -> Option<LogBatch> {
     let state = leader.state.lock();
     if state.role != ServerRole::Primary {
         return None;
@@ -87,7 +91,7 @@
         (held, term) => state.log.get(held - 1).map(|record| record.term) == term,
     };
     let from = if same { held } else { 0 };
-    Some(Shipment {
+    Some(LogBatch {
         log_term: state.log_term,
         log: state.log[from..].to_vec(),
         term_starts: state.term_starts.clone(),
@@ -95,33 +99,33 @@
     })
 }
 
-fn take(core: &ServerCore, shipment: Shipment) {
+fn append_batch(core: &ServerCore, batch: LogBatch) {
     let delay = *core.receive_delay.lock();
     let mut state = core.state.lock();
-    // A server that promised a newer term takes nothing from the primary of an older one.
-    if state.role != ServerRole::Replica || shipment.log_term < state.promised_term {
+    // A server that promised a newer term accepts no records from the primary of an older one.
+    if state.role != ServerRole::Replica || batch.log_term < state.promised_term {
         return;
     }
     state.last_heard = Instant::now();
-    let common = shipment
+    let common = batch
         .log
         .iter()
-        .zip(&state.log[shipment.from.min(state.log.len())..])
+        .zip(&state.log[batch.from.min(state.log.len())..])
         .take_while(|(theirs, ours)| theirs.term == ours.term)
         .count();
-    if shipment.from > state.log.len() {
+    if batch.from > state.log.len() {
         return;
     }
-    state.truncate(shipment.from + common);
-    for record in &shipment.log[common..] {
+    state.truncate(batch.from + common);
+    for record in &batch.log[common..] {
         if record.committed_at.elapsed() < delay {
             break;
         }
         state.log.push(record.clone());
     }
-    state.promised_term = shipment.log_term;
-    state.log_term = shipment.log_term;
-    state.term_starts = shipment.term_starts;
+    state.promised_term = batch.log_term;
+    state.log_term = batch.log_term;
+    state.term_starts = batch.term_starts;
 }
 
 fn apply(core: &ServerCore) {
@@ -134,6 +138,6 @@
         .iter()
         .take_while(|record| record.committed_at.elapsed() >= lag)
         .count();
-    let until = state.applied + ready;
-    state.apply_until(until);
+    let count = state.applied + ready;
+    state.apply_up_to(count);
 }
--- a/crates/standin/src/server_core.rs
+++ b/crates/standin/src/server_core.rs
@@ -1,4 +1,4 @@
-//! The state of one server: its databases, its log, its term.
+//! The state of a stand-in server: its databases, its log and its term.
 
 use std::{
     net::SocketAddr,
@@ -10,42 +10,42 @@
 use parking_lot::{Mutex, RwLock};
 
 use crate::{
-    database::{Database, Outcome, Parameter},
+    database::{Database, Parameter, StatementResult},
     value_codec::CodecError,
 };
 
-/// One committed transaction in a server's log.
+/// A committed transaction in the log of a server.
 #[derive(Clone, Debug)]
 pub struct LogRecord {
-    /// The term in which it was committed.
+    /// The term of the commit.
     pub term: Term,
-    /// Its statements, for tests that look for what ran.
+    /// The statements, so that tests can check what was executed.
     pub statements: Vec<String>,
     pub(crate) parameters: Vec<Vec<Parameter>>,
     pub(crate) committed_at: Instant,
 }
 
-/// What is wrong with a server at present.
+/// The current faults of a server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerFaults {
-    /// It is down: connections are refused and open ones closed.
+    /// The server is down: new connections are refused and open ones are closed.
     pub crashed: bool,
-    /// It is frozen: it takes connections and answers nothing.
+    /// The server accepts connections but doesn't respond.
     pub paused: bool,
-    /// It can't be reached by, and can't answer, daemons whose name contains one of these; an empty
-    /// string cuts off all of them.
+    /// The server is unreachable for daemons whose name contains one of these strings. An empty string matches every
+    /// daemon.
     pub cut_from: Vec<String>,
-    /// It can't exchange the log with other servers.
+    /// The server is cut off from replication with other servers.
     pub cut_from_servers: bool,
-    /// Each answer is held back for this long.
+    /// The additional delay of each response.
     pub answer_delay: Duration,
-    /// Each statement takes this much longer to run.
+    /// The additional execution time of each statement.
     pub extra_service: Duration,
-    /// It refuses new connections, as a server that shuts down does.
+    /// The server refuses new connections, as during a shutdown.
     pub shutting_down: bool,
 }
 
-/// Why a statement failed.
+/// The error of a failed statement.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ServerError {
     pub(crate) code: &'static str,
@@ -57,8 +57,8 @@
         ServerError { code, message: message.into() }
     }
 
-    /// The server does not take writes; nothing of the transaction was kept.
-    pub(crate) fn not_leading() -> ServerError {
+    /// Returns the error for a write on a server that isn't the primary of its term.
+    pub(crate) fn not_primary() -> ServerError {
         ServerError::new("25006", "this server does not take writes in its present term")
     }
 }
@@ -70,8 +70,8 @@
 }
 
 pub(crate) struct State {
-    pub(crate) live: Database,
-    pub(crate) work: Option<Database>,
+    pub(crate) committed_data: Database,
+    pub(crate) working_copy: Option<Database>,
     pub(crate) log: Vec<Arc<LogRecord>>,
     pub(crate) applied: usize,
     pub(crate) promised_term: Term,
@@ -83,13 +83,13 @@
     pub(crate) connections: usize,
 }
 
-/// A server without its network side.
+/// A server without its network listener.
 pub(crate) struct ServerCore {
     pub(crate) address: SocketAddr,
     pub(crate) state: Mutex<State>,
     pub(crate) faults: RwLock<ServerFaults>,
-    /// Held by the one transaction that writes.
-    pub(crate) writer: Arc<tokio::sync::Mutex<()>>,
+    /// Held by the only transaction that may write.
+    pub(crate) write_lock: Arc<tokio::sync::Mutex<()>>,
     pub(crate) receive_delay: Mutex<Duration>,
     pub(crate) apply_lag: Mutex<Duration>,
 }
@@ -98,8 +98,8 @@
     pub(crate) fn new(address: SocketAddr, leader: SocketAddr) -> ServerCore {
         let leads = address == leader;
         let state = State {
-            live: Database::new(),
-            work: leads.then(Database::new),
+            committed_data: Database::new(),
+            working_copy: leads.then(Database::new),
             log: Vec::new(),
             applied: 0,
             promised_term: Term(1),
@@ -114,7 +114,7 @@
             address,
             state: Mutex::new(state),
             faults: RwLock::default(),
-            writer: Arc::default(),
+            write_lock: Arc::default(),
             receive_delay: Mutex::new(Duration::ZERO),
             apply_lag: Mutex::new(Duration::ZERO),
         }
@@ -128,7 +128,7 @@
     pub(crate) fn seal(&self, term: Term) -> Result<ServerStatus, ServerError> {
         let mut state = self.state.lock();
         if term < state.promised_term {
-            return Err(lower_term(term, &state));
+            return Err(term_mismatch(term, &state));
         }
         state.promised_term = term;
         Ok(state.status())
@@ -137,18 +137,18 @@
     pub(crate) fn promote(&self, term: Term) -> Result<ServerStatus, ServerError> {
         let mut state = self.state.lock();
         if term != state.promised_term {
-            return Err(lower_term(term, &state));
+            return Err(term_mismatch(term, &state));
         }
         if state.role == ServerRole::Primary && state.log_term == term {
             return Ok(state.status());
         }
-        state.apply_until(usize::MAX);
+        state.apply_up_to(usize::MAX);
         state.role = ServerRole::Primary;
         state.leader = None;
         state.log_term = term;
         let start = Position(state.log.len() as u64);
         state.term_starts.push(TermStart { term, start });
-        state.work = Some(state.live.copy());
+        state.working_copy = Some(state.committed_data.copy());
         Ok(state.status())
     }
 
@@ -159,7 +159,7 @@
     ) -> Result<ServerStatus, ServerError> {
         let mut state = self.state.lock();
         if term < state.promised_term {
-            return Err(lower_term(term, &state));
+            return Err(term_mismatch(term, &state));
         }
         if leader == self.address {
             return Err(ServerError::new("22023", "a server can't follow itself"));
@@ -167,60 +167,60 @@
         state.promised_term = term;
         state.role = ServerRole::Replica;
         state.leader = Some(leader);
-        state.work = None;
+        state.working_copy = None;
         state.last_heard = Instant::now();
         Ok(state.status())
     }
 
-    /// Runs a statement outside a writing transaction, on what is committed and applied.
+    /// Runs a statement outside a write transaction, on the committed and applied data.
     pub(crate) fn read(
         &self,
         sql: &str,
         parameters: &[Parameter],
         formats: &[i16],
-    ) -> Result<Outcome, ServerError> {
+    ) -> Result<StatementResult, ServerError> {
         let state = self.state.lock();
-        state.live.run(sql, parameters, formats)
+        state.committed_data.run_statement(sql, parameters, formats)
     }
 
-    /// Runs a statement inside the writing transaction.
+    /// Runs a statement in the write transaction.
     pub(crate) fn write(
         &self,
         sql: &str,
         parameters: &[Parameter],
         formats: &[i16],
-    ) -> Result<Outcome, ServerError> {
+    ) -> Result<StatementResult, ServerError> {
         let state = self.state.lock();
-        let work = state.leading()?;
-        work.run(sql, parameters, formats)
+        let working_copy = state.writable_database()?;
+        working_copy.run_statement(sql, parameters, formats)
     }
 
     pub(crate) fn begin_write(&self) -> Result<(), ServerError> {
         let state = self.state.lock();
-        state.leading()?.begin();
+        state.writable_database()?.begin();
         Ok(())
     }
 
     pub(crate) fn rollback_write(&self) {
         let state = self.state.lock();
-        if let Some(work) = &state.work {
-            work.rollback();
+        if let Some(working_copy) = &state.working_copy {
+            working_copy.rollback();
         }
     }
 
-    /// Commits the writing transaction, unless the server has stopped leading meanwhile.
+    /// Commits the write transaction, or rolls it back if the server is no longer the primary.
     pub(crate) fn commit_write(
         &self,
         statements: Vec<(String, Vec<Parameter>)>,
     ) -> Result<LogPoint, ServerError> {
         let mut state = self.state.lock();
-        if let Err(error) = state.leading() {
-            if let Some(work) = &state.work {
-                work.rollback();
+        if let Err(error) = state.writable_database() {
+            if let Some(working_copy) = &state.working_copy {
+                working_copy.rollback();
             }
             return Err(error);
         }
-        let committed = state.leading()?.commit();
+        let committed = state.writable_database()?.commit();
         committed.map_err(|error| ServerError::new("40000", error))?;
         if !statements.is_empty() {
             let (statements, parameters) = statements.into_iter().unzip();
@@ -231,13 +231,13 @@
                 parameters,
                 committed_at: Instant::now(),
             }));
-            state.apply_until(usize::MAX);
+            state.apply_up_to(usize::MAX);
         }
         Ok(LogPoint { term: state.log_term, position: Position(state.log.len() as u64) })
     }
 }
 
-fn lower_term(term: Term, state: &State) -> ServerError {
+fn term_mismatch(term: Term, state: &State) -> ServerError {
     let promised = state.promised_term;
     ServerError::new("55000", format!("term {term} does not fit the promised term {promised}"))
 }
@@ -257,36 +257,36 @@
         }
     }
 
-    /// Returns the database that writes run on, if the server leads in its term.
-    fn leading(&self) -> Result<&Database, ServerError> {
-        match &self.work {
-            Some(work) if self.status().leads() => Ok(work),
-            _ => Err(ServerError::not_leading()),
+    /// Returns the database for writes, or an error if the server isn't the primary of its term.
+    fn writable_database(&self) -> Result<&Database, ServerError> {
+        match &self.working_copy {
+            Some(working_copy) if self.status().leads() => Ok(working_copy),
+            _ => Err(ServerError::not_primary()),
         }
     }
 
-    /// Applies log records until `until` of them are applied.
-    pub(crate) fn apply_until(&mut self, until: usize) {
-        while self.applied < self.log.len().min(until) {
+    /// Applies log records until `count` of them are applied.
+    pub(crate) fn apply_up_to(&mut self, count: usize) {
+        while self.applied < self.log.len().min(count) {
             let record = self.log[self.applied].clone();
             for (sql, parameters) in record.statements.iter().zip(&record.parameters) {
-                // It ran on the primary, so a failure here fails there alike.
-                let _ = self.live.run(sql, parameters, &[]);
+                // A statement that fails here has also failed on the primary.
+                let _ = self.committed_data.run_statement(sql, parameters, &[]);
             }
             self.applied += 1;
         }
     }
 
-    /// Drops what the new leader's history does not have.
+    /// Removes the log records from `length` on, which the new leader doesn't have.
     pub(crate) fn truncate(&mut self, length: usize) {
         if length >= self.log.len() {
             return;
         }
         self.log.truncate(length);
         if self.applied > length {
-            self.live = Database::new();
+            self.committed_data = Database::new();
             self.applied = 0;
-            self.apply_until(length);
+            self.apply_up_to(length);
         }
     }
 }
--- a/crates/standin/src/server_session.rs
+++ b/crates/standin/src/server_session.rs
@@ -1,4 +1,4 @@
-//! One connection to a stand-in server.
+//! A connection to a stand-in server.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
 use wire::{CallerStream, StreamEnd};
 
 use crate::{
-    answers::{TEXT_OID, tagged, text_column, text_row},
-    database::{Outcome, Parameter, first_word},
+    answers::{TEXT_OID, tag_only, text_column, text_value},
+    database::{Parameter, StatementResult, first_word},
     endpoint::Shared,
     server_core::ServerError,
-    sql_text::{is_control, is_plain, sleep_seconds, split_statements, strip_casts},
+    sql_text::{is_control_call, runs_in_database, sleep_seconds, split_statements, strip_casts},
     value_codec::ValueType,
 };
 
-/// How long a transaction waits for the one that writes.
-const WRITER_WAIT: Duration = Duration::from_secs(10);
+/// The time limit to wait for the write lock.
+const WRITE_LOCK_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct PreparedStatement {
     sql: String,
@@ -38,13 +38,13 @@
     formats: Vec<i16>,
 }
 
-/// What the connection's transaction has done.
+/// The state of the connection's transaction.
 struct Transaction {
     explicit: bool,
     failed: bool,
     read_only: bool,
-    /// Held once it has written, with what it wrote.
-    writing: Option<OwnedMutexGuard<()>>,
+    /// The write lock, from the first write on.
+    write_guard: Option<OwnedMutexGuard<()>>,
     statements: Vec<(String, Vec<Parameter>)>,
 }
 
@@ -55,8 +55,8 @@
     prepared: HashMap<String, Arc<PreparedStatement>>,
     portals: HashMap<String, Portal>,
     transaction: Option<Transaction>,
-    /// After an error, extended messages are skipped until the next `Sync`.
-    skipping: bool,
+    /// After an error, extended-protocol messages are skipped until the next `Sync`.
+    skip_until_sync: bool,
     cancelled: Arc<tokio::sync::Notify>,
 }
 
@@ -74,7 +74,7 @@
             prepared: HashMap::new(),
             portals: HashMap::new(),
             transaction: None,
-            skipping: false,
+            skip_until_sync: false,
             cancelled,
         }
     }
@@ -85,7 +85,7 @@
                 Ok(PgWireFrontendMessage::Terminate(_)) | Err(_) => break,
                 Ok(message) => message,
             };
-            self.shared.until_reachable(&self.caller).await;
+            self.shared.wait_until_reachable(&self.caller).await;
             if self.handle(message).await.is_err() {
                 break;
             }
@@ -93,7 +93,7 @@
     }
 
     async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<(), StreamEnd> {
-        if self.skipping && !matches!(message, PgWireFrontendMessage::Sync(_)) {
+        if self.skip_until_sync && !matches!(message, PgWireFrontendMessage::Sync(_)) {
             return Ok(());
         }
         match message {
@@ -102,22 +102,22 @@
                 self.ready().await
             }
             PgWireFrontendMessage::Sync(_) => {
-                self.skipping = false;
+                self.skip_until_sync = false;
                 self.end_implicit();
                 self.ready().await
             }
             PgWireFrontendMessage::Flush(_) => self.send().await,
             other => {
-                if let Err(error) = self.extended(other).await {
-                    self.fail(&error);
-                    self.skipping = true;
+                if let Err(error) = self.handle_extended(other).await {
+                    self.send_error(&error);
+                    self.skip_until_sync = true;
                 }
                 Ok(())
             }
         }
     }
 
-    async fn extended(&mut self, message: PgWireFrontendMessage) -> Result<(), ServerError> {
+    async fn handle_extended(&mut self, message: PgWireFrontendMessage) -> Result<(), ServerError> {
         match message {
             PgWireFrontendMessage::Parse(parse) => self.parse(parse),
             PgWireFrontendMessage::Bind(bind) => self.bind(bind),
@@ -143,15 +143,15 @@
     fn parse(&mut self, parse: Parse) -> Result<(), ServerError> {
         let (sql, casts) = strip_casts(&parse.query);
         let mut types = parse.type_oids;
-        for (place, oid) in casts {
-            if types.len() < place {
-                types.resize(place, 0);
+        for (position, oid) in casts {
+            if types.len() < position {
+                types.resize(position, 0);
             }
-            types[place - 1] = oid;
+            types[position - 1] = oid;
         }
-        if is_plain(&sql) {
+        if runs_in_database(&sql) {
             let state = self.shared.core.state.lock();
-            let described = state.live.describe(&sql);
+            let described = state.committed_data.describe(&sql);
             let (count, _) = described.map_err(|error| ServerError::new("42601", error))?;
             types.resize(count.max(types.len()), 0);
         }
@@ -214,11 +214,11 @@
         sql: &str,
         formats: &[i16],
     ) -> Result<Option<RowDescription>, ServerError> {
-        if !is_plain(sql) {
-            return Ok(is_control(sql).then(|| text_column("wardtiller")));
+        if !runs_in_database(sql) {
+            return Ok(is_control_call(sql).then(|| text_column("wardtiller")));
         }
         let state = self.shared.core.state.lock();
-        let described = state.live.describe(sql);
+        let described = state.committed_data.describe(sql);
         let (_, description) = described.map_err(|error| ServerError::new("42601", error))?;
         Ok(description.map(|mut description| {
             for (index, field) in description.fields.iter_mut().enumerate() {
@@ -239,8 +239,8 @@
             .remove(&name)
             .ok_or_else(|| ServerError::new("34000", format!("no portal `{name}`")))?;
         let sql = portal.statement.sql.clone();
-        let outcome = self.statement(&sql, &portal.parameters, &portal.formats).await?;
-        self.answer(outcome, false);
+        let result = self.run_statement(&sql, &portal.parameters, &portal.formats).await?;
+        self.add_result(result, false);
         Ok(())
     }
 
@@ -252,10 +252,10 @@
             return;
         }
         for sql in statements {
-            match self.statement(&sql, &[], &[]).await {
-                Ok(outcome) => self.answer(outcome, true),
+            match self.run_statement(&sql, &[], &[]).await {
+                Ok(result) => self.add_result(result, true),
                 Err(error) => {
-                    self.fail(&error);
+                    self.send_error(&error);
                     return;
                 }
             }
@@ -263,86 +263,86 @@
         self.end_implicit();
     }
 
-    /// Runs one statement within the transaction that it begins, ends or stands in.
-    async fn statement(
+    /// Runs one statement and updates the state of the transaction.
+    async fn run_statement(
         &mut self,
         sql: &str,
         parameters: &[Parameter],
         formats: &[i16],
-    ) -> Result<Outcome, ServerError> {
-        if let Some(answer) = self.control(sql)? {
-            return Ok(answer);
+    ) -> Result<StatementResult, ServerError> {
+        if let Some(result) = self.run_control_call(sql)? {
+            return Ok(result);
         }
-        let word = first_word(sql);
+        let keyword = first_word(sql);
         let failed = self.transaction.as_ref().is_some_and(|transaction| transaction.failed);
-        if failed && !matches!(word.as_str(), "ROLLBACK" | "COMMIT" | "END") {
+        if failed && !matches!(keyword.as_str(), "ROLLBACK" | "COMMIT" | "END") {
             let message = "current transaction is aborted, commands ignored until end of block";
             return Err(ServerError::new("25P02", message));
         }
-        match word.as_str() {
+        match keyword.as_str() {
             "BEGIN" | "START" => {
                 self.end_implicit();
                 let read_only = sql.to_uppercase().contains("READ ONLY");
                 self.transaction = Some(Transaction::new(true, read_only));
-                Ok(tagged("BEGIN"))
+                Ok(tag_only("BEGIN"))
             }
             "COMMIT" | "END" => self.commit(),
             "ROLLBACK" if !sql.to_uppercase().contains(" TO ") => {
                 self.abort();
-                Ok(tagged("ROLLBACK"))
+                Ok(tag_only("ROLLBACK"))
             }
-            "SET" | "RESET" | "DISCARD" => Ok(tagged(&word)),
-            "SHOW" => Ok(text_row("setting", "")),
+            "SET" | "RESET" | "DISCARD" => Ok(tag_only(&keyword)),
+            "SHOW" => Ok(text_value("setting", "")),
             _ => {
-                self.work().await?;
-                self.plain(&word, sql, parameters, formats).await
+                self.simulate_execution().await?;
+                self.run_data_statement(&keyword, sql, parameters, formats).await
             }
         }
     }
 
-    async fn plain(
+    async fn run_data_statement(
         &mut self,
-        word: &str,
+        keyword: &str,
         sql: &str,
         parameters: &[Parameter],
         formats: &[i16],
-    ) -> Result<Outcome, ServerError> {
+    ) -> Result<StatementResult, ServerError> {
         if let Some(seconds) = sleep_seconds(sql) {
             return self.sleep(seconds).await;
         }
-        let reads = matches!(word, "SELECT" | "WITH" | "VALUES" | "EXPLAIN" | "TABLE");
+        let is_read = matches!(keyword, "SELECT" | "WITH" | "VALUES" | "EXPLAIN" | "TABLE");
         let core = self.shared.core.clone();
         let writing =
-            self.transaction.as_ref().is_some_and(|transaction| transaction.writing.is_some());
-        if reads && !writing {
+            self.transaction.as_ref().is_some_and(|transaction| transaction.write_guard.is_some());
+        if is_read && !writing {
             return core.read(sql, parameters, formats);
         }
         if !writing {
             self.begin_write().await?;
         }
-        let outcome = core.write(sql, parameters, formats)?;
-        if !reads && let Some(transaction) = &mut self.transaction {
+        let result = core.write(sql, parameters, formats)?;
+        if !is_read && let Some(transaction) = &mut self.transaction {
             transaction.statements.push((sql.to_owned(), parameters.to_vec()));
         }
-        Ok(outcome)
+        Ok(result)
     }
 
     async fn begin_write(&mut self) -> Result<(), ServerError> {
         if self.transaction.as_ref().is_some_and(|transaction| transaction.read_only) {
             return Err(ServerError::new("25006", "cannot write in a read-only transaction"));
         }
-        let writer = self.shared.core.writer.clone();
-        let guard = tokio::time::timeout(WRITER_WAIT, writer.lock_owned())
+        let write_lock = self.shared.core.write_lock.clone();
+        let guard = tokio::time::timeout(WRITE_LOCK_TIMEOUT, write_lock.lock_owned())
             .await
             .map_err(|_| ServerError::new("55P03", "another transaction holds the lock"))?;
         self.shared.core.begin_write()?;
         let transaction = self.transaction.get_or_insert_with(|| Transaction::new(false, false));
-        transaction.writing = Some(guard);
+        transaction.write_guard = Some(guard);
         Ok(())
     }
 
-    /// Waits for one of the server's slots and works for as long as a statement takes.
-    async fn work(&self) -> Result<(), ServerError> {
+    /// Occupies one of the server's slots for the execution time of a statement.
+    async fn simulate_execution(&self) -> Result<(), ServerError> {
         let service = self.shared.service_time();
         if service.is_zero() {
             return Ok(());
@@ -357,10 +357,10 @@
         Ok(())
     }
 
-    async fn sleep(&self, seconds: f64) -> Result<Outcome, ServerError> {
+    async fn sleep(&self, seconds: f64) -> Result<StatementResult, ServerError> {
         tokio::select! {
             () = tokio::time::sleep(Duration::from_secs_f64(seconds)) => {
-                Ok(text_row("pg_sleep", ""))
+                Ok(text_value("pg_sleep", ""))
             }
             () = self.cancelled.notified() => {
                 Err(ServerError::new("57014", "canceling statement due to user request"))
@@ -368,35 +368,35 @@
         }
     }
 
-    fn commit(&mut self) -> Result<Outcome, ServerError> {
-        let Some(transaction) = self.transaction.take() else { return Ok(tagged("COMMIT")) };
+    fn commit(&mut self) -> Result<StatementResult, ServerError> {
+        let Some(transaction) = self.transaction.take() else { return Ok(tag_only("COMMIT")) };
         if transaction.failed {
-            self.shared.roll_back(transaction.writing.is_some());
-            return Ok(tagged("ROLLBACK"));
+            self.shared.roll_back(transaction.write_guard.is_some());
+            return Ok(tag_only("ROLLBACK"));
         }
-        if transaction.writing.is_some() {
+        if transaction.write_guard.is_some() {
             self.shared.core.commit_write(transaction.statements)?;
         }
-        Ok(tagged("COMMIT"))
+        Ok(tag_only("COMMIT"))
     }
 
-    /// Ends the transaction that a request without `BEGIN` is.
+    /// Commits the implicit transaction of a request without `BEGIN`.
     fn end_implicit(&mut self) {
         if self.transaction.as_ref().is_none_or(|transaction| transaction.explicit) {
             return;
         }
         if let Err(error) = self.commit() {
-            self.fail(&error);
+            self.send_error(&error);
         }
     }
 
     fn abort(&mut self) {
         if let Some(transaction) = self.transaction.take() {
-            self.shared.roll_back(transaction.writing.is_some());
+            self.shared.roll_back(transaction.write_guard.is_some());
         }
     }
 
-    fn fail(&mut self, error: &ServerError) {
+    fn send_error(&mut self, error: &ServerError) {
         match &mut self.transaction {
             Some(transaction) if transaction.explicit => transaction.failed = true,
             _ => self.abort(),
@@ -410,8 +410,8 @@
         self.stream.add(&PgWireBackendMessage::ErrorResponse(ErrorResponse::new(fields)));
     }
 
-    /// Answers the calls by which daemons ask for and change a server's standing.
-    fn control(&mut self, sql: &str) -> Result<Option<Outcome>, ServerError> {
+    /// Runs the control functions, by which daemons read and change the role and the term of the server.
+    fn run_control_call(&mut self, sql: &str) -> Result<Option<StatementResult>, ServerError> {
         let Some(call) = sql.trim().strip_prefix("SELECT wardtiller_") else { return Ok(None) };
         let (name, arguments) = call.split_once('(').unwrap_or((call, ""));
         let arguments: Vec<&str> = arguments
@@ -436,17 +436,17 @@
             }
             _ => return Err(ServerError::new("42883", format!("no function wardtiller_{name}"))),
         };
-        Ok(Some(text_row("wardtiller", &status_json(&status))))
+        Ok(Some(text_value("wardtiller", &status_json(&status))))
     }
 
-    fn answer(&mut self, outcome: Outcome, describe: bool) {
-        if describe && let Some(description) = outcome.description {
+    fn add_result(&mut self, result: StatementResult, describe: bool) {
+        if describe && let Some(description) = result.description {
             self.stream.add(&PgWireBackendMessage::RowDescription(description));
         }
-        for row in outcome.rows {
+        for row in result.rows {
             self.stream.add(&PgWireBackendMessage::DataRow(row));
         }
-        let message = CommandComplete::new(outcome.tag);
+        let message = CommandComplete::new(result.tag);
         self.stream.add(&PgWireBackendMessage::CommandComplete(message));
     }
 
@@ -465,13 +465,13 @@
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        self.shared.until_reachable(&self.caller).await;
+        self.shared.wait_until_reachable(&self.caller).await;
         self.stream.flush().await
     }
 }
 
 impl Drop for ServerSession {
-    /// A crash drops the session wherever it stands, and what it wrote must not stay behind.
+    /// Rolls back the open transaction, since a crash fault drops the session at any point.
     fn drop(&mut self) {
         self.abort();
     }
@@ -479,7 +479,13 @@
 
 impl Transaction {
     fn new(explicit: bool, read_only: bool) -> Transaction {
-        Transaction { explicit, failed: false, read_only, writing: None, statements: Vec::new() }
+        Transaction {
+            explicit,
+            failed: false,
+            read_only,
+            write_guard: None,
+            statements: Vec::new(),
+        }
     }
 }
 
