--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -86,17 +86,17 @@
             };
             let sent_at = Instant::now();
             attempts.sent += 1;
-            group.retries.borrow_mut().on_request();
+            group.hedge_budget.borrow_mut().on_request();
             let may_run_again = class == StatementClass::Read;
             let sent = self
                 .send(&group, job, &mut assignment.connection, assignment.min_point, may_run_again)
                 .await;
             let server_route = assignment.connection.server_route();
             let server = server_route.server.clone();
-            self.note_own_health(&group, &server_route, &sent);
+            self.record_own_health(&group, &server_route, &sent);
             let next = match sent {
                 Ok(answer) => match answer.error_code() {
-                    None if self.is_lease_still_valid(job, &assignment) => {
+                    None if self.may_return_answer(job, &assignment) => {
                         return self.finish_single(&group, job, assignment, answer, sent_at).await;
                     }
                     None => {
@@ -104,7 +104,7 @@
                         NextStep::AwaitPrimary
                     }
                     Some(code) => {
-                        self.note_path_answered(&group.pool, &server_route);
+                        self.record_path_answered(&group.pool, &server_route);
                         self.on_server_error(
                             &group,
                             job,
@@ -128,7 +128,7 @@
                         attempts.sent -= 1;
                     }
                     attempts.last_error = refusal_code(&lost);
-                    self.note_loss(&group, &job.route.service, &server_route, &lost);
+                    self.on_connection_lost(&group, &job.route.service, &server_route, &lost);
                     if let Some(error) =
                         self.overload_refusal(&group, job, &attempts, &server, &lost)
                     {
@@ -150,7 +150,7 @@
 
     /// Whether the primary lease under which a read was sent still holds, so that its answer may be returned.
     /// A read that was forwarded to an owner may have waited there for longer than the lease lasts.
-    fn is_lease_still_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
+    fn may_return_answer(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         let is_primary_read =
             job.statement.class() == StatementClass::Read && assignment.leader.is_some();
         !is_primary_read
@@ -177,7 +177,7 @@
         let mut min_point = self.current_min_point(group, job, class);
         let bound = job.route.read_rule.bound().filter(|_| class == StatementClass::Read);
         if let Some(bound) = bound.filter(|_| min_point.is_none()) {
-            self.request_sample(group, now);
+            self.report_sample_wanted(group, now);
             if let Some(leader) = known_leader.filter(|_| !attempts.requested_sample) {
                 attempts.requested_sample = true;
                 let max_age = max_sample_age(bound, leader.is_valid(now));
@@ -240,7 +240,7 @@
 
     /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
     /// channel, which also carries messages that are sent only once.
-    fn request_sample(&self, group: &Group<E>, now: Instant) {
+    fn report_sample_wanted(&self, group: &Group<E>, now: Instant) {
         let requested_at = group.sample_requested_at.get();
         if requested_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
@@ -290,7 +290,7 @@
             && job.route.read_rule != ReadRule::Primary
             && let Some(leader) = self.control_view().leaders.get(&job.route.service)
         {
-            self.note_replicas_behind(group, &job.route.service, &leader.server);
+            self.record_replicas_behind(group, &job.route.service, &leader.server);
         }
         let expected = group.pool.expected_wait();
         match error {
@@ -388,7 +388,7 @@
                 }
                 () = tokio::time::sleep_until(slow_at.into()), if may_run_again && !slow => {
                     slow = true;
-                    if group.retries.borrow_mut().try_retry() {
+                    if group.hedge_budget.borrow_mut().try_retry() {
                         return;
                     }
                 }
@@ -408,8 +408,8 @@
         let server_route = assignment.connection.server_route();
         assignment.connection.release();
         let service = &job.route.service;
-        self.note_answer(group, service, &server_route, answer.point, Some(sent_at.elapsed()));
-        self.note_served(group, job, assignment.leader.is_some());
+        self.record_answer(group, service, &server_route, answer.point, Some(sent_at.elapsed()));
+        self.record_success(group, job, assignment.leader.is_some());
         let Some(leader) = assignment.leader else { return answer };
         let sample = Sample { sent_at, known_point: assignment.known_point, point: answer.point };
         self.add_sample(group, service, &leader, sample);
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -196,7 +196,7 @@
         reuse.least_likely_reused(&idle, now)
     }
 
-    pub(crate) fn note_use(&mut self, principal: &Principal) {
+    pub(crate) fn on_used(&mut self, principal: &Principal) {
         if let Some(reuse) = &mut self.reuse {
             reuse.on_used(principal.account_name(), Instant::now());
         }
@@ -221,7 +221,7 @@
 
     /// Records an answer and the log point in it. `took` is `None` for an error: errors arrive faster than results,
     /// and counting them would draw more statements to a failing server.
-    pub(crate) fn note_answer(&mut self, point: Option<LogPoint>, took: Option<Duration>) {
+    pub(crate) fn on_answer(&mut self, point: Option<LogPoint>, took: Option<Duration>) {
         if let Some(took) = took {
             self.latency.add(took.as_micros() as u64);
             self.latency_at = Some(Instant::now());
@@ -235,17 +235,17 @@
     }
 
     /// Records that the server's log lacked the required point.
-    pub(crate) fn note_lagging(&mut self) {
+    pub(crate) fn on_lagging(&mut self) {
         self.lagging_until = Some(Instant::now() + LAGGING_PAUSE);
     }
 
     /// Records that the server could not be reached or failed, and avoids it for a while.
-    pub(crate) fn note_failure(&mut self) {
+    pub(crate) fn on_failure(&mut self) {
         self.avoid_until = Some(Instant::now() + self.next_backoff());
     }
 
     /// Records that a connection could not be opened; returns how long no other is opened.
-    pub(crate) fn note_open_failed(&mut self, refused: bool) -> Duration {
+    pub(crate) fn on_open_failed(&mut self, refused: bool) -> Duration {
         let max_backoff = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
         let backoff = self.next_backoff().min(max_backoff);
         self.no_opening_until = Some(Instant::now() + backoff);
@@ -274,7 +274,7 @@
     }
 
     /// Records that the owner's circuit breaker for this server is open.
-    pub(crate) fn note_circuit_open(&mut self) {
+    pub(crate) fn on_circuit_open(&mut self) {
         self.avoid_until = Some(Instant::now() + FIRST_BACKOFF);
     }
 
@@ -290,17 +290,17 @@
     }
 
     /// Whether a tunnel may be tried now.
-    pub(crate) fn has_tunnel(&self, now: Instant) -> bool {
+    pub(crate) fn may_tunnel(&self, now: Instant) -> bool {
         !self.tunnels.is_empty() && self.no_tunnel_until.is_none_or(|until| now >= until)
     }
 
     /// Returns the daemon whose tunnel is to be used, if any.
     pub(crate) fn tunnel(&self, now: Instant) -> Option<SocketAddr> {
-        self.tunnels.get(self.next_tunnel).copied().filter(|_| self.has_tunnel(now))
+        self.tunnels.get(self.next_tunnel).copied().filter(|_| self.may_tunnel(now))
     }
 
     /// Records that a tunnel failed. The next daemon is tried; after the last one there is a pause.
-    pub(crate) fn note_tunnel_failed(&mut self, peer: SocketAddr) {
+    pub(crate) fn on_tunnel_failed(&mut self, peer: SocketAddr) {
         if self.tunnels.get(self.next_tunnel) != Some(&peer) {
             return;
         }
@@ -319,7 +319,7 @@
 
     /// Whether the last probe failed and no tunnel works.
     pub(crate) fn is_unreachable(&self, now: Instant) -> bool {
-        let has_tunnel = self.paths.has_tunnel() && self.has_tunnel(now);
+        let has_tunnel = self.paths.has_working_tunnel() && self.may_tunnel(now);
         self.paths.is_unreachable() && !has_tunnel
     }
 
@@ -349,14 +349,14 @@
     /// Returns how many connections may be used now; only those in use while the pause after a failed open lasts.
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
-            Some(until) if now < until && !self.has_tunnel(now) => self.limit.min(self.in_use),
+            Some(until) if now < until && !self.may_tunnel(now) => self.limit.min(self.in_use),
             _ => self.limit + self.overflow_at(now),
         }
     }
 
     pub(crate) fn may_open(&self, now: Instant) -> bool {
         let is_paused = self.no_opening_until.is_some_and(|until| now < until);
-        self.in_use < self.max_connections_at(now) && (!is_paused || self.has_tunnel(now))
+        self.in_use < self.max_connections_at(now) && (!is_paused || self.may_tunnel(now))
     }
 
     /// Whether there is no connection and none may be opened before `deadline`.
@@ -398,7 +398,7 @@
         if let Some(only) = &request.only {
             return *only == self.entry.server;
         }
-        let is_avoided = self.avoid_until.is_some_and(|until| now < until) && !self.has_tunnel(now);
+        let is_avoided = self.avoid_until.is_some_and(|until| now < until) && !self.may_tunnel(now);
         let is_lagging = self.lagging_until.is_some_and(|until| now < until)
             && request
                 .min_point
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs a load and settles its ledger.
+//! Runs a load and verifies its results.
 
 use std::{
     collections::HashMap,
@@ -15,15 +15,15 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 use super::{
-    caller::{Caller, MENU_ITEMS, Shared},
-    faults::{Fault, inject},
+    caller::{Caller, LoadContext, MENU_ITEMS},
+    faults::{Fault, inject_faults},
     ledger::{Ledger, WriteId},
     mix::Mix,
     report::{LoadReport, Measurements},
 };
 use crate::local_system::LocalSystem;
 
-/// How a load is run.
+/// The options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
     mix: Option<Mix>,
@@ -48,13 +48,13 @@
 }
 
 impl LoadOptions {
-    /// Sets what callers do; by default what fits the configuration.
+    /// Sets the mix of requests; `None` chooses it by the read kinds of the service.
     pub fn mix(mut self, mix: Option<Mix>) -> LoadOptions {
         self.mix = mix;
         self
     }
 
-    /// Sets for how long callers are driven.
+    /// Sets the duration of the run in seconds.
     pub fn seconds(mut self, seconds: u64) -> LoadOptions {
         self.seconds = seconds;
         self
@@ -66,55 +66,57 @@
         self
     }
 
-    /// Sets how many callers there are.
+    /// Sets the number of concurrent callers.
     pub fn callers(mut self, callers: usize) -> LoadOptions {
         self.callers = callers;
         self
     }
 
-    /// Sets the time between the requests of one caller.
+    /// Sets the delay between two requests of one caller.
     pub fn pace(mut self, pace: Duration) -> LoadOptions {
         self.pace = pace;
         self
     }
 
-    /// Sets the faults that are brought about.
+    /// Sets the faults to inject.
     pub fn faults(mut self, faults: Vec<Fault>) -> LoadOptions {
         self.faults = faults;
         self
     }
 }
 
-/// Polls in a row that must find the tables; each may be served by another replica.
-const POLLS_IN_A_ROW: usize = 16;
+/// The number of consecutive successful reads from replicas before a run starts. Each read may reach another replica.
+const REQUIRED_CONSECUTIVE_READS: usize = 16;
 
-/// How long the replicas may take to have the tables.
+/// The time limit for the tables to appear on the replicas.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The system that is driven.
+/// The system under load.
 pub enum Target<'a> {
-    /// One that runs already.
+    /// A running system, by the caller addresses of its daemons.
     Running(Vec<SocketAddr>),
-    /// A local one, which can be hurt.
+    /// A local system, which supports fault injection.
     Local(&'a mut LocalSystem),
 }
 
-/// Runs a load against the first service of a configuration.
+/// Runs a load against the first service of a configuration and verifies the result.
 pub fn run_load(
     configuration: &Configuration,
     mut target: Target<'_>,
     options: &LoadOptions,
 ) -> eyre::Result<LoadReport> {
-    let service = configuration.services.values().next().ok_or_eyre("there is no service")?;
-    let user = configuration.users.keys().next().ok_or_eyre("there is no user")?.to_string();
+    let service =
+        configuration.services.values().next().ok_or_eyre("the configuration has no service")?;
+    let user =
+        configuration.users.keys().next().ok_or_eyre("the configuration has no user")?.to_string();
     let targets = match &target {
         Target::Running(targets) => targets.clone(),
         Target::Local(system) => system.caller_addresses(),
     };
-    ensure!(!targets.is_empty(), "there is no daemon to drive");
+    ensure!(!targets.is_empty(), "no caller address of a daemon is given");
     ensure!(
         options.faults.is_empty() || matches!(target, Target::Local(_)),
-        "faults need a local system; leave --target out"
+        "faults need a local system; remove --target"
     );
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let run = Run { service, user, targets, options };
@@ -125,11 +127,11 @@
         .map(|number| runtime.spawn(Caller::new(shared.clone(), number, options.seed).run()))
         .collect();
     if let Target::Local(system) = &mut target {
-        inject(system, &options.faults, began)?;
+        inject_faults(system, &options.faults, began)?;
     }
     runtime.block_on(async {
         for caller in callers {
-            caller.await.wrap_err("a caller failed")?;
+            caller.await.wrap_err("a caller task failed")?;
         }
         eyre::Ok(())
     })?;
@@ -137,7 +139,7 @@
     if let Target::Local(system) = &target {
         system.wait_until_ready()?;
     }
-    runtime.block_on(run.settle(&shared))?;
+    runtime.block_on(run.verify(&shared))?;
     Ok(run.report(&shared, seconds))
 }
 
@@ -151,22 +153,22 @@
 impl Run<'_> {
     fn mix(&self) -> Mix {
         let kinds: Vec<&str> = self.service.kinds.keys().map(|kind| &**kind).collect();
-        self.options.mix.unwrap_or_else(|| Mix::fitting(&kinds))
+        self.options.mix.unwrap_or_else(|| Mix::for_read_kinds(&kinds))
     }
 
-    fn shared(&self, began: Instant) -> Arc<Shared> {
-        Arc::new(Shared {
+    fn shared(&self, began: Instant) -> Arc<LoadContext> {
+        Arc::new(LoadContext {
             targets: self.targets.clone(),
             service: self.service.name.to_string(),
             groups: self.service.groups.iter().map(|group| group.to_string()).collect(),
             user: self.user.clone(),
             mix: self.mix(),
-            until: began + Duration::from_secs(self.options.seconds),
+            deadline: began + Duration::from_secs(self.options.seconds),
             pace: self.options.pace,
             ledger: Ledger::default(),
             measurements: Measurements::default(),
-            own_reads: AtomicU64::new(0),
-            lost_told: AtomicU64::new(0),
+            own_reads_checked: AtomicU64::new(0),
+            lost_writes_reported: AtomicU64::new(0),
         })
     }
 
@@ -180,12 +182,13 @@
             self.service.name
         );
         let connected = tokio_postgres::connect(&parameters, NoTls).await;
-        let (client, connection) = connected.wrap_err_with(|| format!("can't use {target}"))?;
+        let (client, connection) =
+            connected.wrap_err_with(|| format!("can't connect to {target}"))?;
         tokio::spawn(connection);
         Ok(client)
     }
 
-    /// Makes the tables in every group, empty.
+    /// Recreates the tables in every group.
     async fn prepare(&self) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
@@ -200,22 +203,22 @@
                 (0..MENU_ITEMS).map(|item| format!("({item}, 'dish {item}')")).collect();
             let sql = format!("INSERT INTO menu VALUES {}", items.join(", "));
             client.batch_execute(&sql).await?;
-            // A session that has written nothing, whatever the policy makes of one that has.
+            // A new connection, since the read policy may route a session that has written to the primary.
             self.wait_for_replicas(&self.connect(group).await?).await?;
         }
         Ok(())
     }
 
-    /// Waits until polls find what was just written, which accept data from before it.
+    /// Waits until the replicas serve the new tables to reads that accept staleness.
     async fn wait_for_replicas(&self, client: &Client) -> eyre::Result<()> {
-        let kind = self.mix().kind();
+        let kind = self.mix().read_kind();
         let poll = format!("SELECT count(*) FROM menu /* wardtiller.read_kind='{kind}' */");
-        let until = Instant::now() + PREPARE_TIMEOUT;
-        let mut found_in_a_row = 0;
-        while found_in_a_row < POLLS_IN_A_ROW {
-            ensure!(Instant::now() < until, "the replicas did not catch up in time");
+        let deadline = Instant::now() + PREPARE_TIMEOUT;
+        let mut consecutive_reads = 0;
+        while consecutive_reads < REQUIRED_CONSECUTIVE_READS {
+            ensure!(Instant::now() < deadline, "the replicas did not catch up in time");
             let found = client.simple_query(&poll).await.is_ok() && served_by_replica(client).await;
-            found_in_a_row = if found { found_in_a_row + 1 } else { 0 };
+            consecutive_reads = if found { consecutive_reads + 1 } else { 0 };
             if !found {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -223,24 +226,24 @@
         Ok(())
     }
 
-    /// Holds what each group contains against what callers were told.
-    async fn settle(&self, shared: &Shared) -> eyre::Result<()> {
+    /// Compares the contents of each group with the outcomes that the callers recorded.
+    async fn verify(&self, shared: &LoadContext) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
             let mut found: HashMap<WriteId, (u64, u64)> = HashMap::new();
-            for id in rows(&client, group, "orders").await? {
+            for id in read_writes(&client, group, "orders").await? {
                 found.entry(id).or_default().0 += 1;
             }
-            for id in rows(&client, group, "holds").await? {
+            for id in read_writes(&client, group, "holds").await? {
                 found.entry(id).or_default().1 += 1;
             }
-            shared.ledger.settle(group, &found);
+            shared.ledger.verify_group(group, &found);
         }
         Ok(())
     }
 
-    fn report(&self, shared: &Shared, seconds: f64) -> LoadReport {
-        let gaps = shared.ledger.gaps().into_iter();
+    fn report(&self, shared: &LoadContext, seconds: f64) -> LoadReport {
+        let gaps = shared.ledger.failover_gaps().into_iter();
         LoadReport {
             seconds,
             seed: self.options.seed,
@@ -251,14 +254,14 @@
             failover_gaps_ms: gaps
                 .map(|(group, gap)| (group, u64::try_from(gap.as_millis()).unwrap_or(u64::MAX)))
                 .collect(),
-            own_reads_checked: shared.own_reads.load(Ordering::Relaxed),
-            told_of_lost_writes: shared.lost_told.load(Ordering::Relaxed),
+            own_reads_checked: shared.own_reads_checked.load(Ordering::Relaxed),
+            sessions_with_lost_writes: shared.lost_writes_reported.load(Ordering::Relaxed),
             violations: shared.ledger.violations(),
         }
     }
 }
 
-/// Whether a replica answered the client's last statement.
+/// Returns whether a replica served the client's last statement.
 async fn served_by_replica(client: &Client) -> bool {
     let Ok(messages) = client.simple_query("SHOW wardtiller.served_by").await else { return false };
     messages.iter().any(|message| {
@@ -267,7 +270,7 @@
     })
 }
 
-async fn rows(client: &Client, group: &str, table: &str) -> eyre::Result<Vec<WriteId>> {
+async fn read_writes(client: &Client, group: &str, table: &str) -> eyre::Result<Vec<WriteId>> {
     let messages = client.simple_query(&format!("SELECT caller, seq FROM {table}")).await?;
     let mut rows = Vec::new();
     for message in &messages {
