--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -79,7 +79,8 @@
             changes.mark_unchanged();
             let unreachable = {
                 let faults = self.core.faults.read();
-                faults.paused || faults.cut_from.iter().any(|name| caller.contains(name.as_str()))
+                faults.paused
+                    || faults.unreachable_from.iter().any(|name| caller.contains(name.as_str()))
             };
             if !unreachable || changes.changed().await.is_err() {
                 return;
@@ -88,7 +89,7 @@
     }
 
     pub(crate) fn service_time(&self) -> Duration {
-        self.options.service_time + self.core.faults.read().extra_service
+        self.options.service_time + self.core.faults.read().extra_service_time
     }
 
     pub(crate) fn roll_back(&self, wrote: bool) {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -34,7 +34,7 @@
     /// The additional delay of each call.
     pub delay: Duration,
     /// The number of following writes that are executed but answered with an error.
-    pub lose_answers: u32,
+    pub lose_responses: u32,
 }
 
 struct StoredValue {
@@ -236,9 +236,9 @@
         let version = contents.version;
         contents.values.insert(key, StoredValue { version, value: body.to_vec() });
     }
-    let lose_response = contents.faults.lose_answers > 0;
+    let lose_response = contents.faults.lose_responses > 0;
     if lose_response {
-        contents.faults.lose_answers -= 1;
+        contents.faults.lose_responses -= 1;
     }
     drop(contents);
     shared.changed.send_modify(|count| *count += 1);
--- a/crates/standin/src/replication.rs
+++ b/crates/standin/src/replication.rs
@@ -48,7 +48,7 @@
 
 fn is_disconnected(core: &ServerCore) -> bool {
     let faults = core.faults.read();
-    faults.crashed || faults.paused || faults.cut_from_servers
+    faults.crashed || faults.paused || faults.replication_disconnected
 }
 
 /// A batch of log records and the terms of the primary.
@@ -106,7 +106,7 @@
     if state.role != ServerRole::Replica || batch.log_term < state.promised_term {
         return;
     }
-    state.last_heard = Instant::now();
+    state.last_leader_contact = Instant::now();
     let common = batch
         .log
         .iter()
--- a/crates/standin/src/server_core.rs
+++ b/crates/standin/src/server_core.rs
@@ -34,13 +34,13 @@
     pub paused: bool,
     /// The server is unreachable for daemons whose name contains one of these strings. An empty string matches every
     /// daemon.
-    pub cut_from: Vec<String>,
+    pub unreachable_from: Vec<String>,
     /// The server is cut off from replication with other servers.
-    pub cut_from_servers: bool,
+    pub replication_disconnected: bool,
     /// The additional delay of each response.
-    pub answer_delay: Duration,
+    pub response_delay: Duration,
     /// The additional execution time of each statement.
-    pub extra_service: Duration,
+    pub extra_service_time: Duration,
     /// The server refuses new connections, as during a shutdown.
     pub shutting_down: bool,
 }
@@ -79,7 +79,7 @@
     pub(crate) term_starts: Vec<TermStart>,
     pub(crate) role: ServerRole,
     pub(crate) leader: Option<SocketAddr>,
-    pub(crate) last_heard: Instant,
+    pub(crate) last_leader_contact: Instant,
     pub(crate) connections: usize,
 }
 
@@ -107,7 +107,7 @@
             term_starts: vec![TermStart { term: Term(1), start: Position(0) }],
             role: if leads { ServerRole::Primary } else { ServerRole::Replica },
             leader: (!leads).then_some(leader),
-            last_heard: Instant::now(),
+            last_leader_contact: Instant::now(),
             connections: 0,
         };
         ServerCore {
@@ -168,7 +168,7 @@
         state.role = ServerRole::Replica;
         state.leader = Some(leader);
         state.working_copy = None;
-        state.last_heard = Instant::now();
+        state.last_leader_contact = Instant::now();
         Ok(state.status())
     }
 
@@ -245,7 +245,7 @@
 impl State {
     pub(crate) fn status(&self) -> ServerStatus {
         let replica = self.role == ServerRole::Replica;
-        let silence = self.last_heard.elapsed().as_millis();
+        let silence = self.last_leader_contact.elapsed().as_millis();
         ServerStatus {
             promised_term: self.promised_term,
             log_term: self.log_term,
--- a/crates/standin/src/server_session.rs
+++ b/crates/standin/src/server_session.rs
@@ -461,7 +461,7 @@
     }
 
     async fn send(&mut self) -> Result<(), StreamEnd> {
-        let delay = self.shared.core.faults.read().answer_delay;
+        let delay = self.shared.core.faults.read().response_delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -84,11 +84,11 @@
 fn time_ns(mut call: impl FnMut()) -> f64 {
     let mut calls = 1_u32;
     loop {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..calls {
             call();
         }
-        let elapsed = began.elapsed();
+        let elapsed = started_at.elapsed();
         if elapsed > Duration::from_millis(200) {
             return elapsed.as_nanos() as f64 / f64::from(calls);
         }
@@ -187,9 +187,9 @@
     for groups in [220, 2_200, 22_000] {
         let text = configuration_text(groups);
         let before = resident_bytes();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let configuration = check_configuration("plan", &text).expect("no mistakes");
-        let elapsed = began.elapsed();
+        let elapsed = started_at.elapsed();
         let bytes = resident_bytes() - before;
         let chunks = split(&text);
         let largest = chunks.iter().map(|chunk| chunk.text.len()).max().unwrap_or(0);
@@ -385,11 +385,11 @@
     let mut callers = Vec::with_capacity(CALLERS);
     callers.push(open_idle(address)?);
     let before = resident_bytes();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for _ in 1..CALLERS {
         callers.push(open_idle(address)?);
     }
-    let elapsed = began.elapsed().as_secs_f64();
+    let elapsed = started_at.elapsed().as_secs_f64();
     let per_caller = (resident_bytes() - before) / (CALLERS - 1) as f64;
     println!(
         "{CALLERS} idle callers of one daemon: {:.1} KB each, {:.0} sequential logins/s",
--- a/crates/wardtiller/src/commands/load.rs
+++ b/crates/wardtiller/src/commands/load.rs
@@ -50,7 +50,7 @@
     let mut system = LocalSystem::start(&text, &system_options)?;
     let delay = Duration::from_millis(flags.answer_delay_ms.unwrap_or(0));
     for server in system.groups.values().flat_map(|group| &group.servers) {
-        server.change_faults(|faults| faults.answer_delay = delay);
+        server.change_faults(|faults| faults.response_delay = delay);
     }
     if flags.compare {
         return compare(flags, &system, &options);
--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -177,11 +177,11 @@
 
     /// Runs a request and records its latency or its refusal.
     async fn run_measured(&self, class: RequestClass, sql: &str) -> Result<Vec<String>, Failure> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let outcome = self.query(sql).await;
         match &outcome {
             Ok(_) => {
-                let elapsed = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
+                let elapsed = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
                 self.shared.measurements.add_latency(class, elapsed);
             }
             Err(failure) => {
@@ -232,9 +232,9 @@
     async fn transact(&mut self) {
         self.sequence += 1;
         let (caller, sequence) = (self.number, self.sequence);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let outcome = self.transaction(caller, sequence).await;
-        let elapsed = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let elapsed = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         if outcome.is_ok() {
             self.shared.measurements.add_latency(RequestClass::Transaction, elapsed);
         }
--- a/crates/wardtiller/src/load/compare.rs
+++ b/crates/wardtiller/src/load/compare.rs
@@ -57,9 +57,9 @@
     let mut elapsed_s = vec![0.0; paths.len()];
     for _ in 0..slices {
         for (index, clients) in clients.iter().enumerate() {
-            let began = Instant::now();
-            let latencies = runtime.block_on(drive(clients, statement, began + slice))?;
-            elapsed_s[index] += began.elapsed().as_secs_f64();
+            let started_at = Instant::now();
+            let latencies = runtime.block_on(drive(clients, statement, started_at + slice))?;
+            elapsed_s[index] += started_at.elapsed().as_secs_f64();
             for latency in latencies {
                 histograms[index].saturating_record(latency);
             }
@@ -95,9 +95,9 @@
     let driving = clients.iter().map(|client| async move {
         let mut latencies = Vec::new();
         while Instant::now() < deadline {
-            let began = Instant::now();
+            let started_at = Instant::now();
             client.simple_query(statement).await?;
-            latencies.push(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX));
+            latencies.push(u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX));
         }
         eyre::Ok(latencies)
     });
--- a/crates/wardtiller/src/load/faults.rs
+++ b/crates/wardtiller/src/load/faults.rs
@@ -100,7 +100,7 @@
 pub fn inject_faults(
     system: &mut LocalSystem,
     faults: &[Fault],
-    began: Instant,
+    started_at: Instant,
 ) -> eyre::Result<()> {
     let mut events: Vec<(Duration, Fault, bool)> = Vec::new();
     for fault in faults {
@@ -110,7 +110,7 @@
     events.sort_by_key(|(at, _, _)| *at);
     let mut faulted = FaultedServers::default();
     for (at, fault, begins) in events {
-        std::thread::sleep(at.saturating_sub(began.elapsed()));
+        std::thread::sleep(at.saturating_sub(started_at.elapsed()));
         if begins {
             faulted.start_fault(system, fault.kind)?
         } else {
@@ -132,7 +132,7 @@
         match kind {
             FaultKind::StoreDown => system.platform.change_faults(|faults| faults.down = true),
             FaultKind::LoseAnswers => {
-                system.platform.change_faults(|faults| faults.lose_answers = 3);
+                system.platform.change_faults(|faults| faults.lose_responses = 3);
             }
             FaultKind::KillDaemon => {
                 let last = system.daemons.len() - 1;
@@ -149,7 +149,7 @@
                 self.primary = first_primary(system);
                 let Some(primary) = &self.primary else { return Ok(()) };
                 if kind == FaultKind::LeavePrimary {
-                    system.set_listed_state(primary.address(), "leaving");
+                    system.set_host_state(primary.address(), "leaving");
                 } else {
                     set_fault(primary, kind, true);
                 }
@@ -174,7 +174,7 @@
             _ => {
                 let Some(primary) = self.primary.take() else { return Ok(()) };
                 if kind == FaultKind::LeavePrimary {
-                    system.set_listed_state(primary.address(), "live");
+                    system.set_host_state(primary.address(), "live");
                 } else {
                     set_fault(&primary, kind, false);
                 }
@@ -201,12 +201,12 @@
         FaultKind::CrashPrimary | FaultKind::CrashReplica => faults.crashed = on,
         FaultKind::PausePrimary => faults.paused = on,
         FaultKind::CutPrimary => {
-            faults.cut_from = if on { vec![String::new()] } else { Vec::new() };
-            faults.cut_from_servers = on;
+            faults.unreachable_from = if on { vec![String::new()] } else { Vec::new() };
+            faults.replication_disconnected = on;
         }
-        FaultKind::CutReplication => faults.cut_from_servers = on,
+        FaultKind::CutReplication => faults.replication_disconnected = on,
         FaultKind::SlowReplica => {
-            faults.extra_service = if on { SLOW_REPLICA_DELAY } else { Duration::ZERO };
+            faults.extra_service_time = if on { SLOW_REPLICA_DELAY } else { Duration::ZERO };
         }
         _ => {}
     });
--- a/crates/wardtiller/src/load/ledger.rs
+++ b/crates/wardtiller/src/load/ledger.rs
@@ -105,12 +105,12 @@
         counts
     }
 
-    /// Compares the contents of a group with the recorded outcomes. `found` maps each write to its number of rows in
-    /// the two tables that its transaction inserts into, `orders` and `holds`.
-    pub fn verify_group(&self, group: &str, found: &HashMap<WriteId, (u64, u64)>) {
+    /// Compares the contents of a group with the recorded outcomes. `row_counts` maps each write to its number of rows
+    /// in the two tables that its transaction inserts into, `orders` and `holds`.
+    pub fn verify_group(&self, group: &str, row_counts: &HashMap<WriteId, (u64, u64)>) {
         let writes = self.writes.lock().clone();
         for (id, outcome) in writes.iter().filter(|(id, _)| id.group == group) {
-            let (orders, holds) = found.get(id).copied().unwrap_or_default();
+            let (orders, holds) = row_counts.get(id).copied().unwrap_or_default();
             if orders != holds {
                 let seen = format!("{id:?}: {orders} orders but {holds} holds");
                 self.record_violation("transactions never mix", seen);
@@ -129,7 +129,7 @@
                 self.record_violation("what may not be repeated runs at most once", seen);
             }
         }
-        for id in found.keys().filter(|id| !writes.contains_key(id)) {
+        for id in row_counts.keys().filter(|id| !writes.contains_key(id)) {
             self.record_violation("no write without a request", format!("{id:?}"));
         }
     }
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -121,13 +121,13 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let run = Run { service, user, targets, options };
     runtime.block_on(run.prepare())?;
-    let began = Instant::now();
-    let shared = run.shared(began);
+    let started_at = Instant::now();
+    let shared = run.shared(started_at);
     let callers: Vec<_> = (0..options.callers)
         .map(|number| runtime.spawn(Caller::new(shared.clone(), number, options.seed).run()))
         .collect();
     if let Target::Local(system) = &mut target {
-        inject_faults(system, &options.faults, began)?;
+        inject_faults(system, &options.faults, started_at)?;
     }
     runtime.block_on(async {
         for caller in callers {
@@ -135,7 +135,7 @@
         }
         eyre::Ok(())
     })?;
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     if let Target::Local(system) = &target {
         system.wait_until_ready()?;
     }
@@ -156,14 +156,14 @@
         self.options.mix.unwrap_or_else(|| Mix::for_read_kinds(&kinds))
     }
 
-    fn shared(&self, began: Instant) -> Arc<LoadContext> {
+    fn shared(&self, started_at: Instant) -> Arc<LoadContext> {
         Arc::new(LoadContext {
             targets: self.targets.clone(),
             service: self.service.name.to_string(),
             groups: self.service.groups.iter().map(|group| group.to_string()).collect(),
             user: self.user.clone(),
             mix: self.mix(),
-            deadline: began + Duration::from_secs(self.options.seconds),
+            deadline: started_at + Duration::from_secs(self.options.seconds),
             pace: self.options.pace,
             ledger: Ledger::default(),
             measurements: Measurements::default(),
@@ -217,9 +217,10 @@
         let mut consecutive_reads = 0;
         while consecutive_reads < REQUIRED_CONSECUTIVE_READS {
             ensure!(Instant::now() < deadline, "the replicas did not catch up in time");
-            let found = client.simple_query(&poll).await.is_ok() && served_by_replica(client).await;
-            consecutive_reads = if found { consecutive_reads + 1 } else { 0 };
-            if !found {
+            let is_replica_read =
+                client.simple_query(&poll).await.is_ok() && served_by_replica(client).await;
+            consecutive_reads = if is_replica_read { consecutive_reads + 1 } else { 0 };
+            if !is_replica_read {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -230,14 +231,14 @@
     async fn verify(&self, shared: &LoadContext) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
-            let mut found: HashMap<WriteId, (u64, u64)> = HashMap::new();
+            let mut row_counts: HashMap<WriteId, (u64, u64)> = HashMap::new();
             for id in read_writes(&client, group, "orders").await? {
-                found.entry(id).or_default().0 += 1;
+                row_counts.entry(id).or_default().0 += 1;
             }
             for id in read_writes(&client, group, "holds").await? {
-                found.entry(id).or_default().1 += 1;
+                row_counts.entry(id).or_default().1 += 1;
             }
-            shared.ledger.verify_group(group, &found);
+            shared.ledger.verify_group(group, &row_counts);
         }
         Ok(())
     }
--- a/crates/wardtiller/src/local_system.rs
+++ b/crates/wardtiller/src/local_system.rs
@@ -188,7 +188,7 @@
     }
 
     /// Sets the state in the host list of the hosts that use the port of this address.
-    pub fn set_listed_state(&mut self, address: SocketAddr, state: &str) {
+    pub fn set_host_state(&mut self, address: SocketAddr, state: &str) {
         for node in &mut self.nodes {
             let port = node.meta.get("port").map(String::as_str);
             if port == Some(address.port().to_string().as_str()) {
--- a/crates/wardtiller/tests/configuration.rs
+++ b/crates/wardtiller/tests/configuration.rs
@@ -49,7 +49,7 @@
     for lost in 1..=3 {
         let system = small_system(1);
         let store = store(&system);
-        system.platform.change_faults(|faults| faults.lose_answers = lost);
+        system.platform.change_faults(|faults| faults.lose_responses = lost);
         let text = with_staleness(&system, 1_000);
         let revision =
             apply_configuration(&store, "wardtiller", "f", &text, Some(1), "change").unwrap();
--- a/crates/wardtiller/tests/failover.rs
+++ b/crates/wardtiller/tests/failover.rs
@@ -51,10 +51,10 @@
         ("crashed", |faults| faults.crashed = true),
         ("paused", |faults| faults.paused = true),
         ("cut off from all", |faults| {
-            faults.cut_from = vec![String::new()];
-            faults.cut_from_servers = true;
+            faults.unreachable_from = vec![String::new()];
+            faults.replication_disconnected = true;
         }),
-        ("cut off from its replicas", |faults| faults.cut_from_servers = true),
+        ("cut off from its replicas", |faults| faults.replication_disconnected = true),
     ];
     for (name, fault) in rows {
         let system = small_system(2);
@@ -105,8 +105,8 @@
         make_table(&system).await;
         // The second daemon still reaches the old primary; the replicas don't.
         old.change_faults(|faults| {
-            faults.cut_from = vec!["entry-1".to_owned()];
-            faults.cut_from_servers = true;
+            faults.unreachable_from = vec!["entry-1".to_owned()];
+            faults.replication_disconnected = true;
         });
         let mut acknowledged = Vec::new();
         for (index, address) in system.caller_addresses().into_iter().enumerate() {
@@ -279,7 +279,7 @@
     let old = group.primary().expect("a primary leads").clone();
     let addresses = system.caller_addresses();
     block_on(make_table(&system));
-    system.set_listed_state(old.address(), "leaving");
+    system.set_host_state(old.address(), "leaving");
     block_on(async {
         let client = connect(addresses[0], "").await;
         let mut id = 0;
