--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -43,7 +43,7 @@
 /// Samples of a primary's log position kept per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
 /// Percentage of reads that may be hedged on a second server; limited so that retries don't amplify an overload.
-const RETRY_PERCENT: u32 = 10;
+const HEDGE_PERCENT: u32 = 10;
 /// Interval between checks of idle connections while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
@@ -58,7 +58,7 @@
     /// Recent log positions of the primary, with the times at which they were taken.
     pub samples: RefCell<StalenessSamples>,
     /// Budget for reads that are sent to a second server while the first may still answer.
-    pub retries: RefCell<RetryBudget>,
+    pub hedge_budget: RefCell<RetryBudget>,
     /// When reads were first and last refused because every replica was behind.
     pub(crate) lagging_refusals: Cell<Option<(Instant, Instant)>>,
     /// Wakes reads that wait for a server which has become unreachable.
@@ -102,7 +102,7 @@
         Group {
             pool: Rc::new(GroupPool::new(layout, relays, overload)),
             samples: RefCell::new(StalenessSamples::new(MAX_SAMPLES)),
-            retries: RefCell::new(RetryBudget::new(RETRY_PERCENT)),
+            hedge_budget: RefCell::new(RetryBudget::new(HEDGE_PERCENT)),
             lagging_refusals: Cell::new(None),
             server_unreachable: Notify::new(),
             probe_now: Notify::new(),
@@ -341,7 +341,7 @@
                 Ok(connection) => {
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
-                        true => self.note_reachable(group, &permit.entry.service, &server),
+                        true => self.record_reachable(group, &permit.entry.service, &server),
                         false => group.pool.on_tunnel(&server, true),
                     }
                     return Ok(permit.opened(connection));
@@ -387,7 +387,7 @@
     }
 
     /// Returns the identity that a server is given when a connection is opened.
-    pub(crate) fn introduce<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
+    pub(crate) fn client_identity<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
         ClientIdentity { host: &self.settings.host, principal }
     }
 
@@ -398,12 +398,12 @@
         tunnel_peer: Option<SocketAddr>,
     ) -> Result<EndpointConnection<E>, ConnectionLost> {
         let (dialect, entry) = (&self.endpoint_dialect, &*permit.entry);
-        let introduction = self.introduce(&permit.principal);
+        let identity = self.client_identity(&permit.principal);
         let Some(peer) = tunnel_peer else {
-            return EndpointConnection::open(dialect, entry, introduction, CONNECT_TIMEOUT).await;
+            return EndpointConnection::open(dialect, entry, identity, CONNECT_TIMEOUT).await;
         };
         let opened =
-            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT)
+            EndpointConnection::open_tunneled(peer, dialect, entry, identity, CONNECT_TIMEOUT)
                 .await?;
         self.metrics.connections_opened.with_label_values(&["detour"]).inc();
         log::info!(
@@ -420,10 +420,10 @@
         peer: SocketAddr,
         entry: &ServerEntry,
     ) -> (SocketAddr, Result<(), ConnectionLost>) {
-        let introduction = self.introduce(&Principal::Daemon);
+        let identity = self.client_identity(&Principal::Daemon);
         let dialect = &self.endpoint_dialect;
         let opened =
-            EndpointConnection::open_tunneled(peer, dialect, entry, introduction, CONNECT_TIMEOUT);
+            EndpointConnection::open_tunneled(peer, dialect, entry, identity, CONNECT_TIMEOUT);
         (peer, opened.await.map(drop))
     }
 
@@ -463,7 +463,7 @@
             group.pool.on_failure(server);
         }
         match lost {
-            ConnectionLost::Refused(_) => self.note_reachable(group, service, server),
+            ConnectionLost::Refused(_) => self.record_reachable(group, service, server),
             _ => self.probe(group, service, server),
         }
     }
--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -31,7 +31,7 @@
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
     /// Returns whether a read may be sent to a server. A read that passes while the circuit is not closed is
     /// recorded as a probe.
-    pub(crate) fn pass_read(&self, group: &Group<E>, server: &Name) -> bool {
+    pub(crate) fn admit_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
         let may_pass = group.pool.with_server(server, |pooled| {
             let may_pass = pooled.health.allows_request(now);
@@ -44,7 +44,7 @@
     }
 
     /// Records the result of a statement that a caller of this daemon ran on one of its own connections.
-    pub(crate) fn note_own_health(
+    pub(crate) fn record_own_health(
         &self,
         group: &Group<E>,
         route: &ServerRoute,
@@ -56,11 +56,11 @@
             Err((Progress::Sent, _)) => PathOutcome::Failed,
             Err((Progress::NotSent, _)) => return,
         };
-        self.note_health(group, &route.server, outcome);
+        self.record_health(group, &route.server, outcome);
     }
 
     /// Records the result of a statement on a connection of this daemon.
-    pub(crate) fn note_health(&self, group: &Group<E>, server: &Name, outcome: PathOutcome) {
+    pub(crate) fn record_health(&self, group: &Group<E>, server: &Name, outcome: PathOutcome) {
         if !group.pool.has_circuits() {
             return;
         }
