--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -77,10 +77,10 @@
 
     /// Returns the error of a statement that can't be run, if any.
     fn for_statement(classified: &Classification) -> Option<RequestError> {
-        if let Some(message) = classified.invalid() {
+        if let Some(message) = classified.parse_error() {
             return Some(RequestError::new("42601", format!("wardtiller: {message}")));
         }
-        classified.refused().map(RequestError::unsupported)
+        classified.unsupported_feature().map(RequestError::unsupported)
     }
 
     pub(crate) fn unsupported(what: &str) -> RequestError {
--- a/crates/wire/src/classify.rs
+++ b/crates/wire/src/classify.rs
@@ -55,9 +55,9 @@
         message: String,
     },
     /// Not supported on pooled connections.
-    Refused {
+    Unsupported {
         /// The unsupported feature, for the message to the caller.
-        what: &'static str,
+        feature: &'static str,
     },
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// Returns the parser's error if the text is not valid.
-    pub fn invalid(&self) -> Option<&str> {
+    pub fn parse_error(&self) -> Option<&str> {
         self.effects.iter().find_map(|effect| match effect {
             Effect::Invalid { message } => Some(message.as_str()),
             _ => None,
@@ -93,13 +93,13 @@
     }
 
     /// Returns the first unsupported feature, including a mix of local and other statements.
-    pub fn refused(&self) -> Option<&'static str> {
-        let refused = self.effects.iter().find_map(|effect| match effect {
-            Effect::Refused { what } => Some(*what),
+    pub fn unsupported_feature(&self) -> Option<&'static str> {
+        let unsupported = self.effects.iter().find_map(|effect| match effect {
+            Effect::Unsupported { feature } => Some(*feature),
             _ => None,
         });
         let mixed = self.effects.iter().any(is_local) && !self.is_local();
-        refused.or(mixed.then_some("SET, SHOW or DISCARD together with other statements"))
+        unsupported.or(mixed.then_some("SET, SHOW or DISCARD together with other statements"))
     }
 }
 
@@ -124,7 +124,7 @@
 
 fn statement_effect(statement: &Statement, read_functions: &[&str]) -> Effect {
     if uses_session_function(statement) {
-        return Effect::Refused { what: "a function that changes or reads session state" };
+        return Effect::Unsupported { feature: "a function that changes or reads session state" };
     }
     match statement {
         Statement::Query(_) if is_read_only(statement, read_functions) => Effect::Read,
@@ -147,36 +147,38 @@
             Reset::ConfigurationParameter(name) => {
                 Effect::Set { name: name.to_string().to_lowercase(), value: None }
             }
-            Reset::SessionAuthorization => Effect::Refused { what: "RESET SESSION AUTHORIZATION" },
+            Reset::SessionAuthorization => {
+                Effect::Unsupported { feature: "RESET SESSION AUTHORIZATION" }
+            }
         },
         Statement::Discard { .. } => Effect::Discard,
         Statement::CreateTable(table) if table.temporary => {
-            Effect::Refused { what: "a temporary table" }
+            Effect::Unsupported { feature: "a temporary table" }
         }
         Statement::CreateView(view) if view.temporary => {
-            Effect::Refused { what: "a temporary view" }
+            Effect::Unsupported { feature: "a temporary view" }
         }
         Statement::CreateSequence { temporary: true, .. } => {
-            Effect::Refused { what: "a temporary sequence" }
+            Effect::Unsupported { feature: "a temporary sequence" }
         }
         Statement::Load { .. } | Statement::Use(_) => {
-            Effect::Refused { what: "LOAD and USE, which change the connection" }
+            Effect::Unsupported { feature: "LOAD and USE, which change the connection" }
         }
-        Statement::Copy { .. } => Effect::Refused { what: "COPY" },
+        Statement::Copy { .. } => Effect::Unsupported { feature: "COPY" },
         Statement::LISTEN { .. } | Statement::UNLISTEN { .. } => {
-            Effect::Refused { what: "LISTEN and UNLISTEN" }
+            Effect::Unsupported { feature: "LISTEN and UNLISTEN" }
         }
         Statement::Prepare { .. } | Statement::Execute { .. } | Statement::Deallocate { .. } => {
-            Effect::Refused {
-                what: "PREPARE, EXECUTE and DEALLOCATE as statements (the protocol's own prepared \
+            Effect::Unsupported {
+                feature: "PREPARE, EXECUTE and DEALLOCATE as statements (the protocol's own prepared \
                        statements work)",
             }
         }
         Statement::Declare { stmts, .. } if stmts.iter().any(is_with_hold) => {
-            Effect::Refused { what: "a cursor WITH HOLD" }
+            Effect::Unsupported { feature: "a cursor WITH HOLD" }
         }
         Statement::Commit { .. } | Statement::Rollback { .. } => {
-            Effect::Refused { what: "COMMIT AND CHAIN and ROLLBACK AND CHAIN" }
+            Effect::Unsupported { feature: "COMMIT AND CHAIN and ROLLBACK AND CHAIN" }
         }
         _ => Effect::Write,
     }
@@ -206,7 +208,7 @@
             name: "client_encoding".to_owned(),
             value: Some(charset_name.to_string().trim_matches('\'').to_owned()),
         },
-        _ => Effect::Refused { what: "this form of SET" },
+        _ => Effect::Unsupported { feature: "this form of SET" },
     }
 }
 
@@ -286,6 +288,6 @@
     if single && !temporary && WRITE_KEYWORDS.contains(&first.as_str()) {
         Effect::Write
     } else {
-        Effect::Refused { what: UNKNOWN_STATEMENT }
+        Effect::Unsupported { feature: UNKNOWN_STATEMENT }
     }
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -88,7 +88,7 @@
         "DISCARD SOMETHING ELSE",
     ];
     for sql in refused {
-        assert!(classify(sql, &[]).refused().is_some(), "{sql}");
+        assert!(classify(sql, &[]).unsupported_feature().is_some(), "{sql}");
     }
 }
 
@@ -96,7 +96,7 @@
 fn invalid_texts_are_neither_reads_nor_writes() {
     for sql in ["SELEC 1", "FROBNICATE", "1 + 1", "'open"] {
         let classified = classify(sql, &[]);
-        assert!(classified.invalid().is_some(), "{sql}");
+        assert!(classified.parse_error().is_some(), "{sql}");
         assert!(!classified.is_read() && !classified.may_write(), "{sql}");
     }
 }
