--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -24,7 +24,7 @@
     }
     let part = reader.assemble(&mut problems);
     check_users(&part, &reader, &mut problems);
-    let configuration = Configuration::join([&part]);
+    let configuration = Configuration::from_parts([&part]);
     problems.finish(configuration)
 }
 
--- a/crates/config/src/chunks.rs
+++ b/crates/config/src/chunks.rs
@@ -49,7 +49,7 @@
     pub superseded: Vec<ChunkHash>,
 }
 
-/// Average size of a chunk, far below the store's limit of 1 MB per value.
+/// Target size of a chunk, far below the store's limit of 1 MB per value.
 const TARGET_CHUNK_BYTES: usize = 32 * 1024;
 
 /// Splits a text into chunks.
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether both groups have the same server names and addresses, so connections can be kept.
-    pub fn servers_match(&self, other: &Group) -> bool {
+    pub fn has_same_servers(&self, other: &Group) -> bool {
         let key = |server: &Server| (server.name.clone(), server.address);
         self.servers.iter().map(key).eq(other.servers.iter().map(key))
     }
@@ -143,7 +143,7 @@
 
 impl Configuration {
     /// Merges the parts of an accepted configuration; services and groups are shared with the parts.
-    pub fn join<'a>(parts: impl IntoIterator<Item = &'a ConfigurationPart>) -> Configuration {
+    pub fn from_parts<'a>(parts: impl IntoIterator<Item = &'a ConfigurationPart>) -> Configuration {
         let mut whole = Configuration::default();
         for part in parts {
             let shared = |(name, found): (&Name, &Arc<Service>)| (name.clone(), found.clone());
--- a/crates/daemon/src/configuration_sync.rs
+++ b/crates/daemon/src/configuration_sync.rs
@@ -271,7 +271,7 @@
 
 fn install(context: &Context, head: Head, chunks: Chunks) {
     let parts = head.chunks.iter().filter_map(|hash| chunks.get(hash));
-    let configuration = Configuration::join(parts.map(|chunk| &chunk.part));
+    let configuration = Configuration::from_parts(parts.map(|chunk| &chunk.part));
     let revision = head.revision;
     if context.install(revision, configuration) {
         context.configuration_store.replace(head, chunks);
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -291,7 +291,7 @@
             configuration: configuration.clone(),
         }));
         groups.retain(|id, group| match group_options(&configuration, id) {
-            Some(options) if options.group.servers_match(&group.in_force.load().group) => {
+            Some(options) if options.group.has_same_servers(&group.in_force.load().group) => {
                 let limits = &configuration.limits;
                 for pool in &group.pools {
                     pool.set_limits(limits.queue_length, limits.prepared_statements);
--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -198,7 +198,7 @@
         // Applying a change parses the changed chunk and joins it with the others.
         let change_us = time_ns(|| {
             let changed = read_part(&chunks[0].text).expect("no mistakes");
-            black_box(Configuration::join(parts.iter().skip(1).chain([&changed])));
+            black_box(Configuration::from_parts(parts.iter().skip(1).chain([&changed])));
         }) / 1e3;
         unit_costs.bytes_per_group = bytes / groups as f64;
         unit_costs.text_per_group = text.len() as f64 / groups as f64;
