--- a/crates/wire/src/classify.rs
+++ b/crates/wire/src/classify.rs
@@ -170,8 +170,8 @@
         }
         Statement::Prepare { .. } | Statement::Execute { .. } | Statement::Deallocate { .. } => {
             Effect::Unsupported {
-                feature: "PREPARE, EXECUTE and DEALLOCATE as statements (the protocol's own prepared \
-                       statements work)",
+                feature: "PREPARE, EXECUTE and DEALLOCATE as statements (the protocol's own \
+                          prepared statements work)",
             }
         }
         Statement::Declare { stmts, .. } if stmts.iter().any(is_with_hold) => {
