--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -147,7 +147,7 @@
     }
 
     /// Records that a daemon is the coordinator, as announced by itself or another daemon.
-    pub fn note_coordinator(&mut self, host: Name, now: Instant) {
+    pub fn record_coordinator(&mut self, host: Name, now: Instant) {
         self.announced = Some((host, now));
     }
 }
--- a/crates/limits/src/held_quota.rs
+++ b/crates/limits/src/held_quota.rs
@@ -103,13 +103,13 @@
     }
 
     /// Records that no quota is left.
-    pub fn note_exhausted(&mut self, now: Instant, until: Instant) {
+    pub fn record_exhausted(&mut self, now: Instant, until: Instant) {
         self.exhausted_since = self.exhausted_since.or(Some(now));
         self.exhausted_until = Some(until);
     }
 
     /// Records that a caller requests an operation.
-    pub fn note_demand(&mut self, now: Instant) {
+    pub fn record_demand(&mut self, now: Instant) {
         let over = RATE_WINDOW.as_secs_f64();
         if let Some(last_at) = self.last_at {
             let gap = now.saturating_duration_since(last_at).as_secs_f64();
--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -215,7 +215,7 @@
     let (mut requests, mut ran, mut refused) = (0, 0, 0);
     for tick in 0..10_000 {
         let now = start + ms(tick);
-        held_quota.note_demand(now);
+        held_quota.record_demand(now);
         match held_quota.take(now) {
             TakeResult::Allowed { .. } => ran += 1,
             TakeResult::AtLimit { .. } => refused += 1,
@@ -233,7 +233,7 @@
                             lifetime: ms(500),
                         });
                     }
-                    Grant::Exhausted(wait) => held_quota.note_exhausted(now, now + wait),
+                    Grant::Exhausted(wait) => held_quota.record_exhausted(now, now + wait),
                     Grant::NotCoordinator => unreachable!(),
                 }
             }
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -87,7 +87,7 @@
         let Some(limit) = account.limit else { return Ok(()) };
         let quota = self.limits.quota_of(&account.name);
         let arrived = Instant::now();
-        quota.held.borrow_mut().note_demand(arrived);
+        quota.held.borrow_mut().record_demand(arrived);
         let until = arrived + self.limits.admission_timeout();
         loop {
             let answered = quota.answered.notified();
@@ -175,7 +175,7 @@
                     }
                     Grant::Exhausted(wait) => {
                         let now = Instant::now();
-                        quota.held.borrow_mut().note_exhausted(now, now + wait);
+                        quota.held.borrow_mut().record_exhausted(now, now + wait);
                         break;
                     }
                     Grant::NotCoordinator
@@ -185,7 +185,7 @@
                     }
                     Grant::NotCoordinator => {
                         let now = Instant::now();
-                        quota.held.borrow_mut().note_exhausted(now, now + NO_COORDINATOR_PAUSE);
+                        quota.held.borrow_mut().record_exhausted(now, now + NO_COORDINATOR_PAUSE);
                         break;
                     }
                 }
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -115,7 +115,7 @@
     }
 
     pub(super) fn record_coordinator(&self, host: Name, now: Instant) {
-        self.voter.borrow_mut().note_coordinator(host, now);
+        self.voter.borrow_mut().record_coordinator(host, now);
     }
 
     /// Whether a coordinator was known since this daemon started, or it is a candidate itself.
