--- a/crates/daemon/src/control_link.rs
+++ b/crates/daemon/src/control_link.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StatusAnswer {
     pub(crate) status: Arc<ServerStatus>,
-    pub(crate) asked_at: Instant,
+    pub(crate) requested_at: Instant,
 }
 
 /// The server did not answer, or answered with an error.
@@ -121,11 +121,11 @@
     /// Runs one query. Unless the server refused it, a failure closes the connection, since a late
     /// answer could be mistaken for the next one.
     async fn query(&mut self, statement: &str) -> Result<StatusAnswer, ControlLinkError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let timeout = self.timeout;
         let answer = tokio::time::timeout(timeout, self.query_unbounded(statement)).await;
         let error = match answer {
-            Ok(Ok(status)) => return Ok(StatusAnswer { status: Arc::new(status), asked_at }),
+            Ok(Ok(status)) => return Ok(StatusAnswer { status: Arc::new(status), requested_at }),
             Ok(Err(error)) => error,
             Err(_) => EndpointError::TimedOut,
         };
--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -80,8 +80,8 @@
     let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
     let view = group.view.read();
     let reachable = view.primary.is_some_and(|primary| {
-        let asked_at = view.servers[primary.index()].asked_at;
-        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < max_age)
+        let requested_at = view.servers[primary.index()].requested_at;
+        view.is_responding(primary) && requested_at.is_some_and(|at| at.elapsed() < max_age)
     });
     ViewAnswer { reachable, term: view.term.0 }
 }
--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -167,7 +167,7 @@
 
     fn record_answer(&self, server: ServerId, answer: &Result<StatusAnswer, ControlLinkError>) {
         match answer {
-            Ok(answer) => self.record_status(server, answer.status.clone(), answer.asked_at),
+            Ok(answer) => self.record_status(server, answer.status.clone(), answer.requested_at),
             Err(_) => self.view.write().record_silence(server, Instant::now()),
         }
     }
@@ -177,9 +177,9 @@
         &self,
         server: ServerId,
         status: Arc<ServerStatus>,
-        asked_at: Instant,
+        requested_at: Instant,
     ) {
-        if self.view.write().record_status(server, status, asked_at) {
+        if self.view.write().record_status(server, status, requested_at) {
             self.changed.notify_waiters();
         }
     }
--- a/crates/daemon/src/group_view.rs
+++ b/crates/daemon/src/group_view.rs
@@ -17,7 +17,7 @@
 pub(crate) struct ObservedServer {
     pub(crate) status: Option<Arc<ServerStatus>>,
     /// When the status was requested.
-    pub(crate) asked_at: Option<Instant>,
+    pub(crate) requested_at: Option<Instant>,
     /// Since when the server has not answered, or `None` while it answers.
     pub(crate) silent_since: Option<Instant>,
 }
@@ -53,15 +53,15 @@
         &mut self,
         server: ServerId,
         status: Arc<ServerStatus>,
-        asked_at: Instant,
+        requested_at: Instant,
     ) -> bool {
         let observed = &mut self.servers[server.index()];
-        if observed.asked_at.is_some_and(|known_at| known_at > asked_at) {
+        if observed.requested_at.is_some_and(|known_at| known_at > requested_at) {
             return false;
         }
         self.history.replace_if_newer(&TermHistory::new(status.term_starts.clone()));
         observed.status = Some(status);
-        observed.asked_at = Some(asked_at);
+        observed.requested_at = Some(requested_at);
         observed.silent_since = None;
         self.update_primary()
     }
@@ -83,7 +83,8 @@
     pub(crate) fn record_silence(&mut self, server: ServerId, now: Instant) {
         let observed = &mut self.servers[server.index()];
         if observed.silent_since.is_none() {
-            observed.silent_since = Some(observed.asked_at.unwrap_or(self.watched_since).min(now));
+            observed.silent_since =
+                Some(observed.requested_at.unwrap_or(self.watched_since).min(now));
         }
     }
 
--- a/crates/daemon/src/group_watch.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -145,7 +145,7 @@
             let view = group.view.read();
             let known = &view.servers[server.index()];
             known.silent_since.is_some()
-                || known.asked_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
+                || known.requested_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
         };
         if due && group.query_status(server).await.is_err_and(|error| error.is_shutting_down()) {
             // A server reports its shutdown earlier than the platform's host list does.
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -78,6 +78,6 @@
     if evidence != Evidence::Sufficient {
         return Err(ReadIndexError::NotConfirmed);
     }
-    group.view.write().samples.add(answer.asked_at, point);
+    group.view.write().samples.add(answer.requested_at, point);
     Ok(point)
 }
--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -188,7 +188,7 @@
     /// The voter.
     pub host: Name,
     /// When the candidate sent the request.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
     /// The vote.
     pub vote: Vote,
 }
@@ -231,7 +231,8 @@
     pub fn count(&mut self, ballot: Ballot) {
         let counted_for = self.times.counted_for;
         let before = self.ballots.remove(&ballot.host).filter(|before| {
-            before.ballot.vote.is_granted && ballot.asked_at < before.ballot.asked_at + counted_for
+            before.ballot.vote.is_granted
+                && ballot.requested_at < before.ballot.requested_at + counted_for
         });
         let since = before.and_then(|before| before.since);
         self.ballots.insert(ballot.host.clone(), Counted { ballot, since });
@@ -242,15 +243,15 @@
         for counted in self.ballots.values_mut().filter(|it| it.ballot.vote.is_granted) {
             counted.since.get_or_insert(now);
         }
-        let counted = |ballot: &&Ballot| now < ballot.asked_at + self.times.counted_for;
+        let counted = |ballot: &&Ballot| now < ballot.requested_at + self.times.counted_for;
         let ballots = || {
             let answers = members.iter().filter_map(|host| self.ballots.get(host));
             answers.map(|it| &it.ballot).filter(counted)
         };
         let mut granted: Vec<Instant> =
-            ballots().filter(|it| it.vote.is_granted).map(|it| it.asked_at).collect();
+            ballots().filter(|it| it.vote.is_granted).map(|it| it.requested_at).collect();
         let bound: Vec<Instant> =
-            ballots().filter(|it| it.vote.is_bound).map(|it| it.asked_at).collect();
+            ballots().filter(|it| it.vote.is_bound).map(|it| it.requested_at).collect();
         let quorum = (members.len() as f64 * QUORUM_SHARE) as usize + 1;
         granted.sort_unstable();
         let by_quorum = granted.len().checked_sub(quorum).map(|place| granted[place]);
@@ -258,8 +259,8 @@
         let by_all = bound.iter().min().copied().filter(|_| is_unanimous);
         let has_full_rate = by_all.is_some() || has_full_rate(granted.len(), members.len());
         self.full_rate_since = has_full_rate.then(|| self.full_rate_since.unwrap_or(now));
-        let asked_at = by_quorum.max(by_all);
-        self.valid_until = asked_at.map(|at| at + self.times.counted_for);
+        let requested_at = by_quorum.max(by_all);
+        self.valid_until = requested_at.map(|at| at + self.times.counted_for);
         match (self.valid_until, self.since) {
             (Some(_), None) => {
                 self.since = Some(now);
@@ -273,7 +274,7 @@
 
     /// Returns the daemon's current role.
     pub fn state(&self, members: usize, now: Instant) -> ElectionState {
-        let is_valid = |it: &&Counted| now < it.ballot.asked_at + self.times.counted_for;
+        let is_valid = |it: &&Counted| now < it.ballot.requested_at + self.times.counted_for;
         let votes = || self.ballots.values().filter(is_valid);
         let is_granted = |it: &&Counted| it.ballot.vote.is_granted && it.since.is_some();
         let granted = votes().filter(is_granted).count();
@@ -301,7 +302,7 @@
     /// round may reach a quorum, and its voters would stay bound after it yielded.
     pub fn has_many_votes(&self, members: usize, now: Instant) -> bool {
         let is_bound = |it: &&Counted| {
-            it.ballot.vote.is_bound && now < it.ballot.asked_at + self.times.counted_for
+            it.ballot.vote.is_bound && now < it.ballot.requested_at + self.times.counted_for
         };
         self.ballots.values().filter(is_bound).count() * MANY_VOTES_DIVISOR > members
     }
--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -27,8 +27,8 @@
     (0..count).map(|number| Name::from(format!("h{number}"))).collect()
 }
 
-fn ballot(host: &Name, asked_at: Instant, vote: Vote) -> Ballot {
-    Ballot { host: host.clone(), asked_at, vote }
+fn ballot(host: &Name, requested_at: Instant, vote: Vote) -> Ballot {
+    Ballot { host: host.clone(), requested_at, vote }
 }
 
 /// A restarted daemon does not know the votes of its former incarnation.
@@ -262,7 +262,7 @@
     let vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     for voter in 0..10 {
         let host = Name::from(format!("host-{voter}"));
-        candidacy.count(Ballot { host, asked_at: now, vote: vote.clone() });
+        candidacy.count(Ballot { host, requested_at: now, vote: vote.clone() });
     }
     assert!(candidacy.has_many_votes(29, now));
     assert!(!candidacy.has_many_votes(30, now));
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -174,7 +174,7 @@
                 voter.coordinator_seen_at = now;
                 voter.candidacy = None;
             }
-            let ballot = Ballot { host: voter.host.clone(), asked_at: now, vote };
+            let ballot = Ballot { host: voter.host.clone(), requested_at: now, vote };
             // The vote may be lost on its way, but the voter is bound.
             let is_lost = self.random.random_range(0..8) == 0;
             if let Some(candidacy) = self.daemons[number].candidacy.as_mut().filter(|_| !is_lost) {
--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -357,7 +357,7 @@
             self.limits.resign();
             return;
         }
-        self.limits.count(Ballot { host: own.clone(), asked_at: now, vote }, now);
+        self.limits.count(Ballot { host: own.clone(), requested_at: now, vote }, now);
         for (host, address) in self.limits.others(&own) {
             self.ask_for_vote(host, address, &request, now);
         }
@@ -368,16 +368,16 @@
         host: Name,
         address: SocketAddr,
         request: &VoteRequest,
-        asked_at: Instant,
+        requested_at: Instant,
     ) {
-        let link = self.relays.member_link(address, asked_at);
+        let link = self.relays.member_link(address, requested_at);
         let request =
             RelayRequest { task: Some(RelayTask::Vote(request.into())), ..RelayRequest::default() };
         let engine = self.clone();
         tokio::task::spawn_local(async move {
-            let answered = link.call(request, asked_at + VOTE_TIMEOUT).await;
+            let answered = link.call(request, requested_at + VOTE_TIMEOUT).await;
             if let Ok(RelayOutcome::Voted(vote)) = answered {
-                let ballot = Ballot { host, asked_at, vote: vote.vote() };
+                let ballot = Ballot { host, requested_at, vote: vote.vote() };
                 engine.limits.count(ballot, Instant::now());
             }
         });
--- a/crates/session/src/staleness.rs
+++ b/crates/session/src/staleness.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    asked_at: Instant,
+    requested_at: Instant,
     point: LogPoint,
 }
 
@@ -31,13 +31,13 @@
     }
 
     /// Adds a sample, unless it is not newer than the last one or is of an earlier point.
-    pub fn add(&mut self, asked_at: Instant, point: LogPoint) {
+    pub fn add(&mut self, requested_at: Instant, point: LogPoint) {
         if let Some(last) = self.samples.back()
-            && (asked_at <= last.asked_at || point < last.point)
+            && (requested_at <= last.requested_at || point < last.point)
         {
             return;
         }
-        self.samples.push_back(Sample { asked_at, point });
+        self.samples.push_back(Sample { requested_at, point });
         self.thin_out();
     }
 
@@ -48,7 +48,7 @@
 
     /// Returns the latest sample: the time at which it was requested, and the point.
     pub fn latest_sample(&self) -> Option<(Instant, LogPoint)> {
-        self.samples.back().map(|sample| (sample.asked_at, sample.point))
+        self.samples.back().map(|sample| (sample.requested_at, sample.point))
     }
 
     /// Removes all samples.
@@ -78,13 +78,13 @@
         let recent = self
             .samples
             .iter()
-            .find(|sample| oldest.is_none_or(|oldest| sample.asked_at >= oldest));
+            .find(|sample| oldest.is_none_or(|oldest| sample.requested_at >= oldest));
         recent.map(|sample| sample.point)
     }
 
     /// Returns the maximum age of a server's data at `point`; `None` if it has reached no sample.
     pub fn age_of(&self, point: LogPoint, now: Instant) -> Option<Duration> {
         let reached = self.samples.iter().rev().find(|sample| sample.point <= point);
-        reached.map(|sample| now.saturating_duration_since(sample.asked_at))
+        reached.map(|sample| now.saturating_duration_since(sample.requested_at))
     }
 }
