--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -6,20 +6,20 @@
 use config::ChunkHash;
 use model::{GroupId, ServerId};
 use peer::{
-    Body, ChunkAnswer, GossipNote, HeadAnswer, HoldAnswer, HoldRequest, HostListAnswer, HostNote,
-    TermNotice, ViewAnswer, ViewRequest,
+    Body, ChunkAnswer, GossipMessage, HeadAnswer, HoldAnswer, HoldRequest, HostListAnswer,
+    HostListEntry, TermNotice, ViewAnswer, ViewRequest,
 };
 
 use crate::{
     context::{Context, ReportedDemand},
-    gossip::{apply_note, build_note},
+    gossip::{apply_gossip_message, build_gossip_message},
     group_state::GroupState,
 };
 
 /// Answers a request. Returns `None` for messages without an answer.
 pub(crate) async fn answer_control(context: &Context, body: Body) -> Option<Body> {
     match body {
-        Body::Gossip(note) => Some(Body::Gossip(exchange_notes(context, &note))),
+        Body::Gossip(message) => Some(Body::Gossip(exchange_gossip(context, &message))),
         Body::HeadRequest(_) => Some(Body::HeadAnswer(head_answer(context))),
         Body::ChunkRequest(request) => {
             let chunk = context.configuration_store.chunk(&ChunkHash(request.hash));
@@ -36,9 +36,9 @@
     }
 }
 
-fn exchange_notes(context: &Context, note: &GossipNote) -> GossipNote {
-    apply_note(context, note);
-    build_note(context, &note.host)
+fn exchange_gossip(context: &Context, message: &GossipMessage) -> GossipMessage {
+    apply_gossip_message(context, message);
+    build_gossip_message(context, &message.host)
 }
 
 fn head_answer(context: &Context) -> HeadAnswer {
@@ -52,7 +52,7 @@
 
 fn host_list_answer(context: &Context) -> HostListAnswer {
     let members = context.members.load();
-    let daemons = members.all().iter().map(|member| HostNote {
+    let daemons = members.all().iter().map(|member| HostListEntry {
         host: member.host.to_string(),
         availability_zone: member.availability_zone.to_string(),
         region: member.region.to_string(),
@@ -61,11 +61,11 @@
         leaving: member.state == membership::MemberState::Leaving,
     });
     let leaving = context.listed_leaving.read();
-    let endpoints = leaving.iter().map(|address| HostNote {
+    let endpoints = leaving.iter().map(|address| HostListEntry {
         address: address.to_string(),
         endpoint: true,
         leaving: true,
-        ..HostNote::default()
+        ..HostListEntry::default()
     });
     HostListAnswer { version: members.version(), hosts: daemons.chain(endpoints).collect() }
 }
@@ -124,9 +124,9 @@
 }
 
 /// Records the demands of another owner for the groups that it shares with this daemon.
-pub(crate) fn record_demands(context: &Context, owner: u64, note: &GossipNote) {
+pub(crate) fn record_demands(context: &Context, owner: u64, message: &GossipMessage) {
     let mut demands = context.demands.lock();
-    for demand in &note.demands {
+    for demand in &message.demands {
         let id = GroupId::new(demand.service.as_str(), demand.group.as_str());
         let reported =
             ReportedDemand { wanted: demand.wanted.clone(), reported_at: Instant::now() };
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: daemons exchange notes in pairs, so that updates reach all of them without a central
+//! Gossip: daemons exchange messages in pairs, so that updates reach all of them without a central
 //! sender.
 
 use std::{
@@ -8,7 +8,7 @@
 };
 
 use membership::Member;
-use peer::{Body, GossipNote, GroupDemand};
+use peer::{Body, GossipMessage, GroupDemand};
 use rand::seq::IndexedRandom;
 
 use crate::{
@@ -17,9 +17,9 @@
     peers::Peers,
 };
 
-/// Builds this daemon's note for another one.
-pub(crate) fn build_note(context: &Context, to_host: &str) -> GossipNote {
-    GossipNote {
+/// Builds this daemon's message for another one.
+pub(crate) fn build_gossip_message(context: &Context, to_host: &str) -> GossipMessage {
+    GossipMessage {
         host: context.host().to_string(),
         revision: context.in_force.load().revision,
         host_list_version: context.members.load().version(),
@@ -45,38 +45,38 @@
     demands
 }
 
-/// Applies another daemon's note.
-pub(crate) fn apply_note(context: &Context, note: &GossipNote) {
+/// Applies another daemon's message.
+pub(crate) fn apply_gossip_message(context: &Context, message: &GossipMessage) {
     let sender = {
         let members = context.members.load();
-        members.all().iter().find(|member| *member.host == *note.host).cloned()
+        members.all().iter().find(|member| *member.host == *message.host).cloned()
     };
     let Some(sender) = sender else { return };
-    if context.members.load().would_change(sender.key, note.stopping) {
+    if context.members.load().would_change(sender.key, message.stopping) {
         context.change_members(|members| {
             members.clear_suspicion(sender.key);
-            if note.stopping {
+            if message.stopping {
                 members.mark_stopping(sender.key, Instant::now());
             } else {
                 members.mark_running(sender.key);
             }
         });
     }
-    record_demands(context, sender.key, note);
-    request_updates(context, note, sender.peer_address);
+    record_demands(context, sender.key, message);
+    request_updates(context, message, sender.peer_address);
 }
 
-fn request_updates(context: &Context, note: &GossipNote, address: SocketAddr) {
-    // If the queue is full, a later note announces the update again.
-    if note.revision > context.in_force.load().revision {
+fn request_updates(context: &Context, message: &GossipMessage, address: SocketAddr) {
+    // If the queue is full, a later message announces the update again.
+    if message.revision > context.in_force.load().revision {
         let _ = context.updates.try_send(PeerUpdate::Configuration(address));
     }
-    if note.host_list_version > context.members.load().version() {
+    if message.host_list_version > context.members.load().version() {
         let _ = context.updates.try_send(PeerUpdate::HostList(address));
     }
 }
 
-/// Exchanges notes with one random daemon at the configured interval.
+/// Exchanges messages with one random daemon at the configured interval.
 pub(crate) async fn gossip(context: Arc<Context>, peers: Arc<Peers>) {
     let interval = Duration::from_millis(context.settings.control.gossip_ms.max(1));
     loop {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Exchanges notes with several random daemons at once.
+/// Exchanges messages with several random daemons at once.
 pub(crate) async fn push_gossip(context: &Arc<Context>, peers: &Arc<Peers>, count: usize) {
     for target in targets(context, count) {
         let (context, peers) = (context.clone(), peers.clone());
@@ -98,7 +98,7 @@
     }
 }
 
-/// Selects daemons to exchange notes with: members, or the seeds while no member is listed.
+/// Selects daemons to exchange messages with: members, or the seeds while no member is listed.
 fn targets(context: &Context, count: usize) -> Vec<Target> {
     let members = context.members.load();
     let others: Vec<&Member> =
@@ -137,13 +137,13 @@
 }
 
 async fn exchange(context: &Context, peers: &Peers, target: Target) {
-    let note = build_note(context, &target.host);
-    let answer = call_peer(context, peers, target.address, Body::Gossip(note)).await;
+    let message = build_gossip_message(context, &target.host);
+    let answer = call_peer(context, peers, target.address, Body::Gossip(message)).await;
     match answer {
-        Some(Body::Gossip(note)) => {
-            apply_note(context, &note);
+        Some(Body::Gossip(message)) => {
+            apply_gossip_message(context, &message);
             // A seed may not be listed yet, but its updates are needed.
-            request_updates(context, &note, target.address);
+            request_updates(context, &message, target.address);
         }
         _ => {
             if let Some(key) = target.key {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -10,9 +10,9 @@
 
 pub use client::{Answers, PeerClient, PeerDisconnected};
 pub use messages::{
-    Body, ChunkAnswer, ChunkRequest, Credit, Envelope, GossipNote, GroupDemand, HeadAnswer,
-    HeadRequest, HoldAnswer, HoldRequest, HostListAnswer, HostListRequest, HostNote, Job, Point,
-    RelayAbandon, RelayCancel, RelayChunk, RelayEnd, Setting, Statement, Step, StepShape,
+    Body, ChunkAnswer, ChunkRequest, Credit, Envelope, GossipMessage, GroupDemand, HeadAnswer,
+    HeadRequest, HoldAnswer, HoldRequest, HostListAnswer, HostListEntry, HostListRequest, Job,
+    Point, RelayAbandon, RelayCancel, RelayChunk, RelayEnd, Setting, Statement, Step, StepShape,
     TermNotice, ViewAnswer, ViewRequest,
 };
 pub use server::{PeerHandler, Reply, RequesterDisconnected, serve_connection};
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -46,7 +46,7 @@
     ViewAnswer(ViewAnswer),
     /// The sender's versions and state; answered by those of the receiver.
     #[prost(message, tag = "10")]
-    Gossip(GossipNote),
+    Gossip(GossipMessage),
     /// Asks for the head of the configuration in force.
     #[prost(message, tag = "11")]
     HeadRequest(HeadRequest),
@@ -298,7 +298,7 @@
 
 /// The versions and state that two daemons exchange.
 #[derive(Clone, PartialEq, Message)]
-pub struct GossipNote {
+pub struct GossipMessage {
     /// The sender's host.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -392,12 +392,12 @@
     pub version: u64,
     /// The hosts.
     #[prost(message, repeated, tag = "2")]
-    pub hosts: Vec<HostNote>,
+    pub hosts: Vec<HostListEntry>,
 }
 
 /// A host of the list.
 #[derive(Clone, PartialEq, Message)]
-pub struct HostNote {
+pub struct HostListEntry {
     /// Its name.
     #[prost(string, tag = "1")]
     pub host: String,
--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -14,7 +14,7 @@
 use config::{Configuration, ConfigurationPart, ReadPolicy, check_configuration, read_part, split};
 use membership::{Member, MemberState, select_owners};
 use model::{GroupId, LogPoint, Name, ServerId};
-use peer::{Body, Envelope, GossipNote, GroupDemand};
+use peer::{Body, Envelope, GossipMessage, GroupDemand};
 use prost::Message;
 use routing::{Candidate, ReadCriteria, route_read};
 use wardtiller::{
@@ -262,7 +262,7 @@
         group: "north".to_owned(),
         wanted: vec![4, 4, 4],
     };
-    let note = GossipNote {
+    let note = GossipMessage {
         host: "entry-hofdi-1".to_owned(),
         revision: 1_000_000,
         host_list_version: 1_000_000,
