--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// A connection, which is released together with the slot.
-    Alone,
+    SingleStatement,
     /// A connection, which is kept until the end of the transaction.
-    Opens,
+    OpensTransaction,
     /// Nothing, since its transaction has a connection.
-    Continues,
+    InTransaction,
 }
 
 /// A statement to be run.
@@ -234,11 +234,11 @@
 
     /// Records that a statement or its transaction has released its connection.
     pub fn on_released(&mut self, request: &Request) {
-        if request.stage == Stage::Continues {
+        if request.stage == Stage::InTransaction {
             return;
         }
         self.connections_in_use = self.connections_in_use.saturating_sub(1);
-        if request.stage == Stage::Opens
+        if request.stage == Stage::OpensTransaction
             && let Some(count) = self.transactions.get_mut(&request.account)
         {
             *count -= 1;
@@ -292,7 +292,7 @@
     fn order_of(&mut self, request: &Request, cost_us: u64, now: Instant) -> Order {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let continues = request.stage == Stage::Continues;
+        let continues = request.stage == Stage::InTransaction;
         let slots = self.limit.slots();
         let is_heavy =
             request.has_account() && self.demand.add(&request.account, cost_us, slots, now);
@@ -311,9 +311,9 @@
             return false;
         }
         match request.stage {
-            Stage::Continues => true,
-            Stage::Alone => self.connections_in_use < self.connections,
-            Stage::Opens => {
+            Stage::InTransaction => true,
+            Stage::SingleStatement => self.connections_in_use < self.connections,
+            Stage::OpensTransaction => {
                 self.connections_in_use < self.connections && self.may_open_transaction(request)
             }
         }
@@ -358,9 +358,9 @@
         self.started_us[waiter.order.step] += waiter.cost_us as f64;
         self.fair_queues[waiter.request.rank.index()].on_begin(waiter.order.start_tag);
         match waiter.request.stage {
-            Stage::Continues => {}
-            Stage::Alone => self.connections_in_use += 1,
-            Stage::Opens => {
+            Stage::InTransaction => {}
+            Stage::SingleStatement => self.connections_in_use += 1,
+            Stage::OpensTransaction => {
                 self.connections_in_use += 1;
                 *self.transactions.entry(waiter.request.account.clone()).or_default() += 1;
             }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -137,7 +137,8 @@
 }
 
 fn request_for(request: &ConnectionRequest, principal: &Principal, until: Instant) -> Request {
-    let stage = if request.opens_transaction { Stage::Opens } else { Stage::Alone };
+    let stage =
+        if request.opens_transaction { Stage::OpensTransaction } else { Stage::SingleStatement };
     let account = principal.account_name().into();
     Request { rank: request.rank(), account, stage, until }
 }
