--- a/crates/overload/src/account_retry_budget.rs
+++ b/crates/overload/src/account_retry_budget.rs
@@ -24,7 +24,7 @@
     /// The path failed before the operation was run; another path may work.
     Path,
     /// There was no capacity; a retry takes capacity from other operations.
-    NoRoom,
+    NoCapacity,
 }
 
 impl RetryCause {
@@ -32,7 +32,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             RetryCause::Path => "path",
-            RetryCause::NoRoom => "no_room",
+            RetryCause::NoCapacity => "no_room",
         }
     }
 }
--- a/crates/overload/tests/account_retry_budget.rs
+++ b/crates/overload/tests/account_retry_budget.rs
@@ -26,7 +26,7 @@
                     budget.on_success(account, rank);
                     break;
                 }
-                if !budget.may_retry(account, rank, attempts, RetryCause::NoRoom) {
+                if !budget.may_retry(account, rank, attempts, RetryCause::NoCapacity) {
                     break;
                 }
             }
@@ -43,10 +43,10 @@
     let mut budget = AccountRetryBudget::default();
     let (hot, small): (Arc<str>, Arc<str>) = (Arc::from("hot"), Arc::from("small"));
     let rank = Rank::ALL[0];
-    while budget.may_retry(&hot, rank, 1, RetryCause::NoRoom) {}
-    assert!(budget.may_retry(&small, rank, 1, RetryCause::NoRoom));
+    while budget.may_retry(&hot, rank, 1, RetryCause::NoCapacity) {}
+    assert!(budget.may_retry(&small, rank, 1, RetryCause::NoCapacity));
     assert!(
-        budget.may_retry(&hot, Rank::ALL[1], 1, RetryCause::NoRoom),
+        budget.may_retry(&hot, Rank::ALL[1], 1, RetryCause::NoCapacity),
         "each rank has its own tokens"
     );
 }
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -355,7 +355,7 @@
             }
         }
         let cause = match attempts.last_error {
-            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => RetryCause::NoRoom,
+            Some(ErrorCode::Overloaded | ErrorCode::TooManyConnections) => RetryCause::NoCapacity,
             Some(_) | None => RetryCause::Path,
         };
         let account = Name::from(job.principal.account_name());
