--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -20,7 +20,7 @@
         mirror::StoreUpdates,
         peer_link::{SplitAnswer, serve_peers},
         peers::{
-            ClockMessage, FollowAnswer, FollowRequest, OwnKeys, SharedRead, StoreRead,
+            ClockMessage, DaemonKeys, FollowAnswer, FollowRequest, SharedRead, StoreRead,
             TunnelRequest, evaluate_read,
         },
         runner::{Control, ServingRequest},
@@ -177,8 +177,8 @@
         self.apply_updates(contents.updates);
         {
             let mut state = self.state.borrow_mut();
-            let own_applied_revision = answer.revision(answer.own_applied_revision);
-            state.own_applied_revision = state.own_applied_revision.max(own_applied_revision);
+            let daemon_keys_revision = answer.revision(answer.daemon_keys_revision);
+            state.daemon_keys_revision = state.daemon_keys_revision.max(daemon_keys_revision);
         }
         if let Some(message) = read
             && let Some(read) = message.to_store_read(answer.made_at(sent_at), answer.era())
@@ -205,7 +205,7 @@
         let now = Instant::now();
         self.state.borrow_mut().note_observed_revision(&read);
         let useful_for = self.primary_lease_duration().mul_f64(USEFUL_READ_FACTOR);
-        let evaluated = evaluate_read(&read, now, useful_for, &self.own_keys());
+        let evaluated = evaluate_read(&read, now, useful_for, &self.daemon_keys());
         let SharedRead::Renews(services) = evaluated else { return };
         let has_recovered = {
             let mut state = self.state.borrow_mut();
@@ -220,10 +220,10 @@
     }
 
     /// Returns which of the daemons' own keys this daemon has, and their revisions.
-    pub(crate) fn own_keys(&self) -> OwnKeys {
+    pub(crate) fn daemon_keys(&self) -> DaemonKeys {
         let state = self.state.borrow();
-        OwnKeys {
-            applied_revision: state.own_applied_revision,
+        DaemonKeys {
+            applied_revision: state.daemon_keys_revision,
             member: state.mirror.get(&self.member_key()).map(|item| item.revision),
             records: state
                 .records
@@ -316,7 +316,7 @@
             era: state.mirror.era().0,
             // Set by `FollowAnswer::split`.
             changes_follow: false,
-            own_applied_revision: state.own_applied_revision.number(),
+            daemon_keys_revision: state.daemon_keys_revision.number(),
             evidence: state
                 .evidence
                 .iter()
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -242,7 +242,7 @@
     pub samples: Vec<SampleMessage>,
     /// The answering daemon has applied every change of the daemons' own keys up to this revision.
     #[prost(uint64, tag = "11")]
-    pub own_applied_revision: u64,
+    pub daemon_keys_revision: u64,
     /// Whether the changes follow in a frame of their own.
     #[prost(bool, tag = "12")]
     pub changes_follow: bool,
@@ -463,7 +463,7 @@
 
 /// The daemons' own keys as this daemon has them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OwnKeys {
+pub struct DaemonKeys {
     /// Every change up to this revision has been applied.
     pub applied_revision: Revision,
     /// The revision of this daemon's member key, if it exists.
@@ -487,7 +487,7 @@
     read: &StoreRead,
     now: Instant,
     useful_for: Duration,
-    known: &OwnKeys,
+    known: &DaemonKeys,
 ) -> SharedRead {
     let is_shown = |revision: Revision| revision <= read.revision;
     let is_old = now.saturating_duration_since(read.asked_at) > useful_for;
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -113,7 +113,7 @@
         if own.revision.era() > self.state.borrow().mirror.era() {
             return self.handle_newer_era(StoreRead { asked_at, revision: own.revision }).await;
         }
-        if self.state.borrow().own_applied_revision >= own.revision {
+        if self.state.borrow().daemon_keys_revision >= own.revision {
             self.on_own_read(own.revision, asked_at);
             return Ok(());
         }
@@ -121,11 +121,11 @@
             if self.expects_changes_from_upstream(own.revision) {
                 return Ok(());
             }
-            match self.fetch_own_changes().await {
+            match self.fetch_daemon_key_changes().await {
                 Ok(()) | Err(MetadataError::HistoryGone) => {}
                 Err(error) => return Err(error),
             }
-            if self.state.borrow().own_applied_revision >= own.revision {
+            if self.state.borrow().daemon_keys_revision >= own.revision {
                 self.on_own_read(own.revision, asked_at);
                 return Ok(());
             }
@@ -137,13 +137,13 @@
                 .handle_newer_era(StoreRead { asked_at, revision: everything.revision })
                 .await;
         }
-        self.on_own_snapshot(everything, asked_at);
+        self.on_daemon_keys_snapshot(everything, asked_at);
         Ok(())
     }
 
     /// Whether so many changes are missing up to a revision that the upstream's compressed update is awaited.
     fn expects_changes_from_upstream(&self, revision: Revision) -> bool {
-        let known = self.state.borrow().own_applied_revision;
+        let known = self.state.borrow().daemon_keys_revision;
         let missing = revision.number().saturating_sub(known.number());
         missing > MAX_MISSING_CHANGES_FETCHED && self.upstream().is_some()
     }
@@ -151,14 +151,14 @@
     /// Fetches the changes of the daemons' own keys from the store once, and applies them.
     ///
     /// Other keys, such as a large configuration, are omitted because primary leases don't depend on them.
-    async fn fetch_own_changes(&self) -> Result<(), MetadataError> {
-        let after = self.state.borrow().own_applied_revision;
+    async fn fetch_daemon_key_changes(&self) -> Result<(), MetadataError> {
+        let after = self.state.borrow().daemon_keys_revision;
         let changes = self.store.watch(&self.key(""), after, Duration::ZERO).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
         self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
-        state.own_applied_revision = state.own_applied_revision.max(revision);
+        state.daemon_keys_revision = state.daemon_keys_revision.max(revision);
         Ok(())
     }
 
@@ -174,7 +174,7 @@
         let store_read = StoreRead { asked_at, revision };
         let now = Instant::now();
         self.note_own_read(store_read, now);
-        match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.own_keys()) {
+        match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.daemon_keys()) {
             SharedRead::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
             SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
             SharedRead::Useless => {}
@@ -192,7 +192,7 @@
             state.watching_since = Some(now);
         }
         let is_back = state.note_read(now, self.store_silence_timeout());
-        state.own_applied_revision = state.own_applied_revision.max(store_read.revision);
+        state.daemon_keys_revision = state.daemon_keys_revision.max(store_read.revision);
         state.keep_latest_read(store_read);
         drop(state);
         if is_back {
@@ -209,7 +209,7 @@
     }
 
     /// Applies a snapshot of the daemons' own keys whose read was sent at `asked_at`.
-    pub(crate) fn on_own_snapshot(&self, snapshot: Snapshot, asked_at: Instant) {
+    pub(crate) fn on_daemon_keys_snapshot(&self, snapshot: Snapshot, asked_at: Instant) {
         let now = Instant::now();
         let revision = snapshot.revision;
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -81,7 +81,7 @@
     /// Increases with each replacement of `latest_read`.
     pub(crate) read_number: u64,
     /// Every change of the daemons' own keys up to this revision has been applied.
-    pub(crate) own_applied_revision: Revision,
+    pub(crate) daemon_keys_revision: Revision,
     /// The latest change that the followers of this daemon should receive at once.
     pub(crate) urgent_revision: Revision,
     /// Leaders reported by a majority of their servers, to be sent to followers.
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -65,14 +65,14 @@
         self.count_call("range", &read);
         let everything = read?;
         let revision = everything.revision;
-        let own_prefix = self.key("");
-        let own_items = everything.items.iter().filter(|item| item.key.starts_with(&own_prefix));
-        let own = Snapshot { items: own_items.cloned().collect(), revision };
+        let prefix = self.key("");
+        let daemon_items = everything.items.iter().filter(|item| item.key.starts_with(&prefix));
+        let daemon_keys = Snapshot { items: daemon_items.cloned().collect(), revision };
         self.enter_era(revision);
         let changes = self.state.borrow().mirror.changes_to("", everything);
         self.apply_changes(changes);
         self.state.borrow_mut().note_applied(revision);
-        self.on_own_snapshot(own, asked_at);
+        self.on_daemon_keys_snapshot(daemon_keys, asked_at);
         self.note_store_loaded();
         Ok(())
     }
@@ -139,7 +139,7 @@
         self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
         state.note_applied(revision);
-        state.own_applied_revision = state.own_applied_revision.max(revision);
+        state.daemon_keys_revision = state.daemon_keys_revision.max(revision);
         Ok(())
     }
 
@@ -220,7 +220,7 @@
 
     /// Applies changes from the store or another daemon, and wakes the tasks that wait for them.
     pub(crate) fn apply_changes(&self, changes: Vec<Change>) {
-        let mut own_changed = false;
+        let mut has_daemon_key_changed = false;
         let mut records = Vec::new();
         for change in changes {
             let key = change.key().to_owned();
@@ -234,14 +234,14 @@
                 }
             }
             if key.starts_with(&*self.settings.metadata.prefix) {
-                own_changed = true;
-                records.extend(self.on_shared_key(&key));
+                has_daemon_key_changed = true;
+                records.extend(self.on_daemon_key(&key));
             } else {
                 self.on_operator_or_server_change(change);
             }
         }
         self.apply_records(&records);
-        if own_changed {
+        if has_daemon_key_changed {
             self.mirror_changed.notify_waiters();
         }
         self.updates_available.notify_waiters();
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -11,8 +11,8 @@
     control::{
         compression::decompress,
         peers::{
-            ChangeMessage, ChangesMessage, ClockMessage, Evidence, FollowAnswer, FollowRequest,
-            OwnKeys, PrimarySample, SharedRead, StoreRead, evaluate_read,
+            ChangeMessage, ChangesMessage, ClockMessage, DaemonKeys, Evidence, FollowAnswer,
+            FollowRequest, PrimarySample, SharedRead, StoreRead, evaluate_read,
         },
     },
     metadata::{Change, Era, Item, Revision},
@@ -37,7 +37,7 @@
 fn a_shared_read_renews_the_records_it_showed_if_all_its_changes_are_applied() {
     let base = Instant::now() + ms(10_000);
     let read = StoreRead { asked_at: base, revision: at(20) };
-    let keys = |applied_revision, member: Option<u64>, records: &[(&str, u64)]| OwnKeys {
+    let keys = |applied_revision, member: Option<u64>, records: &[(&str, u64)]| DaemonKeys {
         applied_revision: at(applied_revision),
         member: member.map(at),
         records: revisions(records),
@@ -68,11 +68,14 @@
 fn a_shared_read_of_another_era_renews_nothing() {
     let base = Instant::now() + ms(10_000);
     let restored = |number| Revision::new(Era(2), number);
-    let keys =
-        OwnKeys { applied_revision: at(20), member: Some(at(3)), records: revisions(&[("a", 5)]) };
+    let keys = DaemonKeys {
+        applied_revision: at(20),
+        member: Some(at(3)),
+        records: revisions(&[("a", 5)]),
+    };
     let later = StoreRead { asked_at: base, revision: restored(10) };
     assert_eq!(evaluate_read(&later, base, MAX_READ_AGE, &keys), SharedRead::Useless);
-    let keys = OwnKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
+    let keys = DaemonKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
     let earlier = StoreRead { asked_at: base, revision: at(20) };
     assert_eq!(evaluate_read(&earlier, base, MAX_READ_AGE, &keys), SharedRead::Useless);
 }
