--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -200,7 +200,7 @@
         self.count_call("commit", &written);
         match written {
             Ok(TransactionOutcome::Done(revision)) => {
-                self.note_written(service, VersionedRecord { record, revision });
+                self.on_record_written(service, VersionedRecord { record, revision });
                 Ok(revision)
             }
             Ok(TransactionOutcome::Conflict)
@@ -216,7 +216,7 @@
             }
             // If the store was restored meanwhile, the write used a promoter lease of an earlier era.
             Err(MetadataError::EraChanged(_)) => {
-                self.note_unconfirmed_write(service, record);
+                self.on_unconfirmed_write(service, record);
                 Err(ChangeFailure::Superseded)
             }
             Ok(TransactionOutcome::LeaseOver) => Err(ChangeFailure::Superseded),
--- a/crates/proxy/src/control/daemon_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -28,7 +28,7 @@
 
 impl<P: Adapter> Control<P> {
     /// Notes when each member was last seen.
-    pub(crate) fn note_members(&self, now: Instant) {
+    pub(crate) fn update_seen_members(&self, now: Instant) {
         let own_zone = &*self.settings.availability_zone;
         let mut state = self.state.borrow_mut();
         state.drop_lost_members(&self.key("members/"), now);
@@ -52,7 +52,7 @@
         } else if rest == RETAINED_CONFIGURATION_KEY {
             self.on_retained_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
-            self.note_own_suspicion(key);
+            self.on_own_suspicion(key);
             self.probe_suspected_server(key, suspicion);
         }
         None
@@ -131,7 +131,7 @@
                 VersionedRecord { record: known?.record.clone(), revision }
             }
         };
-        state.note_edition(service, &authoritative.record);
+        state.update_edition(service, &authoritative.record);
         let authoritative = Arc::new(authoritative);
         state.records.insert(service.clone(), authoritative.clone());
         Some(authoritative)
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -196,14 +196,14 @@
         }
         self.merge_samples(contents.samples);
         self.updates_available.notify_waiters();
-        self.note_members(Instant::now());
+        self.update_seen_members(Instant::now());
         self.publish();
     }
 
     /// Applies another daemon's store read and renews the primary leases that it covers.
     fn apply_shared_read(&self, read: StoreRead) {
         let now = Instant::now();
-        self.state.borrow_mut().note_observed_revision(&read);
+        self.state.borrow_mut().on_observed_revision(&read);
         let useful_for = self.primary_lease_duration().mul_f64(USEFUL_READ_FACTOR);
         let evaluated = evaluate_read(&read, now, useful_for, &self.daemon_keys());
         let SharedRead::Renews(services) = evaluated else { return };
@@ -211,7 +211,7 @@
             let mut state = self.state.borrow_mut();
             state.shared_read_at = Some(read.asked_at);
             state.keep_latest_read(read);
-            state.note_read(now, self.store_silence_timeout())
+            state.on_store_read(now, self.store_silence_timeout())
         };
         if has_recovered {
             self.reprobe_suspected_servers();
@@ -247,7 +247,7 @@
             changes
         };
         self.apply_changes(changes);
-        self.state.borrow_mut().note_applied(applied_revision);
+        self.state.borrow_mut().on_applied(applied_revision);
     }
 
     /// Answers a follower as soon as there are updates for it.
@@ -257,7 +257,7 @@
         self.store.record_era(request.applied().era());
         self.merge_samples(request.local_samples(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
-            self.note_replicas_behind(Name::from(service.as_str()));
+            self.on_replicas_behind(Name::from(service.as_str()));
         }
         let until = received_at + Duration::from_millis(request.wait_ms).min(UPDATE_WAIT);
         loop {
--- a/crates/proxy/src/control/freshness.rs
+++ b/crates/proxy/src/control/freshness.rs
@@ -50,7 +50,7 @@
 
 impl Freshness {
     /// Notes a store read; every change up to `applied_revision` has been applied.
-    pub fn note_store_read(&mut self, observed: ObservedRevision, applied_revision: Revision) {
+    pub fn on_store_read(&mut self, observed: ObservedRevision, applied_revision: Revision) {
         if observed.revision <= applied_revision {
             self.complete_at = self.complete_at.max(Some(observed.asked_at));
             return;
@@ -63,7 +63,7 @@
     }
 
     /// Notes that every change up to a revision has been applied.
-    pub fn note_applied(&mut self, applied_revision: Revision) {
+    pub fn on_applied(&mut self, applied_revision: Revision) {
         let Some((first, latest)) = self.missing else { return };
         if first.revision > applied_revision {
             return;
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -76,7 +76,7 @@
     }
 
     /// Notes that every change up to a revision has been applied.
-    pub fn note_applied(&mut self, revision: Revision) {
+    pub fn on_applied(&mut self, revision: Revision) {
         self.applied_revision = self.applied_revision.max(revision);
     }
 
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -173,7 +173,7 @@
     fn on_own_read(&self, revision: Revision, asked_at: Instant) {
         let store_read = StoreRead { asked_at, revision };
         let now = Instant::now();
-        self.note_own_read(store_read, now);
+        self.record_own_read(store_read, now);
         match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.daemon_keys()) {
             SharedRead::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
             SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
@@ -183,15 +183,15 @@
     }
 
     /// Notes a store read that this daemon made itself.
-    fn note_own_read(&self, store_read: StoreRead, now: Instant) {
+    fn record_own_read(&self, store_read: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
-        state.note_observed_revision(&store_read);
+        state.on_observed_revision(&store_read);
         let before = state.own_read_at.replace(store_read.asked_at);
         if before.is_none_or(|before| now.duration_since(before) > self.primary_lease_duration()) {
             // Members that joined and left since the last own read were not seen; shared reads don't contain them.
             state.watching_since = Some(now);
         }
-        let is_back = state.note_read(now, self.store_silence_timeout());
+        let is_back = state.on_store_read(now, self.store_silence_timeout());
         state.daemon_keys_revision = state.daemon_keys_revision.max(store_read.revision);
         state.keep_latest_read(store_read);
         drop(state);
@@ -202,7 +202,7 @@
 
     /// Does what follows from every store read.
     fn finish_read(&self, now: Instant) {
-        self.note_members(now);
+        self.update_seen_members(now);
         self.report_and_probe_suspicions();
         self.publish();
         self.updates_available.notify_waiters();
@@ -215,7 +215,7 @@
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
         let changes = self.state.borrow().mirror.changes_to(&self.key(""), snapshot);
         self.apply_changes(changes);
-        self.note_own_read(StoreRead { asked_at, revision }, now);
+        self.record_own_read(StoreRead { asked_at, revision }, now);
         if is_member {
             self.grant_primary_leases(asked_at, None);
         } else if self.is_member_key_missing() {
--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -32,7 +32,7 @@
     pub(crate) fn report_replicas_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
         if self.held_promoter_lease().is_some() {
-            self.note_replicas_behind(service);
+            self.on_replicas_behind(service);
             return;
         }
         let Some(promoter) = self.promoter_address() else { return };
@@ -52,7 +52,7 @@
     }
 
     /// Notes such a report, and wakes the promoter's check for a leader move.
-    pub(crate) fn note_replicas_behind(&self, service: Name) {
+    pub(crate) fn on_replicas_behind(&self, service: Name) {
         self.state.borrow_mut().replicas_behind_at.insert(service, Instant::now());
         self.mirror_changed.notify_waiters();
     }
--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -41,7 +41,7 @@
 
 impl ConfigurationVersions {
     /// Notes a configuration from the store; returns whether the retained one has to be written or removed.
-    pub(crate) fn note(&mut self, version: u64, value: &Bytes, is_operators: bool) -> bool {
+    pub(crate) fn update(&mut self, version: u64, value: &Bytes, is_operators: bool) -> bool {
         match is_operators {
             true => self.operators = version,
             false => self.retained = version,
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -76,7 +76,7 @@
                 LoadProgress::Nothing => {}
                 LoadProgress::Stale => self.read_own_key().await,
                 LoadProgress::Complete => {
-                    self.note_store_loaded();
+                    self.on_store_loaded();
                     log::info!(
                         event = "heard_everything", peer = upstream.to_string().as_str(),
                         took_ms = started_at.elapsed().as_millis() as u64;
@@ -105,7 +105,7 @@
     }
 
     /// Notes that the configuration, the servers and the daemons' own keys have been loaded.
-    pub(crate) fn note_store_loaded(&self) {
+    pub(crate) fn on_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
         state.servers_known = true;
         // Entries may have expired here during an outage of the store; their servers can renew them now.
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -145,7 +145,7 @@
     }
 
     /// Notes a store read; `true` if it is the first one after an outage.
-    pub(crate) fn note_read(&mut self, now: Instant, silence_timeout: Duration) -> bool {
+    pub(crate) fn on_store_read(&mut self, now: Instant, silence_timeout: Duration) -> bool {
         let has_recovered = self.is_store_silent(silence_timeout);
         if has_recovered {
             self.store_recovered_at = Some(now);
@@ -154,15 +154,15 @@
         has_recovered
     }
 
-    pub(crate) fn note_applied(&mut self, revision: Revision) {
-        self.mirror.note_applied(revision);
-        self.freshness.note_applied(self.mirror.applied_revision());
+    pub(crate) fn on_applied(&mut self, revision: Revision) {
+        self.mirror.on_applied(revision);
+        self.freshness.on_applied(self.mirror.applied_revision());
     }
 
     /// Notes the store's revision at a read, whether or not the read renews a primary lease.
-    pub(crate) fn note_observed_revision(&mut self, read: &StoreRead) {
+    pub(crate) fn on_observed_revision(&mut self, read: &StoreRead) {
         let observed = ObservedRevision { revision: read.revision, asked_at: read.asked_at };
-        self.freshness.note_store_read(observed, self.mirror.applied_revision());
+        self.freshness.on_store_read(observed, self.mirror.applied_revision());
     }
 
     /// Discards what was known of a server's former process: its primary lease, the evidence and the suspicion.
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -88,7 +88,7 @@
     }
 
     /// Notes the edition of a record that was received.
-    pub(crate) fn note_edition(&mut self, service: &Name, record: &LeadershipRecord) {
+    pub(crate) fn update_edition(&mut self, service: &Name, record: &LeadershipRecord) {
         if record.edition > 0 {
             let latest = self.editions.entry(service.clone()).or_default();
             *latest = record.edition.max(*latest);
@@ -197,23 +197,23 @@
         if self.upstream().is_none() {
             return self.load_from_store().await;
         }
-        self.state.borrow_mut().note_observed_revision(&reading);
+        self.state.borrow_mut().on_observed_revision(&reading);
         Ok(())
     }
 
     /// Notes a record of this daemon that the store committed.
-    pub(crate) fn note_written(&self, service: &Name, written: VersionedRecord) {
+    pub(crate) fn on_record_written(&self, service: &Name, written: VersionedRecord) {
         self.state.borrow_mut().written_records.insert(service.clone(), written);
     }
 
     /// Notes a record whose write was in progress when the store was restored. A record without a change states what
     /// the servers reported, so it is valid even if it was not stored. One with a change is ignored, as it had no
     /// effect.
-    pub(crate) fn note_unconfirmed_write(&self, service: &Name, record: LeadershipRecord) {
+    pub(crate) fn on_unconfirmed_write(&self, service: &Name, record: LeadershipRecord) {
         if record.change.is_some() {
             return;
         }
-        self.note_written(service, VersionedRecord { record, revision: Revision::MAX });
+        self.on_record_written(service, VersionedRecord { record, revision: Revision::MAX });
         let has_entered = {
             let mut state = self.state.borrow_mut();
             let has_entered = state.mirror.era() >= self.store.era();
--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -157,7 +157,7 @@
     }
 
     /// Notes that one of this daemon's own suspicions was added to or removed from the store.
-    pub(crate) fn note_own_suspicion(&self, key: &str) {
+    pub(crate) fn on_own_suspicion(&self, key: &str) {
         let is_own = key.rsplit_once('/').is_some_and(|(_, host)| *host == *self.settings.host);
         if is_own {
             let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -71,9 +71,9 @@
         self.enter_era(revision);
         let changes = self.state.borrow().mirror.changes_to("", everything);
         self.apply_changes(changes);
-        self.state.borrow_mut().note_applied(revision);
+        self.state.borrow_mut().on_applied(revision);
         self.on_daemon_keys_snapshot(daemon_keys, asked_at);
-        self.note_store_loaded();
+        self.on_store_loaded();
         Ok(())
     }
 
@@ -107,7 +107,7 @@
                 }
                 Err(error) => return error,
             }
-            self.note_members(Instant::now());
+            self.update_seen_members(Instant::now());
             self.publish();
             if asked_at.elapsed() < BURST_WITHIN {
                 tokio::time::sleep(BURST_PAUSE).await;
@@ -138,7 +138,7 @@
         let Changes { changes, revision } = changes?;
         self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
-        state.note_applied(revision);
+        state.on_applied(revision);
         state.daemon_keys_revision = state.daemon_keys_revision.max(revision);
         Ok(())
     }
@@ -288,7 +288,7 @@
         };
         let mut state = self.state.borrow_mut();
         let is_operators = self.is_operators_configuration(&item.key);
-        if state.configurations.note(catalog.version, &item.value, is_operators) {
+        if state.configurations.update(catalog.version, &item.value, is_operators) {
             self.republish.notify_one();
         }
         if catalog.version <= state.catalog.version {
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -388,7 +388,7 @@
     ] {
         mirror.apply(change);
     }
-    mirror.note_applied(at(7));
+    mirror.on_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
         ("after the last update", 6, vec![removed("p/b", 7)]),
@@ -435,7 +435,7 @@
         mirror.apply(put(key, at(9)));
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
-    mirror.note_applied(at(10));
+    mirror.on_applied(at(10));
     assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era that was not entered");
     mirror.enter_era(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
@@ -443,7 +443,7 @@
     for change in changes {
         assert!(mirror.apply(change));
     }
-    mirror.note_applied(restored(5));
+    mirror.on_applied(restored(5));
     assert_eq!(mirror.applied_revision(), restored(5));
     assert_eq!(mirror.last_revision(), restored(5));
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -26,14 +26,14 @@
 fn a_read_of_a_later_era_shows_missing_changes() {
     let base = Instant::now();
     let mut freshness = Freshness::default();
-    freshness.note_store_read(observed(base, 100, 90), at(90));
+    freshness.on_store_read(observed(base, 100, 90), at(90));
     let restored = Revision::new(Era(1), 7);
     freshness
-        .note_store_read(ObservedRevision { revision: restored, asked_at: base + ms(500) }, at(90));
+        .on_store_read(ObservedRevision { revision: restored, asked_at: base + ms(500) }, at(90));
     assert_eq!(freshness.behind_for(base + ms(600)), Some(ms(100)));
-    freshness.note_applied(at(95));
+    freshness.on_applied(at(95));
     assert_eq!(freshness.behind_for(base + ms(600)), Some(ms(100)));
-    freshness.note_applied(restored);
+    freshness.on_applied(restored);
     assert_eq!(freshness.behind_for(base + ms(600)), None);
 }
 
@@ -42,13 +42,13 @@
     let base = Instant::now();
     let mut freshness = Freshness::default();
     assert_eq!(freshness.age(base + ms(50)), None);
-    freshness.note_store_read(observed(base, 100, 7), at(7));
+    freshness.on_store_read(observed(base, 100, 7), at(7));
     assert_eq!(freshness.age(base + ms(400)), Some(ms(300)));
     assert_eq!(freshness.behind_for(base + ms(400)), None);
-    freshness.note_store_read(observed(base, 500, 9), at(7));
+    freshness.on_store_read(observed(base, 500, 9), at(7));
     assert_eq!(freshness.age(base + ms(600)), Some(ms(500)));
     assert_eq!(freshness.behind_for(base + ms(600)), Some(ms(100)));
-    freshness.note_applied(at(9));
+    freshness.on_applied(at(9));
     assert_eq!(freshness.age(base + ms(600)), Some(ms(100)));
     assert_eq!(freshness.behind_for(base + ms(600)), None);
 }
@@ -60,10 +60,10 @@
     let base = Instant::now();
     let mut freshness = Freshness::default();
     for step in 1..100 {
-        freshness.note_store_read(observed(base, step * 100, step * 10), at(step * 10 - 10));
+        freshness.on_store_read(observed(base, step * 100, step * 10), at(step * 10 - 10));
         let now = base + ms(step * 100 + 50);
         assert!(freshness.behind_for(now).unwrap() <= ms(150), "step {step}");
-        freshness.note_applied(at(step * 10 - 5));
+        freshness.on_applied(at(step * 10 - 5));
     }
 }
 
@@ -71,8 +71,8 @@
 fn an_earlier_read_does_not_reduce_the_age() {
     let base = Instant::now();
     let mut freshness = Freshness::default();
-    freshness.note_store_read(observed(base, 500, 7), at(7));
-    freshness.note_store_read(observed(base, 300, 6), at(7));
+    freshness.on_store_read(observed(base, 500, 7), at(7));
+    freshness.on_store_read(observed(base, 300, 6), at(7));
     assert_eq!(freshness.age(base + ms(600)), Some(ms(100)));
 }
 
@@ -94,10 +94,10 @@
             if is_read {
                 let observed = ObservedRevision { revision: at(revision), asked_at: now };
                 reads.push(observed);
-                freshness.note_store_read(observed, at(applied_revision));
+                freshness.on_store_read(observed, at(applied_revision));
             } else {
                 applied_revision = revision.saturating_sub(change / 2);
-                freshness.note_applied(at(applied_revision));
+                freshness.on_applied(at(applied_revision));
             }
             let complete = reads.iter().filter(|it| it.revision <= at(applied_revision));
             let true_age = complete.map(|it| now.duration_since(it.asked_at)).min();
