--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -20,7 +20,7 @@
         mirror::StoreUpdates,
         peer_link::{SplitAnswer, serve_peers},
         peers::{
-            ClockMessage, DaemonKeys, FollowAnswer, FollowRequest, SharedRead, StoreRead,
+            ClockMessage, DaemonKeys, FollowAnswer, FollowRequest, ReadEffect, StoreRead,
             TunnelRequest, evaluate_read,
         },
         runner::{Control, ServingRequest},
@@ -206,7 +206,7 @@
         self.state.borrow_mut().on_observed_revision(&read);
         let useful_for = self.primary_lease_duration().mul_f64(USEFUL_READ_FACTOR);
         let evaluated = evaluate_read(&read, now, useful_for, &self.daemon_keys());
-        let SharedRead::Renews(services) = evaluated else { return };
+        let ReadEffect::Renews(services) = evaluated else { return };
         let has_recovered = {
             let mut state = self.state.borrow_mut();
             state.shared_read_at = Some(read.asked_at);
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -474,11 +474,11 @@
 
 /// What another daemon's store read is good for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SharedRead {
+pub enum ReadEffect {
     /// It renews the primary leases of these services.
     Renews(Vec<Name>),
     /// It renews nothing; this daemon has to read the store itself.
-    Useless,
+    RenewsNothing,
 }
 
 /// Evaluates another daemon's store read. A daemon that has applied every change up to the read's revision knows what
@@ -488,14 +488,14 @@
     now: Instant,
     useful_for: Duration,
     known: &DaemonKeys,
-) -> SharedRead {
+) -> ReadEffect {
     let is_shown = |revision: Revision| revision <= read.revision;
     let is_old = now.saturating_duration_since(read.asked_at) > useful_for;
     // A daemon that lacks a change which the read showed may have missed a change of primary.
     if is_old || !known.member.is_some_and(is_shown) || known.applied_revision < read.revision {
-        return SharedRead::Useless;
+        return ReadEffect::RenewsNothing;
     }
     // The read says nothing about a record that has changed since.
     let shown = known.records.iter().filter(|(_, revision)| is_shown(**revision));
-    SharedRead::Renews(shown.map(|(service, _)| service.clone()).collect())
+    ReadEffect::Renews(shown.map(|(service, _)| service.clone()).collect())
 }
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -12,7 +12,7 @@
         adapter::Adapter,
         backoff::Backoff,
         control_view::Basis,
-        peers::{SharedRead, StoreRead, evaluate_read},
+        peers::{ReadEffect, StoreRead, evaluate_read},
         runner::Control,
         state::State,
     },
@@ -175,9 +175,9 @@
         let now = Instant::now();
         self.record_own_read(store_read, now);
         match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.daemon_keys()) {
-            SharedRead::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
-            SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
-            SharedRead::Useless => {}
+            ReadEffect::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
+            ReadEffect::RenewsNothing if self.is_member_key_missing() => self.rejoin.notify_one(),
+            ReadEffect::RenewsNothing => {}
         }
         self.finish_read(now);
     }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -12,7 +12,7 @@
         compression::decompress,
         peers::{
             ChangeMessage, ChangesMessage, ClockMessage, DaemonKeys, Evidence, FollowAnswer,
-            FollowRequest, PrimarySample, SharedRead, StoreRead, evaluate_read,
+            FollowRequest, PrimarySample, ReadEffect, StoreRead, evaluate_read,
         },
     },
     metadata::{Change, Era, Item, Revision},
@@ -43,16 +43,21 @@
         records: revisions(records),
     };
     let renews = |services: &[&str]| {
-        SharedRead::Renews(services.iter().map(|service| Name::from(*service)).collect())
+        ReadEffect::Renews(services.iter().map(|service| Name::from(*service)).collect())
     };
     let cases = [
         ("everything that it showed", keys(20, Some(3), &[("a", 5)]), 300, renews(&["a"])),
         ("a record as old as it", keys(20, Some(3), &[("a", 20)]), 300, renews(&["a"])),
         ("a later change is applied", keys(30, Some(3), &[("a", 21)]), 300, renews(&[])),
-        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, SharedRead::Useless),
-        ("not a member", keys(20, None, &[("a", 5)]), 300, SharedRead::Useless),
-        ("a member only since then", keys(30, Some(21), &[("a", 5)]), 300, SharedRead::Useless),
-        ("too old", keys(20, Some(3), &[("a", 5)]), 701, SharedRead::Useless),
+        ("a change may be missing", keys(19, Some(3), &[("a", 5)]), 300, ReadEffect::RenewsNothing),
+        ("not a member", keys(20, None, &[("a", 5)]), 300, ReadEffect::RenewsNothing),
+        (
+            "a member only since then",
+            keys(30, Some(21), &[("a", 5)]),
+            300,
+            ReadEffect::RenewsNothing,
+        ),
+        ("too old", keys(20, Some(3), &[("a", 5)]), 701, ReadEffect::RenewsNothing),
     ];
     for (name, keys, age_ms, expected) in cases {
         assert_eq!(
@@ -74,10 +79,10 @@
         records: revisions(&[("a", 5)]),
     };
     let later = StoreRead { asked_at: base, revision: restored(10) };
-    assert_eq!(evaluate_read(&later, base, MAX_READ_AGE, &keys), SharedRead::Useless);
+    assert_eq!(evaluate_read(&later, base, MAX_READ_AGE, &keys), ReadEffect::RenewsNothing);
     let keys = DaemonKeys { applied_revision: restored(10), member: Some(restored(3)), ..keys };
     let earlier = StoreRead { asked_at: base, revision: at(20) };
-    assert_eq!(evaluate_read(&earlier, base, MAX_READ_AGE, &keys), SharedRead::Useless);
+    assert_eq!(evaluate_read(&earlier, base, MAX_READ_AGE, &keys), ReadEffect::RenewsNothing);
 }
 
 #[test]
