--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -135,7 +135,7 @@
     /// The latest log samples of primaries, by service, from any daemon of the zone.
     pub samples: Arc<HashMap<Name, PrimarySample>>,
     /// Whether the servers' entries have been read at least once.
-    pub servers_known: bool,
+    pub store_loaded: bool,
     /// The request addresses of the members, by host.
     pub members: Arc<BTreeMap<Name, SocketAddr>>,
     /// When this daemon's membership ends by its own clock.
@@ -145,7 +145,7 @@
 impl ControlView {
     /// Whether callers can be served.
     pub fn is_ready(&self) -> bool {
-        self.catalog.version > 0 && self.servers_known
+        self.catalog.version > 0 && self.store_loaded
     }
 
     /// Whether this daemon is a member, so that other daemons count it.
--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -151,7 +151,7 @@
             accepts_compressed: true,
         };
         let sent_at = Instant::now();
-        let is_starting = !self.state.borrow().servers_known;
+        let is_starting = !self.state.borrow().store_loaded;
         match self.requester.request(upstream, &request, is_starting).await {
             Some(answer) => self.apply_answer(answer, sent_at),
             None => {
--- a/crates/proxy/src/control/membership.rs
+++ b/crates/proxy/src/control/membership.rs
@@ -88,7 +88,7 @@
         state.lease = Some(HeldLease { id, valid_until: sent_at + duration });
         state.acknowledged.clear();
         state.reported_suspicions.forget_written();
-        let was_loaded_before = state.servers_known;
+        let was_loaded_before = state.store_loaded;
         drop(state);
         log::info!(event = "joined", lease = id.number; "joined as a member");
         match was_loaded_before {
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -32,7 +32,7 @@
         let interval = Duration::from_millis(self.settings.leadership.refresh_ms);
         let mut backoff = Backoff::default();
         // The initial load provides the servers and records that the leases refer to.
-        while !self.state.borrow().servers_known {
+        while !self.state.borrow().store_loaded {
             self.initial_load_done.notified().await;
         }
         loop {
--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -352,7 +352,7 @@
         let now = Instant::now();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
         let mut state = self.state.borrow_mut();
-        let Some(watching_since) = state.watching_since.filter(|_| state.servers_known) else {
+        let Some(watching_since) = state.watching_since.filter(|_| state.store_loaded) else {
             return false;
         };
         let since = *state.primary_missing_since.entry(service.clone()).or_insert(now);
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -292,7 +292,7 @@
             tunnel_peers: state.published_tunnel_peers.clone(),
             owners: state.published_owners.clone(),
             samples: state.samples.clone(),
-            servers_known: state.servers_known,
+            store_loaded: state.store_loaded,
             members: state.published_members.clone(),
             member_until: state.lease.map(|lease| lease.valid_until),
         };
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -50,7 +50,7 @@
 impl<P: Adapter> Control<P> {
     /// Loads the store's content; the first time from another daemon if the fleet is large.
     pub(crate) async fn load_store(&self) -> Result<(), MetadataError> {
-        let is_first = !self.state.borrow().servers_known;
+        let is_first = !self.state.borrow().store_loaded;
         if is_first && self.load_from_peer().await? {
             return Ok(());
         }
@@ -107,7 +107,7 @@
     /// Notes that the configuration, the servers and the daemons' own keys have been loaded.
     pub(crate) fn on_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
-        state.servers_known = true;
+        state.store_loaded = true;
         // Entries may have expired here during an outage of the store; their servers can renew them now.
         state.servers.restart_grace(Instant::now());
         drop(state);
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -61,7 +61,7 @@
     pub(crate) freshness: Freshness,
     pub(crate) servers: ServerList,
     pub(crate) catalog: Arc<Catalog>,
-    pub(crate) servers_known: bool,
+    pub(crate) store_loaded: bool,
     pub(crate) leaders: Arc<HashMap<Name, GroupLeader>>,
     /// Every leadership record that can be decoded, by service.
     pub(crate) records: HashMap<Name, Arc<VersionedRecord>>,
