--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -13,7 +13,9 @@
         adapter::Adapter,
         change::{ChangeFailure, ChangeRun},
         commands::{Commands, POLL_INTERVAL},
-        record::{LeadershipRecord, PrimaryLeaseDurations, StopProgress, StoppedServer, majority},
+        record::{
+            FencingProgress, LeadershipRecord, PrimaryLeaseDurations, StoppedServer, majority,
+        },
         runner::Control,
         state::SeenMember,
     },
@@ -140,7 +142,7 @@
             evidence: self.evidence_duration(),
         };
         loop {
-            let progress = StopProgress {
+            let progress = FencingProgress {
                 recorded_at: run.recorded_at,
                 fenced_at: Some(fenced_at),
                 all_acknowledged: self.all_acknowledged(service, run),
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -255,7 +255,7 @@
 /// The progress of fencing a primary. It is complete once a majority of the servers has been stopped for the evidence
 /// duration, and every daemon has acknowledged the stop or its primary lease has expired.
 #[derive(Clone, Copy, Debug)]
-pub struct StopProgress {
+pub struct FencingProgress {
     /// When the change was stored.
     pub recorded_at: Instant,
     /// When a majority of the servers had been stopped.
@@ -276,7 +276,7 @@
 /// The ratio by which the clock rates of two hosts may differ.
 const CLOCK_RATE_MARGIN: f64 = 1.05;
 
-impl StopProgress {
+impl FencingProgress {
     /// Returns when the stop is complete if no further answer arrives; `None` without a majority.
     pub fn complete_at(&self, bounds: PrimaryLeaseDurations) -> Option<Instant> {
         let fenced = self.fenced_at? + bounds.evidence.mul_f64(CLOCK_RATE_MARGIN);
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -14,8 +14,8 @@
         mirror::{Mirror, StoreUpdates},
         move_times::MoveTimes,
         record::{
-            ChosenServer, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations, RecordSource,
-            StopProgress, StoppedServer, SuccessorSelection, is_primary_lost,
+            ChosenServer, FencingProgress, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations,
+            RecordSource, StoppedServer, SuccessorSelection, is_primary_lost,
         },
         servers::{Lapsed, ServerList},
     },
@@ -262,8 +262,8 @@
     };
     let after = |ms| recorded_at + Duration::from_millis(ms);
     let progress =
-        |fenced_at, all_acknowledged| StopProgress { recorded_at, fenced_at, all_acknowledged };
-    let complete = |progress: StopProgress| progress.complete_at(bounds);
+        |fenced_at, all_acknowledged| FencingProgress { recorded_at, fenced_at, all_acknowledged };
+    let complete = |progress: FencingProgress| progress.complete_at(bounds);
     assert_eq!(complete(progress(None, true)), None);
     assert_eq!(complete(progress(Some(after(20)), true)), Some(after(335)));
     assert_eq!(complete(progress(Some(after(20)), false)), Some(after(1_575)));
--- a/crates/proxy/tests/leadership_model.rs
+++ b/crates/proxy/tests/leadership_model.rs
@@ -16,7 +16,7 @@
 use proxy::{
     control::{
         evidence::{HeldPrimaryLease, LeaderByEvidence, judge_statuses},
-        record::{PrimaryLeaseDurations, StopProgress, majority},
+        record::{FencingProgress, PrimaryLeaseDurations, majority},
     },
     statement::EndpointStatus,
 };
@@ -206,7 +206,7 @@
                 _ => EVIDENCE_LEASE_MS,
             }),
         };
-        let progress = |all_acknowledged| StopProgress {
+        let progress = |all_acknowledged| FencingProgress {
             recorded_at: at(recorded_at_ms),
             fenced_at: Some(at(fenced_at_ms)),
             all_acknowledged,
