--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -127,7 +127,7 @@
     /// The leaders by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
     /// The numbers of daemons that share the servers' connections.
-    pub sharers: DaemonCounts,
+    pub daemon_counts: DaemonCounts,
     /// Daemons that can open tunnels to servers which this one can't reach.
     pub tunnel_peers: Arc<TunnelPeers>,
     /// The members from which connection owners are chosen, for servers with too few connections for every daemon.
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -273,13 +273,13 @@
             state.published_tunnel_peers = Arc::new(tunnel_peers);
         }
         self.update_owners(&mut state);
-        let sharers = DaemonCounts {
+        let daemon_counts = DaemonCounts {
             zones: state.zone_count.max(1),
             daemons: state.members_seen.len().max(1) as u32,
             in_zone: state.members_seen.values().filter(|member| member.is_near).count().max(1)
                 as u32,
         };
-        self.metrics.gauges.with_label_values(&["members"]).set(i64::from(sharers.daemons));
+        self.metrics.gauges.with_label_values(&["members"]).set(i64::from(daemon_counts.daemons));
         self.metrics
             .gauges
             .with_label_values(&["configuration_version"])
@@ -288,7 +288,7 @@
             catalog: state.catalog.clone(),
             servers: state.published_servers.clone(),
             leaders: state.leaders.clone(),
-            sharers,
+            daemon_counts,
             tunnel_peers: state.published_tunnel_peers.clone(),
             owners: state.published_owners.clone(),
             samples: state.samples.clone(),
--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -264,7 +264,7 @@
         let by_account = view.catalog.accounts.is_some();
         let entries = view.servers.get(service).map_or(&[][..], Vec::as_slice);
         let slots = entries.iter().map(|entry| entry.slots).min().unwrap_or(0);
-        let share = share_of(granted, slots, view.sharers, by_account);
+        let share = share_of(granted, slots, view.daemon_counts, by_account);
         let inputs = PoolInputs {
             servers: view.servers.clone(),
             tunnel_peers: view.tunnel_peers.clone(),
--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -256,7 +256,7 @@
 
     fn service_interval_at(&self, group: &Group<E>, server: &Name) -> Duration {
         let slots = group.pool.entry_of(server).map_or(1, |entry| entry.slots).max(1);
-        let daemons = self.control_view().sharers.daemons.max(1);
+        let daemons = self.control_view().daemon_counts.daemons.max(1);
         group.pool.latency_of(server) * daemons / slots
     }
 
