--- a/crates/failover/src/driver.rs
+++ b/crates/failover/src/driver.rs
@@ -221,14 +221,14 @@
         self.version = version;
         let Some(record) = record else { return self.claim() };
         self.highest_term = self.highest_term.max(record.term);
-        let own = record.claim_id == self.claim_id;
+        let is_own_claim = record.claim_id == self.claim_id;
         match record.stage {
             // The answer to this driver's claim was lost, but the claim was stored.
-            RecordStage::Claimed if own => self.seal(record.term),
+            RecordStage::Claimed if is_own_claim => self.seal(record.term),
             RecordStage::Claimed if stalled => self.claim(),
             RecordStage::Claimed => end(FailoverOutcome::DrivenElsewhere),
             RecordStage::Chosen { ref server, .. } => {
-                self.resume_chosen(&record, server, own, stalled)
+                self.resume_chosen(&record, server, is_own_claim, stalled)
             }
         }
     }
@@ -241,13 +241,13 @@
         &mut self,
         record: &LeadershipRecord,
         server: &str,
-        own: bool,
+        is_own_claim: bool,
         stalled: bool,
     ) -> (FailoverStage, FailoverStep) {
-        if !own && stalled {
+        if !is_own_claim && stalled {
             return self.claim();
         }
-        if !own {
+        if !is_own_claim {
             return end(FailoverOutcome::DrivenElsewhere);
         }
         match self.group.servers.iter().position(|name| name == server) {
