--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -26,8 +26,8 @@
 /// `primary` is the status that the primary sent after the write's answer, on the same connection.
 /// `others` are statuses that were requested after that. This is sufficient because:
 ///
-/// * A newer term starts only after a majority was sealed at it. If a majority is still unsealed
-///   after the primary's answer, no newer term had started when the write ran.
+/// * A newer term starts only after a majority of the servers was sealed at that term. If a majority is
+///   still unsealed after the primary's answer, no newer term had started when the write ran.
 /// * Under [`Acknowledge::Majority`] each of these servers also holds the write. Any majority that is
 ///   sealed later includes one of them, and the server with the longest log is chosen.
 pub fn assess_evidence(
@@ -59,7 +59,11 @@
         return Evidence::Sufficient;
     }
     let sealed_above = |status: &ServerStatus| status.promised_term > write.term;
-    let lost = usize::from(sealed_above(primary))
+    let sealed_count = usize::from(sealed_above(primary))
         + others.iter().filter(|other| sealed_above(other.status)).count();
-    if servers - lost.min(servers) < majority { Evidence::Deposed } else { Evidence::Insufficient }
+    if servers - sealed_count.min(servers) < majority {
+        Evidence::Deposed
+    } else {
+        Evidence::Insufficient
+    }
 }
