--- a/crates/failover/src/suspicion.rs
+++ b/crates/failover/src/suspicion.rs
@@ -14,11 +14,12 @@
 pub struct PrimaryObservation {
     /// How long ago the primary last answered; `None` when it never has.
     pub silent_for: Option<Duration>,
-    /// How long this daemon has been watching the group; a shorter silence proves nothing.
+    /// How long this daemon has watched the group. Until this reaches `suspect_after`, missing
+    /// observations are no evidence of a failure.
     pub watched_for: Duration,
-    /// Servers of the group that answer this daemon, without the primary.
+    /// The number of replicas that answer this daemon.
     pub replicas_answering: usize,
-    /// Those of the answering servers that have not heard from the primary for `suspect_after`.
+    /// The number of answering replicas that have not heard from the primary for `suspect_after`.
     pub replicas_without_leader: usize,
     /// The number of replicas in the group.
     pub replicas: usize,
@@ -52,7 +53,8 @@
 
 /// Assesses the primary; `others` is `None` until the other owners were asked.
 ///
-/// A false suspicion causes an unnecessary promotion but no loss of safety, which the seal provides.
+/// A false suspicion causes an unnecessary promotion but loses no acknowledged write, since the servers
+/// are sealed before the promotion.
 /// A primary that is silent towards this daemon has failed if most of the owners that answer, this
 /// daemon included, can't reach it. A primary has also failed if a majority of the group's servers
 /// has lost contact with it, since it can't acknowledge writes, or if no server is primary.
@@ -80,8 +82,8 @@
     }
     let Some(others) = others else { return PrimaryAssessment::AskOwners };
     let count = |view| others.iter().filter(|other| **other == view).count();
-    let sharing = 1 + count(OwnerView::Unreachable);
-    if sharing > count(OwnerView::Reachable) {
+    let suspecting = 1 + count(OwnerView::Unreachable);
+    if suspecting > count(OwnerView::Reachable) {
         PrimaryAssessment::Failed
     } else {
         PrimaryAssessment::Healthy
