--- a/crates/membership/src/watchers.rs
+++ b/crates/membership/src/watchers.rs
@@ -8,7 +8,7 @@
 /// and not of daemons. Members are ordered by their keys, which don't change with a restart.
 pub fn is_watcher(own_key: u64, members: &[Member], count: usize) -> bool {
     let Some(own) = members.iter().find(|member| member.key == own_key) else {
-        // A daemon that is not listed yet gets no updates from the watchers.
+        // A daemon that is not listed yet gets no updates from the watchers, so it watches the store itself.
         return true;
     };
     let before = members
