--- a/crates/proxy/src/control/adapter.rs
+++ b/crates/proxy/src/control/adapter.rs
@@ -13,7 +13,7 @@
 pub trait Adapter: 'static {
     /// The client of the store.
     type Store: MetadataStore;
-    /// Where promotions are ordered.
+    /// The client that orders promotions.
     type Orders: PromotionOrders;
     /// The format of the catalog.
     type Format: CatalogFormat;
