--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -54,7 +54,7 @@
         let upstream_progress = self.state.borrow().upstream_progress;
         upstream_progress
             .clock
-            .is_some_and(|(_, heard_at)| heard_at.elapsed() < UPSTREAM_ANSWER_TTL)
+            .is_some_and(|(_, answered_at)| answered_at.elapsed() < UPSTREAM_ANSWER_TTL)
     }
 
     /// Waits after a failed call until any daemon's store read shows that the store is back, or until the backoff ends.
