--- a/crates/proxy/src/control/change.rs
+++ b/crates/proxy/src/control/change.rs
@@ -1,7 +1,12 @@
-//! The steps of a change of primary.
+//! The steps of a change of primary:
 //!
-//! Record the change, so that daemons stop using the primary → stop the servers → wait until no daemon can hold a
-//! primary lease → record the successor → order its promotion → verify → record the outcome. A new promoter can resume
+//! 1. Record the change, so that daemons stop using the primary.
+//! 2. Stop the servers: step the old primary down, and pause the replicas so that they receive no log entries.
+//! 3. Wait until no daemon can hold a primary lease.
+//! 4. Record the successor and order its promotion.
+//! 5. Verify that the successor is primary, and record the outcome.
+//!
+//! In a planned change the old primary leads until step 4 if enough replicas can be paused. A new promoter can resume
 //! at every step. `docs/PLATFORM.md`, "Who leads", has the argument and the table of faults.
 
 use std::{
@@ -153,7 +158,7 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Settles a group's leadership and logs the outcome.
+    /// Records, confirms or changes a group's primary, and logs the outcome.
     pub(crate) async fn change_and_log(&self, service: &Name, reason: ChangeReason) {
         let began = Instant::now();
         let ended = match reason {
@@ -273,9 +278,9 @@
         if let Some(mut chosen) = run.chosen() {
             // A promotion may have been ordered before, so it is repeated for the same server. If that server is not
             // primary yet, it may have received more entries since it was chosen.
-            let now = stopped.iter().find(|server| server.server == chosen.server);
-            if let Some(now) = now.filter(|now| now.status.term.0 == run.record.term) {
-                chosen.kept_position = now.status.received.position.0;
+            let current = stopped.iter().find(|server| server.server == chosen.server);
+            if let Some(current) = current.filter(|it| it.status.term.0 == run.record.term) {
+                chosen.kept_position = current.status.received.position.0;
             }
             return self.promote_and_record(service, run, chosen, commands).await;
         }
@@ -389,7 +394,8 @@
         Err(ChangeFailure::NotSettled)
     }
 
-    /// Orders the promotion after the store confirmed the promoter lease; `false` if the server is not running.
+    /// Orders the promotion after the store confirmed the promoter lease. Returns `false` if the server is not running,
+    /// so that it can't be promoted.
     pub(crate) async fn order_promotion(
         &self,
         service: &Name,
@@ -443,7 +449,7 @@
         None
     }
 
-    /// Lets the other servers receive entries again.
+    /// Lets the other servers receive log entries again, and makes the old primary a replica.
     pub(crate) async fn resume_others(
         &self,
         service: &Name,
@@ -455,7 +461,7 @@
         let others = self.entries(service).into_iter();
         let others = others.filter(|entry| *entry.server != *chosen.server);
         let requests = others.map(|entry| match *entry.server == *old_primary {
-            // It becomes a replica immediately instead of when it learns of the new primary.
+            // The old primary becomes a replica immediately instead of when it learns of the new primary.
             true => (entry, EndpointOperation::StepDown { term }),
             false => (entry, EndpointOperation::Resume),
         });
@@ -494,8 +500,8 @@
     stopped.iter().any(|server| server.is_old_primary && server.status.leads)
 }
 
-/// Whether the chosen server has become primary, rather than having remained so. A server that leads in the recorded
-/// term under another identity is the old primary after a restart.
+/// Whether the chosen server was promoted, rather than still leading from before the change. A server that leads in the
+/// recorded term under another identity is the old primary after a restart.
 pub(crate) fn has_taken_over(
     record: &LeadershipRecord,
     chosen: &ChosenServer,
