--- a/crates/proxy/src/control/commands.rs
+++ b/crates/proxy/src/control/commands.rs
@@ -21,7 +21,7 @@
 
 /// Timeout of a command when the change was caused by a failure.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long to wait for a replica to receive the entries that a stepped-down primary still holds.
+/// How long to wait for a replica to receive the log entries that a stepped-down primary still holds.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
 /// The interval between two requests to a server whose state is polled.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(30);
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Sends a command over `existing` or a new connection, and retries refusals that did not run it until the timeout.
+    /// Sends a command over `existing` or a new connection. Repeats it until the timeout if the server refuses it
+    /// without running it.
     pub(crate) async fn send_over(
         &self,
         existing: Option<EndpointConnection<P::Dialect>>,
@@ -159,9 +160,9 @@
         let mut connection = match existing {
             Some(connection) if connection.is_reusable() => connection,
             _ => {
-                let introduction =
+                let identity =
                     ClientIdentity { host: &self.settings.host, principal: &Principal::Daemon };
-                EndpointConnection::open(&self.dialect, &entry, introduction, timeout).await?
+                EndpointConnection::open(&self.dialect, &entry, identity, timeout).await?
             }
         };
         loop {
