--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -54,7 +54,7 @@
     pub changing: bool,
     /// Whether a planned change of primary is running, or its new primary is not used yet.
     pub planned: bool,
-    /// The log point at which each term began, which tells which writes of an ended term were kept.
+    /// The log point at which each term began, which shows which writes of an ended term were kept.
     pub history: Arc<TermHistory>,
 }
 
@@ -134,7 +134,7 @@
     pub owners: Arc<Owners>,
     /// The latest log samples of primaries, by service, from any daemon of the zone.
     pub samples: Arc<HashMap<Name, PrimarySample>>,
-    /// Whether the servers' entries have been read at least once.
+    /// Whether the store has been loaded at least once.
     pub store_loaded: bool,
     /// The request addresses of the members, by host.
     pub members: Arc<BTreeMap<Name, SocketAddr>>,
@@ -185,7 +185,7 @@
         server: Name,
         /// Whether the server answers.
         reachable: bool,
-        /// When the request was sent that showed it.
+        /// When the request whose outcome showed this was sent.
         asked_at: Instant,
     },
     /// The log position of a primary that this daemon was allowed to use.
