--- a/crates/proxy/src/control/daemon_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -1,4 +1,5 @@
-//! Applies changes of the keys that the daemons share through the store.
+//! Applies changes of the daemon keys: the keys below this installation's prefix, through which the daemons share
+//! state.
 
 use std::{
     sync::Arc,
@@ -27,7 +28,7 @@
 const MEMBER_RETENTION: Duration = Duration::from_secs(20);
 
 impl<P: Adapter> Control<P> {
-    /// Notes when each member was last seen.
+    /// Updates when each member was last seen.
     pub(crate) fn update_seen_members(&self, now: Instant) {
         let own_zone = &*self.settings.availability_zone;
         let mut state = self.state.borrow_mut();
@@ -40,7 +41,7 @@
         members_seen.retain(|_, member| now.duration_since(member.seen_at) < MEMBER_RETENTION);
     }
 
-    /// Applies a change of a shared key. Returns the service if it is a leadership record, which
+    /// Applies a change of a daemon key. Returns the service if it is a leadership record, which
     /// [`Control::apply_records`] applies together with the others that changed at the same time.
     pub(crate) fn on_daemon_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
@@ -103,7 +104,7 @@
                 None => is_settled = true,
             }
         }
-        // A daemon with an upstream receives the read of that one within milliseconds.
+        // A daemon with an upstream receives the upstream's next read within milliseconds.
         if is_settled && self.upstream().is_none() {
             self.refresh_now.notify_one();
         }
