--- a/crates/proxy/src/control/evidence.rs
+++ b/crates/proxy/src/control/evidence.rs
@@ -1,8 +1,8 @@
 //! Primary leases that are based on the statuses of the servers while the store is unreachable.
 //!
-//! A promoter stops a majority of the servers and then waits for the duration of such a lease. A majority that is not
-//! stopped therefore shows that no later term has started and that none will start within that duration. See
-//! `docs/PLATFORM.md`, "Who leads".
+//! A promoter stops a majority of the servers, that is, pauses them or steps them down, and then waits for the duration
+//! of such a lease. A majority that is not stopped therefore shows that no later term has started and that none will
+//! start within that duration. See `docs/PLATFORM.md`, "Who leads".
 
 use model::{Name, Term};
 
@@ -32,7 +32,7 @@
 ///
 /// The evidence may come from a daemon without a connection to the store that queried the servers before they were
 /// stopped. A daemon that knows of the change from the store has acknowledged the stop and must not resume: a write
-/// would be acknowledged by a primary whose replicas no longer receive entries, and then be discarded.
+/// would be acknowledged by a primary whose replicas no longer receive log entries, and then be discarded.
 pub fn may_grant_primary_lease(found: Term, known: KnownLeader) -> bool {
     found >= known.term && (!known.changing || known.is_store_silent)
 }
@@ -49,9 +49,9 @@
 /// Judges the statuses of a group's servers; `servers` includes those that did not answer.
 ///
 /// A majority suffices to extend a lease that was valid when the servers were queried: a change of primary waits for
-/// such a lease to expire, so none has completed. After the lease has expired, a change may have completed and the old
-/// primary with an uninformed replica may still form a majority. Then only the statuses of all servers show
-/// that none leads a later term.
+/// such a lease to expire, so none has completed. After the lease has expired, a change may have completed, and the old
+/// primary and a replica that has not learned of the new term may still form a majority. Then only the statuses of all
+/// servers show that none of them leads a later term.
 pub fn judge_statuses(
     statuses: &[(Name, EndpointStatus)],
     servers: usize,
