--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -100,10 +100,11 @@
     }
 
     /// Returns the services whose servers this daemon queries itself. A daemon with an upstream relies on its evidence
-    /// as long as its own primary leases last, to limit the load on the servers. Few unused ones are included.
+    /// as long as its own primary leases last, to limit the load on the servers. Only a few unused services are
+    /// included.
     fn services_to_query(&self, now: Instant) -> Vec<Name> {
         let follows = self.upstream().is_some();
-        // In a large fleet the upstream queries the unused ones; queries by every daemon would saturate the links
+        // In a large fleet the upstream queries the unused services; queries by every daemon would saturate the links
         // between regions.
         let max_unused = match follows && self.is_fleet_large() {
             true => 0,
@@ -112,7 +113,7 @@
         let mut state = self.state.borrow_mut();
         state.used_at.retain(|_, used_at| now.duration_since(*used_at) < USED_SERVICE_TTL);
         let state = &*state;
-        let is_known = |service: &Name| {
+        let has_lasting_lease = |service: &Name| {
             let leader = state.leaders.get(service);
             leader.is_some_and(|leader| {
                 !leader.changing && leader.valid_until > now + QUERY_BEFORE_EXPIRY
@@ -121,11 +122,11 @@
         let services = state.published_servers.keys();
         let (used, mut unused): (Vec<&Name>, Vec<&Name>) =
             services.partition(|service| state.used_at.contains_key(*service));
-        // Sorted to select the same ones each time, so that their primary leases are extended.
+        // Sorted to select the same services each time, so that their primary leases are extended.
         unused.sort_unstable();
         unused.truncate(max_unused);
         let considered = used.into_iter().chain(unused);
-        considered.filter(|service| !(follows && is_known(service))).cloned().collect()
+        considered.filter(|service| !(follows && has_lasting_lease(service))).cloned().collect()
     }
 
     /// Queries one group's servers and judges their statuses.
@@ -145,7 +146,7 @@
                 event = "no_evidence", service = &*service, known_term = held.known_term.0,
                 in_force = held.usable_leader.is_some(), servers = servers.len(),
                 statuses = format!("{statuses:?}").as_str();
-                "the servers' answers do not show who leads"
+                "the servers' answers do not show which server leads"
             );
             return None;
         };
@@ -196,14 +197,15 @@
                 "primary lease granted on evidence of the servers"
             );
         }
-        let same =
+        let same_leader =
             known.filter(|leader| leader.server == found.server && leader.term == found.term);
-        let still = same.filter(|leader| !leader.changing).map(|leader| leader.valid_until);
+        let current_until =
+            same_leader.filter(|leader| !leader.changing).map(|leader| leader.valid_until);
         let history = known.map(|leader| leader.history.clone()).unwrap_or_default();
         let leader = GroupLeader {
             server: found.server.clone(),
             term: found.term,
-            valid_until: still.map_or(valid_until, |until| until.max(valid_until)),
+            valid_until: current_until.map_or(valid_until, |until| until.max(valid_until)),
             basis: Basis::Evidence,
             changing: false,
             planned: false,
