--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing during a change of primary: stops the servers and waits until no daemon holds a primary lease.
+//! Fencing during a change of primary: stops the servers (steps the old primary down and pauses the replicas) and waits
+//! until no daemon holds a primary lease.
 
 use std::{
     sync::Arc,
@@ -81,7 +82,7 @@
         let step_down = |entry| (entry, EndpointOperation::StepDown { term });
         let is_planned = run.is_planned();
         let mut primary = if is_planned {
-            // It remains primary until the order, so that nothing is lost if the change can't continue.
+            // The old primary leads until the order, so that nothing is lost if the change can't continue.
             self.await_acknowledgements(service, run).await;
             let status = |entry| (entry, EndpointOperation::Status);
             commands.send_all(old.iter().cloned().map(status).collect()).await
@@ -89,7 +90,8 @@
             commands.send_all(old.iter().cloned().map(step_down).collect()).await
         };
         if let Some((_, status)) = primary.first() {
-            // Its last entries may be acknowledged to callers, so a replica gets time to receive them.
+            // The old primary's last log entries may be acknowledged to callers, so a replica gets time to receive
+            // them.
             commands.await_catch_up(&replicas, status).await;
         }
         let pause = |entry| (entry, EndpointOperation::Pause { term });
