--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -112,7 +112,7 @@
         let upstream_progress = self.state.borrow().upstream_progress;
         let ttl = self.primary_lease_duration().mul_f64(SHARED_READ_TTL_FACTOR);
         let is_old = upstream_progress.read_at.is_none_or(|at| at.elapsed() > ttl);
-        // Reads are sent after the changes that are being received.
+        // The upstream sends its next read only after the changes that are still being received.
         let is_old = is_old && self.requester.receiving_for(Instant::now()).is_none();
         if let Some(upstream) = upstream_progress.upstream.filter(|_| is_old) {
             log::info!(
@@ -219,7 +219,7 @@
         self.grant_primary_leases(read.asked_at, Some(&services));
     }
 
-    /// Returns which of the daemons' own keys this daemon has, and their revisions.
+    /// Returns the revisions of the daemon keys that this daemon has.
     pub(crate) fn daemon_keys(&self) -> DaemonKeys {
         let state = self.state.borrow();
         DaemonKeys {
@@ -361,9 +361,9 @@
                 let find_server = move |request: &TunnelRequest| control.server_address(request);
                 let serving_requests = self.serving_requests.clone();
                 let pass_link = move |link| {
-                    // The serving thread is overloaded; the other daemon will reconnect.
+                    // If the queue is full, the serving thread is overloaded; the other daemon will reconnect.
                     if serving_requests.try_send(ServingRequest::Relay(link)).is_err() {
-                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread did not take it");
+                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread did not accept it");
                     }
                 };
                 serve_peers(listener, answer, find_server, pass_link).await;
