--- a/crates/proxy/src/control/freshness.rs
+++ b/crates/proxy/src/control/freshness.rs
@@ -49,7 +49,7 @@
 }
 
 impl Freshness {
-    /// Notes a store read; every change up to `applied_revision` has been applied.
+    /// Records a store read; every change up to `applied_revision` has been applied.
     pub fn on_store_read(&mut self, observed: ObservedRevision, applied_revision: Revision) {
         if observed.revision <= applied_revision {
             self.complete_at = self.complete_at.max(Some(observed.asked_at));
@@ -62,7 +62,7 @@
         };
     }
 
-    /// Notes that every change up to a revision has been applied.
+    /// Records that every change up to a revision has been applied.
     pub fn on_applied(&mut self, applied_revision: Revision) {
         let Some((first, latest)) = self.missing else { return };
         if first.revision > applied_revision {
