--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -75,7 +75,7 @@
         changes
     }
 
-    /// Notes that every change up to a revision has been applied.
+    /// Records that every change up to a revision has been applied.
     pub fn on_applied(&mut self, revision: Revision) {
         self.applied_revision = self.applied_revision.max(revision);
     }
