--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -240,7 +240,7 @@
     /// The latest log samples of primaries taken by daemons of the zone.
     #[prost(message, repeated, tag = "10")]
     pub samples: Vec<SampleMessage>,
-    /// The answering daemon has applied every change of the daemons' own keys up to this revision.
+    /// The answering daemon has applied every change of the daemon keys up to this revision.
     #[prost(uint64, tag = "11")]
     pub daemon_keys_revision: u64,
     /// Whether the changes follow in a frame of their own.
@@ -422,7 +422,7 @@
     now.saturating_duration_since(since).as_millis() as u64 + 1
 }
 
-/// A linearizable read of the daemons' own keys.
+/// A linearizable read of the daemon keys.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct StoreReadMessage {
     /// Numbers the reads of the answering daemon, from 1.
@@ -436,7 +436,7 @@
     pub revision: u64,
 }
 
-/// A linearizable read of the daemons' own keys, by any daemon.
+/// A linearizable read of the daemon keys, by any daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRead {
     /// When the read was requested, or earlier.
@@ -461,7 +461,7 @@
     }
 }
 
-/// The daemons' own keys as this daemon has them.
+/// The daemon keys (those below this installation's prefix in the store) that this daemon has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DaemonKeys {
     /// Every change up to this revision has been applied.
@@ -472,30 +472,30 @@
     pub records: HashMap<Name, Revision>,
 }
 
-/// What another daemon's store read is good for.
+/// The effect of a store read on this daemon's primary leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadEffect {
     /// It renews the primary leases of these services.
     Renews(Vec<Name>),
-    /// It renews nothing; this daemon has to read the store itself.
+    /// It renews no lease, since it is too old or this daemon lacks data that it showed.
     RenewsNothing,
 }
 
-/// Evaluates another daemon's store read. A daemon that has applied every change up to the read's revision knows what
-/// the read showed without receiving its content.
+/// Evaluates a store read by this or another daemon. A daemon that has applied every change up to the read's revision
+/// knows what the read showed without receiving its content.
 pub fn evaluate_read(
     read: &StoreRead,
     now: Instant,
-    useful_for: Duration,
-    known: &DaemonKeys,
+    max_age: Duration,
+    keys: &DaemonKeys,
 ) -> ReadEffect {
     let is_shown = |revision: Revision| revision <= read.revision;
-    let is_old = now.saturating_duration_since(read.asked_at) > useful_for;
+    let is_old = now.saturating_duration_since(read.asked_at) > max_age;
     // A daemon that lacks a change which the read showed may have missed a change of primary.
-    if is_old || !known.member.is_some_and(is_shown) || known.applied_revision < read.revision {
+    if is_old || !keys.member.is_some_and(is_shown) || keys.applied_revision < read.revision {
         return ReadEffect::RenewsNothing;
     }
     // The read says nothing about a record that has changed since.
-    let shown = known.records.iter().filter(|(_, revision)| is_shown(**revision));
+    let shown = keys.records.iter().filter(|(_, revision)| is_shown(**revision));
     ReadEffect::Renews(shown.map(|(service, _)| service.clone()).collect())
 }
