--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -1,4 +1,4 @@
-//! Primary leases that are based on store reads: this daemon's own ones and those that its upstream shares.
+//! Primary leases that are based on store reads, by this daemon or shared by its upstream.
 
 use std::{
     collections::HashSet,
@@ -102,31 +102,33 @@
 
     /// Reads the store to extend the primary leases, counted from when the read was sent.
     ///
-    /// A read of this daemon's own key suffices if every change up to its revision is known, which is the normal case
-    /// and transfers little data. Otherwise the missing changes are fetched in a large fleet, and all keys of the
-    /// daemons are read only as the last resort, since full reads by many daemons would saturate a slow link.
+    /// A read of this daemon's member key suffices if every change up to its revision is known, which is the normal
+    /// case and transfers little data. Otherwise the missing changes are fetched in a large fleet, and all daemon keys
+    /// are read only as the last resort, since full reads by many daemons would saturate a slow link.
     pub(crate) async fn renew_primary_leases(
         &self,
         asked_at: Instant,
     ) -> Result<(), MetadataError> {
-        let own = self.read_prefix(&self.member_key()).await?;
-        if own.revision.era() > self.state.borrow().mirror.era() {
-            return self.handle_newer_era(StoreRead { asked_at, revision: own.revision }).await;
+        let member_key = self.read_prefix(&self.member_key()).await?;
+        if member_key.revision.era() > self.state.borrow().mirror.era() {
+            return self
+                .handle_newer_era(StoreRead { asked_at, revision: member_key.revision })
+                .await;
         }
-        if self.state.borrow().daemon_keys_revision >= own.revision {
-            self.on_own_read(own.revision, asked_at);
+        if self.state.borrow().daemon_keys_revision >= member_key.revision {
+            self.on_own_read(member_key.revision, asked_at);
             return Ok(());
         }
         if self.is_fleet_large() {
-            if self.expects_changes_from_upstream(own.revision) {
+            if self.expects_changes_from_upstream(member_key.revision) {
                 return Ok(());
             }
             match self.fetch_daemon_key_changes().await {
                 Ok(()) | Err(MetadataError::HistoryGone) => {}
                 Err(error) => return Err(error),
             }
-            if self.state.borrow().daemon_keys_revision >= own.revision {
-                self.on_own_read(own.revision, asked_at);
+            if self.state.borrow().daemon_keys_revision >= member_key.revision {
+                self.on_own_read(member_key.revision, asked_at);
                 return Ok(());
             }
         }
@@ -148,7 +150,7 @@
         missing > MAX_MISSING_CHANGES_FETCHED && self.upstream().is_some()
     }
 
-    /// Fetches the changes of the daemons' own keys from the store once, and applies them.
+    /// Fetches the changes of the daemon keys from the store once, and applies them.
     ///
     /// Other keys, such as a large configuration, are omitted because primary leases don't depend on them.
     async fn fetch_daemon_key_changes(&self) -> Result<(), MetadataError> {
@@ -169,7 +171,7 @@
         read
     }
 
-    /// Applies a store read at a revision up to which every change of the daemons' own keys is known.
+    /// Applies a store read at a revision up to which every change of the daemon keys is known.
     fn on_own_read(&self, revision: Revision, asked_at: Instant) {
         let store_read = StoreRead { asked_at, revision };
         let now = Instant::now();
@@ -182,7 +184,7 @@
         self.finish_read(now);
     }
 
-    /// Notes a store read that this daemon made itself.
+    /// Records a store read that this daemon made itself.
     fn record_own_read(&self, store_read: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
         state.on_observed_revision(&store_read);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Does what follows from every store read.
+    /// Updates and publishes the state that depends on store reads.
     fn finish_read(&self, now: Instant) {
         self.update_seen_members(now);
         self.report_and_probe_suspicions();
@@ -208,7 +210,7 @@
         self.updates_available.notify_waiters();
     }
 
-    /// Applies a snapshot of the daemons' own keys whose read was sent at `asked_at`.
+    /// Applies a snapshot of the daemon keys whose read was sent at `asked_at`.
     pub(crate) fn on_daemon_keys_snapshot(&self, snapshot: Snapshot, asked_at: Instant) {
         let now = Instant::now();
         let revision = snapshot.revision;
@@ -244,17 +246,17 @@
     /// waits only for members. `services` are those that the read covers; `None` for all.
     pub(crate) fn grant_primary_leases(&self, asked_at: Instant, services: Option<&[Name]>) {
         let valid_until = asked_at + self.primary_lease_duration();
-        let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
+        let covered: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
         let State { leaders, records, servers, mirror, .. } = &mut *state;
         let leaders = Arc::make_mut(leaders);
         for (service, known) in records {
             let record = &known.record;
-            if shown.as_ref().is_some_and(|shown| !shown.contains(service)) {
+            if covered.as_ref().is_some_and(|covered| !covered.contains(service)) {
                 continue;
             }
-            // The leader's own state may no longer show the change, since earlier evidence replaces it. A record from
-            // before a restore may be older than a later change.
+            // Checked in the record, since evidence that was accepted during the change may have cleared
+            // `leader.changing`. A record from before a restore may be older than a later change.
             if record.change.is_some()
                 || record.era != mirror.era().0
                 || servers.is_restarted(service, &record.primary, record.primary_incarnation)
