--- a/crates/proxy/src/control/probe_schedule.rs
+++ b/crates/proxy/src/control/probe_schedule.rs
@@ -27,7 +27,7 @@
 }
 
 impl ProbeSchedule {
-    /// Notes that another daemon suspects a server; returns whether to probe it now.
+    /// Records that another daemon suspects a server; returns whether to probe the server now.
     pub fn on_suspected(&mut self, pair: &(Name, Name), now: Instant) -> bool {
         match self.probes.get_mut(pair) {
             Some(probe) if now.duration_since(probe.at) < PROBE_INTERVAL => {
