--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -1,7 +1,8 @@
 //! The promoter role.
 //!
-//! One daemon at a time is the promoter: it owns a key under a lease of its own, whose creation revision is the fencing
-//! token. The promoter monitors the groups and changes their primaries (`change`).
+//! One daemon at a time is the promoter: it owns the promoter key, which it writes under a separate lease. The revision
+//! at which the key is created is the fencing token. The promoter monitors the groups and changes their primaries
+//! (`change`).
 
 use std::{
     collections::HashSet,
@@ -127,8 +128,8 @@
         if !is_free(self) {
             return;
         }
-        let ended = self.expired_promoter_key(&self.state.borrow());
-        if let Some(revision) = ended {
+        let expired = self.expired_promoter_key(&self.state.borrow());
+        if let Some(revision) = expired {
             // The expired key is removed first, since the fencing token is the revision at which the key is created.
             return self.remove_expired_promoter_key(revision).await;
         }
