--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -18,7 +18,7 @@
     pub term: u64,
     /// The server that leads in this term.
     pub primary: String,
-    /// The incarnation in which that server became primary, if servers report one; in a later one it is no primary.
+    /// The incarnation in which that server became primary, if servers report one; in a later one it is not.
     #[serde(rename = "primary_life", default, skip_serializing_if = "Option::is_none")]
     pub primary_incarnation: Option<ServerIncarnation>,
     /// The starts of the terms that promotions of this system began, oldest first.
@@ -289,8 +289,9 @@
 
 /// Whether enough witnesses report the primary as unreachable to replace it.
 ///
-/// A single daemon may itself be disconnected, so a third of the witnesses must agree, and at least two of them.
-pub fn is_primary_lost(suspecting: usize, members: usize) -> bool {
-    let needed = members.div_ceil(3).max(2).min(members.max(1));
+/// A single daemon may itself be disconnected, so a third of the witnesses must agree, and at least two of them if
+/// there are more than one.
+pub fn is_primary_lost(suspecting: usize, witnesses: usize) -> bool {
+    let needed = witnesses.div_ceil(3).max(2).min(witnesses.max(1));
     suspecting >= needed
 }
