--- a/crates/proxy/src/control/record_confirmation.rs
+++ b/crates/proxy/src/control/record_confirmation.rs
@@ -26,7 +26,7 @@
 };
 
 /// How long the servers are queried before a group without agreement gets a new primary, in multiples of the time that
-/// an order takes to settle. A promoter that failed may have left them paused.
+/// an order takes to settle. A promoter that failed may have left the servers paused.
 const QUERY_ORDER_PERIODS: u32 = 2;
 
 impl<P: Adapter> Control<P> {
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Queries the group's servers. A majority suffices for the primary that this daemon may use now; otherwise all of
-    /// them have to agree.
+    /// Returns the leader that the group's servers report. A majority suffices if this daemon holds a primary lease for
+    /// that leader; otherwise all servers have to agree.
     async fn query_leader(
         &self,
         service: &Name,
@@ -70,7 +70,8 @@
         evidence::judge_statuses(&statuses, entries.len(), &held)
     }
 
-    /// Handles answers that don't show a primary: replaces a failed primary at once, and any primary after a while.
+    /// Handles answers that don't show a primary: replaces a failed primary immediately, and any other primary after
+    /// [`QUERY_ORDER_PERIODS`].
     async fn resolve_without_agreement(
         &self,
         service: &Name,
