--- a/crates/proxy/src/control/reported_suspicions.rs
+++ b/crates/proxy/src/control/reported_suspicions.rs
@@ -1,7 +1,7 @@
 //! The suspicions that this daemon has reported to the store, and those that are still to be written.
 //!
-//! Each suspicion is a key, and each write is sent to every daemon. So several are written in one transaction, and none
-//! is written again before the watch had time to return it.
+//! Each suspicion is a key in the store, and every daemon receives each write. Several suspicions are therefore written
+//! in one transaction, and none is written again before the watch has had time to return it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -42,7 +42,7 @@
 }
 
 impl ReportedSuspicions {
-    /// Notes whether the store holds a key.
+    /// Records whether the store holds a key.
     pub fn on_store_change(&mut self, key: &str, is_present: bool) {
         match is_present {
             true => self.stored.insert(key.to_owned()),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Notes that the store committed these writes.
+    /// Records that the store committed these writes.
     pub fn on_written(&mut self, pending_writes: &PendingSuspicionWrites, now: Instant) {
         for key in &pending_writes.puts {
             self.written.insert(key.clone(), (true, now));
