--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -27,8 +27,8 @@
 const SAMPLE_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<P: Adapter> Control<P> {
-    /// Reports to the promoter that a service's replicas are too far behind for its reads. The promoter's own callers
-    /// may use that service too rarely to show it.
+    /// Reports to the promoter that a service's replicas are too far behind for its reads. The promoter itself may not
+    /// notice this if its callers rarely use the service.
     pub(crate) fn report_replicas_behind(self: &Rc<Self>, service: Name) {
         let now = Instant::now();
         if self.held_promoter_lease().is_some() {
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Notes such a report, and wakes the promoter's check for a leader move.
+    /// Records that a service's replicas are behind, and wakes the promoter to check whether to move the leader.
     pub(crate) fn on_replicas_behind(&self, service: Name) {
         self.state.borrow_mut().replicas_behind_at.insert(service, Instant::now());
         self.mirror_changed.notify_waiters();
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Requests log samples from a daemon of another zone. After a restart a server may count so many former
-    /// connections that no daemon of this zone gets one to the primary; with samples from another zone its reads can
-    /// run at replicas meanwhile.
+    /// Requests log samples from a daemon of another zone. After a restart, a server may still count so many earlier
+    /// connections that no daemon of this zone gets one to the primary. With samples from another zone, reads can run
+    /// at replicas meanwhile.
     pub(crate) fn request_samples(self: &Rc<Self>) {
         let now = Instant::now();
         {
