--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -18,7 +18,7 @@
     },
 };
 
-/// The key of the newest configuration while the operators' own key, which daemons must not write, holds an older one.
+/// The key of the newest configuration while the operators' key, which daemons must not write, holds an older one.
 pub(crate) const RETAINED_CONFIGURATION_KEY: &str = "configuration";
 /// The largest number of records in one transaction: each needs a condition and a value, of which the store takes 32.
 const MAX_RECORDS_PER_TRANSACTION: usize = 16;
@@ -40,7 +40,7 @@
 }
 
 impl ConfigurationVersions {
-    /// Notes a configuration from the store; returns whether the retained one has to be written or removed.
+    /// Records a configuration from the store; returns whether the retained one has to be written or removed.
     pub(crate) fn update(&mut self, version: u64, value: &Bytes, is_operators: bool) -> bool {
         match is_operators {
             true => self.operators = version,
@@ -81,7 +81,7 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Writes what the store lost, whenever something is found missing, until nothing is.
+    /// Writes the records and the configuration that the store lost, until it holds them again.
     pub(crate) async fn republish_loop(self: Rc<Self>) {
         loop {
             self.republish.notified().await;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Applies the retained configuration in the same way as the operators' one.
+    /// Applies the retained configuration in the same way as the operators' configuration.
     pub(crate) fn on_retained_configuration(&self, key: &str) {
         let item = self.state.borrow().mirror.get(key).cloned();
         match item {
