--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -88,7 +88,7 @@
     pub settings: ControlSettings,
     /// The store's client.
     pub store: P::Store,
-    /// Where promotions are ordered.
+    /// The client that orders promotions.
     pub orders: P::Orders,
     /// The format of the catalog.
     pub format: P::Format,
@@ -120,7 +120,7 @@
     pub(crate) state: RefCell<State>,
     /// Signals a change of the mirror.
     pub(crate) mirror_changed: Notify,
-    /// Signals updates for the followers that wait for an answer.
+    /// Signals new store data to followers that wait for an answer, and to this daemon's own tasks.
     pub(crate) updates_available: Notify,
     /// Running changes of primary, with their reasons.
     pub(crate) changes_running: RefCell<BTreeMap<Name, ChangeReason>>,
@@ -131,8 +131,9 @@
     pub(crate) serving_requests: flume::Sender<ServingRequest>,
     pub(crate) stopping: watch::Receiver<Option<Instant>>,
     pub(crate) refresh_now: Notify,
-    /// Signal that this daemon first became a member, and that the store was first loaded.
+    /// Signals that this daemon became a member before the store was loaded.
     pub(crate) joined: Notify,
+    /// Signals that the store was loaded.
     pub(crate) initial_load_done: Notify,
     pub(crate) requester: PeerRequester,
     pub(crate) compressor: Compressor,
@@ -254,7 +255,7 @@
         let mut state = self.state.borrow_mut();
         let grace = Duration::from_millis(self.settings.leadership.lapse_grace_ms);
         if state.is_store_silent(self.store_silence_timeout()) {
-            // As far as this daemon knows, the servers can't renew their entries either.
+            // The servers may be unable to renew their entries as well, so the grace time of missing entries restarts.
             state.servers.restart_grace(now);
         }
         let lapsed = state.servers.expire(grace, now);
@@ -265,7 +266,7 @@
             );
         }
         for server in &lapsed.removed {
-            log::info!(event = "server_gone", server = &**server; "a server's entry expired");
+            log::info!(event = "server_gone", server = &**server; "a server without an entry is no longer listed");
         }
         state.published_servers = state.servers.by_service();
         let tunnel_peers = self.tunnel_peers(&state, now);
