--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -61,15 +61,15 @@
         entries.iter().find(|entry| &*entry.server == server)?.incarnation
     }
 
-    /// Whether a server that was known in the incarnation `then` is now listed in another one.
+    /// Whether a server that was known in the incarnation `earlier` is now listed in another one.
     pub fn is_restarted(
         &mut self,
         service: &str,
         server: &str,
-        then: Option<ServerIncarnation>,
+        earlier: Option<ServerIncarnation>,
     ) -> bool {
-        let Some(then) = then else { return false };
-        self.incarnation_of(service, server).is_some_and(|now| now != then)
+        let Some(earlier) = earlier else { return false };
+        self.incarnation_of(service, server).is_some_and(|current| current != earlier)
     }
 
     /// Applies an entry; returns whether it changed the list.
