--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -35,7 +35,7 @@
 /// How much of the store's content was received from another daemon.
 enum LoadProgress {
     Nothing,
-    /// Everything, but its age is not known to be small.
+    /// Everything, but it is not known to be recent.
     Stale,
     /// Everything, and it is recent.
     Complete,
@@ -104,7 +104,7 @@
         self.state.borrow().members.len() > MAX_DIRECT_READERS
     }
 
-    /// Notes that the configuration, the servers and the daemons' own keys have been loaded.
+    /// Marks the configuration, the servers and the daemon keys as loaded.
     pub(crate) fn on_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
         state.store_loaded = true;
