--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -50,7 +50,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldLease {
     pub(crate) id: LeaseId,
-    /// Counted from the time the last renewal was sent, so that the lease ends here before it ends in the store.
+    /// Counted from the time the last renewal was sent, so that this daemon stops using the lease before the store ends
+    /// it.
     pub(crate) valid_until: Instant,
 }
 
@@ -80,7 +81,7 @@
     pub(crate) latest_read: Option<StoreRead>,
     /// Increases with each replacement of `latest_read`.
     pub(crate) read_number: u64,
-    /// Every change of the daemons' own keys up to this revision has been applied.
+    /// Every change of the daemon keys up to this revision has been applied.
     pub(crate) daemon_keys_revision: Revision,
     /// The latest change that the followers of this daemon should receive at once.
     pub(crate) urgent_revision: Revision,
@@ -88,17 +89,20 @@
     pub(crate) evidence: Vec<Evidence>,
     /// Increases with each change of `evidence`.
     pub(crate) evidence_number: u64,
-    /// When the last shared read that renewed leases here was requested.
+    /// When the last shared read that renewed primary leases of this daemon was requested.
     pub(crate) shared_read_at: Option<Instant>,
     pub(crate) upstream_progress: UpstreamProgress,
     /// The latest sample of each primary's log from any daemon of the zone.
     pub(crate) samples: Arc<HashMap<Name, PrimarySample>>,
     /// When log samples were last requested from another zone.
     pub(crate) samples_requested_at: Option<Instant>,
+    /// When each daemon was last known to be a member, by host.
     pub(crate) members_seen: HashMap<Name, SeenMember>,
     /// The start of the current member watch; earlier departures may have been missed.
     pub(crate) watching_since: Option<Instant>,
+    /// When the latest store read, own or shared, was applied.
     pub(crate) last_read_at: Option<Instant>,
+    /// When this daemon last wrote its member key.
     pub(crate) member_written_at: Option<Instant>,
     /// Since when the recorded primary of a service has had no entry.
     pub(crate) primary_missing_since: HashMap<Name, Instant>,
@@ -110,6 +114,7 @@
     pub(crate) leader_moved_at: HashMap<Name, Instant>,
     /// When this daemon last checked whether a replica could take over for that reason.
     pub(crate) leader_move_checked_at: HashMap<Name, Instant>,
+    /// The identity of the last change whose stop this daemon acknowledged, by service.
     pub(crate) acknowledged: HashMap<Name, String>,
     /// Servers that this daemon can't reach, and when it last tried.
     pub(crate) suspected: HashMap<(Name, Name), Instant>,
@@ -144,7 +149,7 @@
         self.last_read_at.is_none_or(|at| at.elapsed() > silence_timeout)
     }
 
-    /// Notes a store read; `true` if it is the first one after an outage.
+    /// Records a store read; returns whether it is the first one after an outage.
     pub(crate) fn on_store_read(&mut self, now: Instant, silence_timeout: Duration) -> bool {
         let has_recovered = self.is_store_silent(silence_timeout);
         if has_recovered {
@@ -159,13 +164,13 @@
         self.freshness.on_applied(self.mirror.applied_revision());
     }
 
-    /// Notes the store's revision at a read, whether or not the read renews a primary lease.
+    /// Records the store's revision at a read, whether or not the read renews a primary lease.
     pub(crate) fn on_observed_revision(&mut self, read: &StoreRead) {
         let observed = ObservedRevision { revision: read.revision, asked_at: read.asked_at };
         self.freshness.on_store_read(observed, self.mirror.applied_revision());
     }
 
-    /// Discards what was known of a server's former process: its primary lease, the evidence and the suspicion.
+    /// Discards what is known of a server's former process: its primary lease, the evidence and the suspicion.
     pub(crate) fn forget_incarnation(&mut self, service: &Name, server: &Name) {
         let now = Instant::now();
         if let Some(leader) = Arc::make_mut(&mut self.leaders).get_mut(service)
