--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -31,7 +31,7 @@
 const MEMBER_REJOIN_TIMEOUT: Duration = Duration::from_secs(9);
 /// The average interval between two rejoining members, which limits the load on the store.
 const JOIN_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest delay before a member rejoins. Other members don't notice an absence of a third of a lease.
+/// The longest delay before a member rejoins: a third of a member's lease, an absence that other members don't notice.
 const MAX_JOIN_DELAY: Duration = Duration::from_secs(3);
 
 /// The last restore of the store that this daemon observed.
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Notes the edition of a record that was received.
+    /// Records the edition of a record that was received.
     pub(crate) fn update_edition(&mut self, service: &Name, record: &LeadershipRecord) {
         if record.edition > 0 {
             let latest = self.editions.entry(service.clone()).or_default();
@@ -151,7 +151,7 @@
 }
 
 impl<P: Adapter> Control<P> {
-    /// Enters the era of a complete store read at this revision, if it is a later one.
+    /// Enters the era of a complete store read at this revision, if it is later than the current era.
     pub(crate) fn enter_era(&self, revision: Revision) {
         let era = revision.era();
         let mut state = self.state.borrow_mut();
@@ -193,20 +193,20 @@
 
     /// Handles an own store read of a later era. A daemon without an upstream loads the store; the others wait for
     /// their upstream, and read the store themselves if that takes too long.
-    pub(crate) async fn handle_newer_era(&self, reading: StoreRead) -> Result<(), MetadataError> {
+    pub(crate) async fn handle_newer_era(&self, read: StoreRead) -> Result<(), MetadataError> {
         if self.upstream().is_none() {
             return self.load_from_store().await;
         }
-        self.state.borrow_mut().on_observed_revision(&reading);
+        self.state.borrow_mut().on_observed_revision(&read);
         Ok(())
     }
 
-    /// Notes a record of this daemon that the store committed.
+    /// Records a leadership record of this daemon that the store committed.
     pub(crate) fn on_record_written(&self, service: &Name, written: VersionedRecord) {
         self.state.borrow_mut().written_records.insert(service.clone(), written);
     }
 
-    /// Notes a record whose write was in progress when the store was restored. A record without a change states what
+    /// Keeps a record whose write was in progress when the store was restored. A record without a change states what
     /// the servers reported, so it is valid even if it was not stored. One with a change is ignored, as it had no
     /// effect.
     pub(crate) fn on_unconfirmed_write(&self, service: &Name, record: LeadershipRecord) {
@@ -239,12 +239,13 @@
     pub(crate) fn must_wait_for_orders(&self, service: &Name, now: Instant) -> bool {
         let settles = Duration::from_millis(self.settings.leadership.order_settles_ms);
         let state = self.state.borrow();
-        let seen = EraView {
+        let era_view = EraView {
             era: state.mirror.era(),
             known_for: state.restore.era_age(now),
             knew_earlier_era: state.restore.knew_earlier_era,
         };
-        seen.must_wait_for_orders(state.records.get(service).map(|known| &known.record), settles)
+        era_view
+            .must_wait_for_orders(state.records.get(service).map(|known| &known.record), settles)
     }
 
     pub(crate) fn on_server_removed(&self, key: &str) {
