--- a/crates/proxy/src/control/suspicion.rs
+++ b/crates/proxy/src/control/suspicion.rs
@@ -40,7 +40,7 @@
     pub(crate) async fn observation_loop(self: Rc<Self>) {
         while let Ok(observation) = self.observations.recv_async().await {
             let mut has_changed = self.apply_observation(observation);
-            // When a region is disconnected, hundreds arrive together; they are published once.
+            // When a region is disconnected, hundreds of observations arrive together; they are published once.
             while let Ok(more) = self.observations.try_recv() {
                 has_changed |= self.apply_observation(more);
             }
@@ -156,7 +156,7 @@
         (!pending.is_empty()).then_some((pending, lease))
     }
 
-    /// Notes that one of this daemon's own suspicions was added to or removed from the store.
+    /// Records that one of this daemon's own suspicions was added to or removed from the store.
     pub(crate) fn on_own_suspicion(&self, key: &str) {
         let is_own = key.rsplit_once('/').is_some_and(|(_, host)| *host == *self.settings.host);
         if is_own {
@@ -209,7 +209,8 @@
 
     /// Asks the serving thread to probe a server.
     fn request_probe(&self, (service, server): (Name, Name)) {
-        // If the queue is full, the serving thread is overloaded; later probes or its traffic show the state.
+        // If the queue is full, the serving thread is overloaded; later probes or requests show whether the server
+        // answers.
         let _ = self.serving_requests.try_send(ServingRequest::Probe { service, server });
     }
 
@@ -239,11 +240,11 @@
                 .below(&prefix)
                 .filter_map(|item| item.key.strip_prefix(&prefix))
                 .collect();
-            let some = |peers: &[(&Name, SocketAddr)]| {
+            let select = |peers: &[(&Name, SocketAddr)]| {
                 let reaching = peers.iter().filter(|(host, _)| !suspecting.contains(&***host));
                 reaching.map(|(_, address)| *address).take(MAX_TUNNEL_PEERS).collect::<Vec<_>>()
             };
-            let chosen: Vec<SocketAddr> = some(&near).into_iter().chain(some(&far)).collect();
+            let chosen: Vec<SocketAddr> = select(&near).into_iter().chain(select(&far)).collect();
             if !chosen.is_empty() {
                 tunnel_peers.insert(server.clone(), Arc::from(chosen));
             }
@@ -258,9 +259,9 @@
         state: &'a State,
         now: Instant,
     ) -> (ReachablePeers<'a>, ReachablePeers<'a>) {
-        let own = &self.settings.host;
-        let behind = state.members.range::<Name, _>((Excluded(own), Unbounded));
-        let others = behind.chain(state.members.range::<Name, _>(..own));
+        let own_host = &self.settings.host;
+        let after = state.members.range::<Name, _>((Excluded(own_host), Unbounded));
+        let others = after.chain(state.members.range::<Name, _>(..own_host));
         let reachable = others.filter_map(|(host, member)| {
             let address =
                 member.peer_address.filter(|it| !self.requester.is_unresponsive(*it, now))?;
