--- a/crates/proxy/src/control/tunnel.rs
+++ b/crates/proxy/src/control/tunnel.rs
@@ -19,7 +19,7 @@
     tcp_options::detect_dead_peer,
 };
 
-/// Time for a server to accept a connection for another daemon; the same as for a probe of this daemon's own.
+/// Time for a server to accept a connection for another daemon; as long as for this daemon's own probes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Why no tunnel was opened.
@@ -72,7 +72,7 @@
     let sent = frames.send(Bytes::from(answer.encode_to_vec())).await;
     let (Some(mut server), Ok(())) = (reached, sent) else { return };
     let mut peer = frames.into_inner();
-    // Both connections close together, and each side sees its own end.
+    // An error needs no handling: both connections close together, and each side notices that.
     let _ = tokio::io::copy_bidirectional(&mut peer, &mut server).await;
 }
 
