--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -56,7 +56,7 @@
     }
 
     /// Reads the whole store in one call, because the watch has to begin at a revision at which the configuration,
-    /// the servers and the daemons' own keys were all read.
+    /// the servers and the daemon keys were all read.
     pub(crate) async fn load_from_store(&self) -> Result<(), MetadataError> {
         let asked_at = Instant::now();
         let timeouts =
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Whether a failed watch is repeated from the same revision. No change is missed that way. In a large fleet,
-    /// loading the store instead would congest the link further.
+    /// Whether a failed watch is repeated from the same revision instead of loading the store again. No change is
+    /// missed that way. This is done only in a large fleet, where loading the store would congest the link further.
     fn can_resume_watch(&self, error: &MetadataError) -> bool {
         let must_reload = match error {
             MetadataError::NotDone(_)
@@ -195,16 +195,16 @@
         catch_up_delay(before.filter(|(_, member)| member.availability_zone == **zone).count())
     }
 
-    /// Reads the missing changes, or the whole store if that brings none, because a watch may return late.
+    /// Requests the missing changes, or the whole store if changes are still missing, because a watch may return late.
     ///
-    /// If an answer has begun but did not end, the changes are requested again: the whole store is larger and would
-    /// use the same link.
+    /// If an answer was received only in part, the changes are requested again: the whole store is larger and would use
+    /// the same link.
     async fn catch_up(&self) -> Result<(), MetadataError> {
         let before = self.state.borrow().mirror.applied_revision();
         let outcome = self.watch_once(Duration::ZERO).await;
         let has_progressed = self.state.borrow().mirror.applied_revision() > before;
         match outcome {
-            // In a large fleet, store reads may advance while a long answer arrives; the next catch-up reads on.
+            // In a large fleet, the store may change while a long answer arrives; the next catch-up requests the rest.
             Ok(()) if !self.is_behind() || (has_progressed && self.is_fleet_large()) => {
                 self.publish();
                 Ok(())
