--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -2,7 +2,7 @@
 //!
 //! | thread | responsibility | inputs (entries of bounded channels) |
 //! | --- | --- | --- |
-//! | `serve` | callers and connections to servers | sockets; requests of the control thread (64) |
+//! | `serve` | callers and connections to servers | sockets; requests from the control thread (64) |
 //! | `control` | metadata store, primary leases, membership, changes of primary | the store; observations (256) |
 //! | `http` | readiness checks and metrics | sockets |
 //!
@@ -45,10 +45,10 @@
 const OBSERVATION_CAPACITY: usize = 256;
 /// The capacity of the channel for requests to the serving thread.
 const SERVING_REQUEST_CAPACITY: usize = 64;
-/// How long idle sessions stay open after the signal to stop. The load balancer checks readiness every second and needs
-/// two failed checks to stop sending callers.
+/// How long idle sessions stay open after the signal to stop. The load balancer checks readiness every second and stops
+/// sending callers after two failed checks.
 const STOP_IDLE_AFTER: Duration = Duration::from_millis(2_300);
-/// The fraction of the grace period after which open transactions are ended.
+/// The fraction of the grace period after which open transactions are rolled back.
 const STOP_TRANSACTIONS_FRACTION: f64 = 0.55;
 /// The fraction of the grace period after which the daemon exits even if callers are left.
 const STOP_FRACTION: f64 = 0.85;
