--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -17,7 +17,7 @@
     Startup {
         /// The database that the caller names.
         database: Name,
-        /// The key of its client account; empty if it names none.
+        /// The key of its client account; empty if it sends none.
         key: AccountKey,
     },
     /// A request.
@@ -36,7 +36,7 @@
 pub enum CallerReply {
     /// A row.
     Row(Bytes),
-    /// A success, with the server's proof; `None` if the engine answers itself.
+    /// A success, with the proof that the server returned; `None` if the engine itself answered.
     Complete(Option<Bytes>),
     /// A failure.
     Error(StatementError),
@@ -54,7 +54,7 @@
 pub enum EndpointMessage {
     /// A row.
     Row(Bytes),
-    /// A success, with the server's proof.
+    /// A success, with the server's proof of it: opaque bytes that are passed on to the caller.
     Complete(Bytes),
     /// A failure.
     Error(StatementError),
@@ -67,7 +67,7 @@
     },
 }
 
-/// Bytes that can't be decoded; the connection that they came from must be closed.
+/// The error for bytes that can't be decoded. The connection that they came from must be closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError(pub StatementError);
 
