--- a/crates/proxy/src/statement.rs
+++ b/crates/proxy/src/statement.rs
@@ -197,7 +197,7 @@
 /// The outcome of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded, with the server's proof.
+    /// It succeeded, with the server's proof of it: opaque bytes that are passed on to the caller.
     Complete(Bytes),
     /// It failed.
     Error(StatementError),
@@ -206,7 +206,7 @@
 /// The complete answer to one statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Rows, in order.
+    /// The rows, in the order in which the server returned them.
     pub rows: Vec<Bytes>,
     /// The statement's outcome.
     pub outcome: Outcome,
@@ -263,13 +263,13 @@
         /// The caller's arguments, unchanged.
         arguments: Bytes,
     },
-    /// Discards the values and prepared statements of the server's session.
+    /// Discards the values and prepared statements that the server holds for the connection.
     Reset,
     /// Asks for the server's status.
     Status,
     /// Pauses a replica's replication until it is resumed or a new term begins.
     Pause {
-        /// A term above every known one.
+        /// A term later than every known one.
         term: Term,
     },
     /// Ends a pause.
