--- a/crates/proxy/src/metadata.rs
+++ b/crates/proxy/src/metadata.rs
@@ -101,20 +101,20 @@
 /// How a transaction ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It was committed at this revision.
+    /// The transaction was committed at this revision.
     Done(Revision),
     /// A condition did not hold; nothing was changed.
     Conflict,
-    /// The lease has ended; nothing was changed.
+    /// A lease that a key is attached to has ended; nothing was changed.
     LeaseOver,
 }
 
 /// The consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It shows every change that was acknowledged before the read began.
+    /// The read shows every change that was acknowledged before it began.
     Linearizable,
-    /// It may be seconds old and costs the store less.
+    /// The result may be seconds old and costs the store less.
     Stale,
 }
 
@@ -130,8 +130,7 @@
     IncompleteAnswer,
     /// The store no longer has the history that a watch asked for.
     HistoryGone,
-    /// The call is based on another era of the store than its answer, or than earlier answers. A write may have been
-    /// applied.
+    /// The answer belongs to another era of the store than the call or earlier answers. A write may have been applied.
     EraChanged(Era),
     /// The store's answer can't be decoded.
     Malformed(String),
@@ -156,7 +155,8 @@
 
 impl std::error::Error for MetadataError {}
 
-/// The timeouts of a call. A silent store is given up early; an answer that has begun may be large or the network slow.
+/// The timeouts of a read. A store that does not begin to answer fails the read early; an answer that has begun gets
+/// more time, since it may be large or the network slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadTimeouts {
     /// The time until the answer begins.
@@ -171,7 +171,7 @@
     }
 }
 
-/// The metadata store. Every call ends at its timeout, and the adapter retries none.
+/// The metadata store. Every call ends at its timeout, and the adapter does not retry calls.
 #[allow(async_fn_in_trait, reason = "the engine uses it on one thread only")]
 pub trait MetadataStore: 'static {
     /// Returns the latest known era of the store. Answers of earlier eras are refused.
