--- a/crates/proxy/src/order.rs
+++ b/crates/proxy/src/order.rs
@@ -13,7 +13,7 @@
     pub server: Name,
     /// The daemon that holds the promoter role and gives the order.
     pub promoter: Name,
-    /// Increases with every change of promoter, so that a delayed order can be told from a newer one.
+    /// Increases with every change of promoter, so that the platform can reject a delayed order of an earlier one.
     pub fencing_token: u64,
 }
 
@@ -24,7 +24,7 @@
     NotRunning,
     /// The platform refused the order or could not be reached; nothing was done.
     NotDone(String),
-    /// No answer arrived; the order may take effect.
+    /// No answer arrived; the order may still take effect.
     NoAnswer(String),
 }
 
