--- a/crates/proxy/src/tcp_options.rs
+++ b/crates/proxy/src/tcp_options.rs
@@ -1,4 +1,4 @@
-//! Socket options of a daemon's connections, so that dead peers are noticed and abandoned data is not delivered late.
+//! Socket options of a daemon's connections, so that dead peers are detected and abandoned data is not delivered late.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// The number of unanswered probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// How long sent data may stay unacknowledged before the connection is closed; as long as idle time plus probes.
+/// How long sent data may stay unacknowledged before the connection is closed. The sum of the idle time and the probes,
+/// so that a dead peer is detected equally fast with and without data in transit.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Bounds how long a connection stays open whose peer is gone or unreachable.
+/// Bounds how long a connection stays open after its peer has died or become unreachable.
 pub(crate) fn detect_dead_peer(stream: &TcpStream) {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE_TIME)
@@ -25,7 +26,7 @@
         .set_tcp_keepalive(&keepalive)
         .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
     if let Err(error) = result {
-        // The connection still works; a dead peer is only noticed late.
+        // The connection still works, but a dead peer is detected late.
         log::debug!(
             event = "keepalive_unset", why = error.to_string().as_str();
             "failed to set the keepalive options of a connection"
@@ -33,10 +34,10 @@
     }
 }
 
-/// Makes the end of a connection, also by the end of the process, discard data that the peer has not received.
+/// Makes the kernel discard undelivered data when the connection is closed or the process ends.
 ///
-/// After a graceful close the kernel would still deliver it when a partition heals: a write could run after its caller
-/// was told that its outcome is in doubt and has written again. See `docs/PLATFORM.md`, "Verdicts".
+/// After a graceful close the kernel would still deliver the data when a partition ends: a write could run after its
+/// caller received the error that its outcome is in doubt and wrote again. See `docs/PLATFORM.md`, "Verdicts".
 pub(crate) fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
