--- a/crates/proxy/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -13,7 +13,7 @@
     pub name: Name,
     /// The service whose servers hold the database.
     pub service: Name,
-    /// Which reads are allowed where.
+    /// How old the data of the route's reads may be.
     pub read_rule: ReadRule,
     /// How long one statement may take.
     pub timeout: Duration,
@@ -21,7 +21,7 @@
     pub target_latency: Duration,
     /// The priority of its statements; 0 is the highest.
     pub priority: u8,
-    /// The largest number of times that a statement may be sent to a server.
+    /// The maximum number of times that a statement may be sent to a server.
     pub max_attempts: u32,
     /// Whether callers without an account are served.
     pub is_public: bool,
@@ -34,18 +34,18 @@
     Primary,
     /// Reads see every write that was acknowledged longer ago than the bound.
     BoundedStaleness {
-        /// The largest allowed staleness.
+        /// The maximum staleness.
         bound: Duration,
     },
-    /// As `BoundedStaleness`, and reads also see every earlier write of their session.
+    /// Like `BoundedStaleness`, and reads also see every earlier write of their session.
     OwnWrites {
-        /// The largest allowed staleness.
+        /// The maximum staleness.
         bound: Duration,
     },
 }
 
 impl ReadRule {
-    /// Returns the largest allowed staleness; `None` if reads run at the primary.
+    /// Returns the maximum staleness; `None` if reads run at the primary.
     pub fn bound(self) -> Option<Duration> {
         match self {
             ReadRule::Primary => None,
@@ -116,8 +116,8 @@
 #[serde(transparent)]
 pub struct ServerIncarnation(pub u64);
 
-/// An item that can't be decoded. The previous configuration stays in force; a server with an unreadable entry is not
-/// used.
+/// The error for an item that can't be decoded. The previous configuration remains active; a server whose entry can't
+/// be decoded is not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogError(pub String);
 
