--- a/crates/proxy/src/revision.rs
+++ b/crates/proxy/src/revision.rs
@@ -1,13 +1,13 @@
 //! Revisions of the metadata store, and the eras that they belong to.
 //!
-//! A store that is restored from an older copy loses acknowledged writes and reuses their revisions, so it begins a new
-//! era. Revisions can only be compared together with their eras; the bare number is for the store, messages and logs.
-//! See `docs/design/store-restored.md`.
+//! A store that is restored from a backup loses acknowledged writes and reuses their revision numbers, so it begins a
+//! new era. Numbers can only be compared together with their eras; a number without its era is for the store, messages
+//! and logs. See `docs/design/store-restored.md`.
 
 use std::fmt;
 
-/// The bits of a fencing token that hold a revision's number. Together with [`Era::LAST`] a token stays below 2⁵³, so
-/// readers that parse it as a float keep it exact.
+/// Number of bits of a fencing token that hold a revision's number. With [`Era::LAST`] a token stays below 2⁵³, so that
+/// JSON readers that parse numbers as floats keep it exact.
 const TOKEN_NUMBER_BITS: u32 = 40;
 
 /// The number of times that the store was restored. A later era supersedes what was read in earlier ones.
