--- a/crates/proxy/src/accounts.rs
+++ b/crates/proxy/src/accounts.rs
@@ -30,7 +30,7 @@
         AccountKey(Zeroizing::new(key.to_vec()))
     }
 
-    /// Returns whether the caller named no key.
+    /// Returns whether the caller sent no key.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -61,7 +61,7 @@
     hasher: RandomState,
 }
 
-/// Two accounts hold the same key, so a caller that names it can't be attributed to one of them.
+/// The error for two accounts with the same key: a caller that sends it can't be attributed to one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateKey {
     /// The accounts.
@@ -185,7 +185,7 @@
     }
 }
 
-/// The key belongs to no account of the configuration.
+/// The error for a key that belongs to no account of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
