--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -25,15 +25,15 @@
 /// The delay between attempts to listen on an address that is in use.
 const BIND_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What the HTTP thread needs.
+/// The inputs of the HTTP thread.
 pub struct HttpParts {
     /// The listener for the load balancer's readiness checks.
     pub ready_listener: std::net::TcpListener,
-    /// The address for requests of metrics; `None` to serve no metrics.
+    /// The address on which metrics are served; `None` to serve none.
     pub metrics_listen: Option<SocketAddr>,
     /// The current control view.
     pub control_view: watch::Receiver<Arc<ControlView>>,
-    /// When the stop began; `None` before it.
+    /// When the daemon began to stop; `None` while it runs.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// The metrics to serve.
     pub metrics: ProxyMetrics,
@@ -46,7 +46,7 @@
     metrics: ProxyMetrics,
 }
 
-/// Serves until the control thread has stopped.
+/// Serves requests until the control thread has ended.
 pub async fn serve_http(parts: HttpParts) {
     let shared = Shared {
         control_view: parts.control_view,
@@ -90,7 +90,7 @@
     (StatusCode::OK, shared.metrics.render())
 }
 
-/// Serves metrics. Retries to listen, since a previous process may still hold the address.
+/// Serves metrics. Retries until the address is free, since a previous process may still hold it.
 async fn listen_for_metrics(address: SocketAddr, shared: Shared) {
     loop {
         match TcpListener::bind(address).await {
