--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -22,17 +22,18 @@
     pub store_calls: IntCounterVec,
     /// Steps of changes of primary, by step.
     pub promotion_steps: IntCounterVec,
-    /// Answers of primaries that contradict the lease under which they were used. Any such answer is a fault.
+    /// Answers of primaries that contradict the primary lease under which the statement was sent. Any such answer is a
+    /// fault.
     pub contradictions: IntCounterVec,
     /// Operations refused for their client account, by reason: its limit or an unknown key.
     pub refusals: IntCounterVec,
     /// State changes of circuit breakers, by the hop that they watch and the new state.
     pub circuit_changes: IntCounterVec,
-    /// Statements that found no usable primary, by the kind of outage and how it ended for them.
+    /// Statements that found no usable primary, by the kind of outage and whether they were released or refused.
     pub statements_held: IntCounterVec,
-    /// Attempts that were not made so that they take no capacity from other statements, by cause.
+    /// Retries that an account's retry budget did not allow, by the cause of the failed attempt.
     pub attempts_denied: IntCounterVec,
-    /// Restores of the store that were seen and the actions that followed, by kind.
+    /// Detected restores of the store and the actions that followed, by kind.
     pub store_restores: IntCounterVec,
     /// Current values, by what is measured, such as the number of members.
     pub gauges: IntGaugeVec,
