--- a/crates/proxy/src/serve/session.rs
+++ b/crates/proxy/src/serve/session.rs
@@ -30,19 +30,19 @@
 };
 
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a new session waits for the daemon's first configuration; callers give up after 2 s.
+/// How long a new session waits for the daemon's first configuration. Callers give up after 2 s.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Retry delay sent to a caller whose session is refused. A starting daemon has read its configuration by
-/// then if the store answers.
+/// Retry delay sent to a caller whose session is refused. If the store answers, a starting daemon reads its
+/// configuration within this time.
 const SESSION_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Maximum number of values, and of prepared statements, in one session; they are kept in memory and replayed.
 const MAX_SESSION_NAMES: usize = 1_024;
 
 enum End {
     Disconnected,
-    /// The daemon stops and closes idle sessions.
+    /// The daemon is stopping and closes idle sessions.
     Stopping,
-    /// The caller sent a message that can't be decoded; it gets the error.
+    /// The caller sent a message that can't be decoded; this error is returned to it.
     Unreadable(StatementError),
 }
 
@@ -50,7 +50,7 @@
     Message(CallerMessage),
     End(End),
     IdleTimeout,
-    /// The daemon stops and the open transaction has used up its remaining time.
+    /// The daemon is stopping and the open transaction has used up its remaining time.
     StopDeadline,
 }
 
@@ -63,6 +63,7 @@
     is_ending: bool,
     values: SessionValues,
     prepared: HashMap<Name, PreparedStatement>,
+    /// The log point of the session's latest write, by service.
     own_points: HashMap<Name, LogPoint>,
     transaction: Option<Transaction<E>>,
 }
@@ -183,8 +184,8 @@
     /// Waits for the first configuration, without which no database can be resolved.
     async fn wait_for_configuration(&self) -> bool {
         let mut view = self.engine.control_view.clone();
-        let known = view.wait_for(|view| view.is_ready());
-        matches!(tokio::time::timeout(CONFIGURATION_TIMEOUT, known).await, Ok(Ok(_)))
+        let ready = view.wait_for(|view| view.is_ready());
+        matches!(tokio::time::timeout(CONFIGURATION_TIMEOUT, ready).await, Ok(Ok(_)))
     }
 
     async fn next_event(&mut self) -> Event {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Until when the open transaction may stay idle, if it holds a connection.
+    /// Until when the open transaction may stay idle; `None` if it holds no connection or there is no limit.
     fn idle_until(&self) -> Option<Instant> {
         let transaction = self.transaction.as_ref()?;
         transaction.connection.as_ref()?;
@@ -371,7 +372,7 @@
         };
         let principal = Principal::of(account.as_ref());
         let is_first = match &self.transaction {
-            // A transaction may not continue for another account than the one that opened it.
+            // Only the account that opened a transaction may continue it.
             Some(transaction) if transaction.principal() != principal => {
                 return self.local_error(ErrorCode::Aborted, "the key belongs to another account");
             }
