--- a/crates/proxy/src/serve/execute.rs
+++ b/crates/proxy/src/serve/execute.rs
@@ -31,10 +31,11 @@
 
 /// Multiple of a server's average latency after which a read may be sent to a second server.
 const SLOW_ANSWER_FACTOR: u32 = 6;
-/// Pause before servers that have all refused a statement are tried again.
+/// Pause before a statement is sent again to a server that has already refused it.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(15);
-/// How often samples of a primary's log position are shared with, or requested from, other daemons. Shorter
-/// than the staleness bounds of routes and than the interval at which the zone polls its upstream.
+/// Minimum interval at which samples of a primary's log point are shared with other daemons, or requested from the
+/// control thread. Shorter than the staleness bounds of routes and than the interval at which the zone polls its
+/// upstream.
 const SAMPLE_SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
 const OVERLOADED_REASON: &str = "more urgent statements and those of others go first";
@@ -44,11 +45,11 @@
     pub(crate) connection: PooledConnection<E>,
     pub(crate) leader: Option<GroupLeader>,
     pub(crate) min_point: Option<LogPoint>,
-    /// The latest point that the primary's log had reached, as known before the statement was sent.
+    /// The latest log point of the primary that was known before the statement was sent.
     pub(crate) known_point: Option<LogPoint>,
 }
 
-/// A log position returned by a primary, and the latest one known before the request.
+/// A log point returned by a primary, and the latest one known before the request.
 #[derive(Clone, Copy)]
 pub(crate) struct Sample {
     pub(crate) sent_at: Instant,
@@ -148,8 +149,9 @@
         }
     }
 
-    /// Whether the primary lease under which a read was sent still holds, so that its answer may be returned.
-    /// A read that was forwarded to an owner may have waited there for longer than the lease lasts.
+    /// Whether an answer may be returned to the caller. A read at the primary requires that the lease under which it
+    /// was sent is still valid, since a read forwarded to an owner may have waited there for longer than the lease
+    /// lasts.
     fn may_return_answer(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         let is_primary_read =
             job.statement.class() == StatementClass::Read && assignment.leader.is_some();
@@ -192,7 +194,7 @@
             None => {
                 let leader = self.await_primary(group, job, class, attempts).await?;
                 if bound.is_some() && known_leader.is_none() {
-                    // The primary is known only now, so a retry can ask its owner for a sample.
+                    // The primary was unknown before; the retry can request a sample from the owner of its connections.
                     return Err(AssignError::Retry);
                 }
                 Some(leader)
@@ -214,7 +216,7 @@
             cancellation: None,
             principal: Some(job.principal.clone()),
         };
-        // Computed here because the wait for a connection starts after the wait for a primary.
+        // Computed only now, since the wait for a connection starts after the wait for a primary.
         let wait_deadline = job.wait_deadline(Instant::now(), group.pool.has_queues());
         let connection = match self.acquire(group, request, job.values, wait_deadline).await {
             Ok(connection) => connection,
@@ -226,8 +228,8 @@
             connection.release();
             return Err(AssignError::Retry);
         }
-        // A read at the primary needs no minimum point while the lease holds. The current view is checked, since
-        // the lease may have been given up while the statement waited for its connection.
+        // A read at the primary needs no minimum point while the lease is valid. The lease is checked again, since it
+        // may have been given up while the statement waited for its connection.
         let leader = leader.filter(|leader| {
             leader.server == *connection.server()
                 && self.is_current_leader(service, Some(leader), now)
@@ -238,15 +240,15 @@
         Ok(Assignment { connection, leader, min_point, known_point })
     }
 
-    /// Requests a sample from the control thread, at a limited rate: one message per read could fill the
-    /// channel, which also carries messages that are sent only once.
+    /// Asks the control thread for a sample of the primary's log point, at a limited rate: one message per read could
+    /// fill the channel, which also carries messages that are sent only once.
     fn report_sample_wanted(&self, group: &Group<E>, now: Instant) {
         let requested_at = group.sample_requested_at.get();
         if requested_at.is_some_and(|at| now.duration_since(at) < SAMPLE_SHARE_INTERVAL) {
             return;
         }
         group.sample_requested_at.set(Some(now));
-        // The channel is full if the control thread is behind; a later read requests again.
+        // The channel is full if the control thread is behind; a later read asks again.
         let _ = self.observations.try_send(Observation::SampleWanted);
     }
 
@@ -362,7 +364,7 @@
     }
 
     /// Completes when the task should be sent to another server instead of waiting for this one; never for a
-    /// task that may not run twice. The daemon that owns the connection probes the server once it is silent.
+    /// task that may not run twice. If this daemon owns the connection, it probes a server that does not answer.
     async fn until_abandoned(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -377,7 +379,7 @@
         let mut probed = !server_route.is_own;
         let mut slow = false;
         loop {
-            let lost = group.server_unreachable.notified();
+            let unreachable = group.server_unreachable.notified();
             if may_run_again && server_route.is_direct && self.is_unreachable(group, server) {
                 return;
             }
@@ -392,7 +394,7 @@
                         return;
                     }
                 }
-                () = lost => {}
+                () = unreachable => {}
             }
         }
     }
@@ -421,7 +423,7 @@
         answer
     }
 
-    /// Stores a sample of the primary's log position, if the server was the primary from request to answer.
+    /// Stores a sample of the primary's log point, if the server was the primary from request to answer.
     pub(crate) fn add_sample(
         &self,
         group: &Group<E>,
@@ -449,7 +451,7 @@
         }
         group.sample_shared_at.set(Some(now));
         let observation = Observation::PrimarySampled { service: service.clone(), sample };
-        // The channel is full if the control thread is behind; a later sample is as good.
+        // The channel is full if the control thread is behind; a later sample is shared instead.
         let _ = self.observations.try_send(observation);
     }
 
@@ -495,16 +497,17 @@
     }
 }
 
-/// Maximum age of a sample requested from an owner. While the primary may be used, half of the bound is
-/// reserved for this read and the ones after it; otherwise only an older sample may exist.
-fn max_sample_age(bound: Duration, may_use_primary: bool) -> Duration {
-    match may_use_primary {
+/// Returns the maximum age of a sample requested from an owner: half of the staleness bound while the primary lease is
+/// valid, so that later reads can use the sample too. Without a valid lease nearly the whole bound is allowed, since
+/// there may be no newer sample.
+fn max_sample_age(bound: Duration, is_lease_valid: bool) -> Duration {
+    match is_lease_valid {
         true => bound / 2,
         false => bound.saturating_sub(2 * STALENESS_MARGIN),
     }
 }
 
-/// Returns the error code for a refusal by an owner, if it refused for lack of capacity.
+/// Returns the error code if an owner refused the request for lack of capacity.
 pub(crate) fn refusal_code(lost: &ConnectionLost) -> Option<ErrorCode> {
     match lost {
         ConnectionLost::NotGranted(NotSent::TooLate | NotSent::Overloaded) => {
@@ -515,7 +518,7 @@
 }
 
 /// Whether an owner rejected the request at once because the server is unavailable. This costs no server
-/// time and does not count as an attempt, so that one remains for a working server.
+/// time and does not count as an attempt, so that an attempt remains for a working server.
 fn is_free_attempt(lost: &ConnectionLost) -> bool {
     matches!(lost, ConnectionLost::NotGranted(NotSent::Unreachable | NotSent::SetAside))
 }
