--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -40,9 +40,9 @@
     statement::ErrorCode,
 };
 
-/// Samples of a primary's log position kept per group; they cover the longest staleness bound.
+/// Maximum number of samples of a primary's log point per group; they cover the longest staleness bound.
 const MAX_SAMPLES: usize = 64;
-/// Percentage of reads that may be hedged on a second server; limited so that retries don't amplify an overload.
+/// Percentage of reads that may be hedged on a second server; limited so that hedged reads don't amplify an overload.
 const HEDGE_PERCENT: u32 = 10;
 /// Interval between checks of idle connections while connections are scarce.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -55,7 +55,7 @@
 pub struct Group<E: EndpointDialect> {
     /// Connections to the servers of the group.
     pub pool: Rc<GroupPool<E>>,
-    /// Recent log positions of the primary, with the times at which they were taken.
+    /// Recent log points of the primary, each with the time at which it was requested.
     pub samples: RefCell<StalenessSamples>,
     /// Budget for reads that are sent to a second server while the first may still answer.
     pub hedge_budget: RefCell<RetryBudget>,
@@ -63,7 +63,7 @@
     pub(crate) lagging_refusals: Cell<Option<(Instant, Instant)>>,
     /// Wakes reads that wait for a server which has become unreachable.
     pub server_unreachable: Notify,
-    /// Triggers an immediate probe of the servers that are unreachable.
+    /// Triggers an immediate probe of the unreachable servers.
     pub(crate) probe_now: Notify,
     /// Servers that are being probed or that did not answer their probe.
     pub(crate) probes: RefCell<HashMap<Name, ProbeState>>,
@@ -150,9 +150,9 @@
 
 /// The shared state of the serving thread.
 pub struct Engine<C, E: EndpointDialect> {
-    /// Wire dialect of the callers.
+    /// The wire protocol of callers.
     pub caller_dialect: C,
-    /// Wire dialect of the servers.
+    /// The wire protocol of servers.
     pub endpoint_dialect: E,
     /// Settings of the serving thread.
     pub settings: ServeSettings,
@@ -168,7 +168,7 @@
     pub(crate) relays: Rc<RelayLinks>,
     pub(crate) limits: Limits,
     pub(crate) hold_state: HoldState,
-    /// Origin of this daemon's monotonic clock, in which other daemons state the deadlines of their statements.
+    /// Origin of this daemon's monotonic clock. Other daemons express start deadlines of their requests in this clock.
     epoch: Instant,
     /// Distances between availability zones.
     layout: Rc<ZoneLayout>,
@@ -177,9 +177,9 @@
 
 /// The parts from which an engine is built.
 pub struct EngineParts<C, E> {
-    /// Wire dialect of the callers.
+    /// The wire protocol of callers.
     pub caller_dialect: C,
-    /// Wire dialect of the servers.
+    /// The wire protocol of servers.
     pub endpoint_dialect: E,
     /// Settings of the serving thread.
     pub settings: ServeSettings,
@@ -189,14 +189,14 @@
     pub stopping: watch::Receiver<Option<Instant>>,
     /// Metrics of this daemon.
     pub metrics: ProxyMetrics,
-    /// Channel to the control thread for what was observed of servers.
+    /// Channel for observations about servers to the control thread.
     pub observations: flume::Sender<Observation>,
 }
 
 /// Why no connection was acquired for a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// No server can run the statement.
+    /// No suitable server is available.
     NoServer,
     /// Too many statements are already waiting.
     QueueFull,
@@ -204,7 +204,7 @@
     TooLate,
     /// The server's queue has no room in time, given the statements ahead of this one.
     Overloaded {
-        /// After which delay a retry may succeed.
+        /// How long to wait before retrying.
         retry_delay: Duration,
     },
 }
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Closes idle connections while other daemons lack any; runs until the daemon stops.
+    /// Closes idle connections while connections are scarce; runs until the daemon stops.
     pub async fn close_idle_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Counts the outcome for a statement that another daemon forwarded to the connections of this one.
+    /// Counts the outcome for a statement that another daemon forwarded to this one.
     fn count_forwarded(
         &self,
         request: &ConnectionRequest,
@@ -386,7 +386,7 @@
         self.metrics.statements_queued.with_label_values(&[rank.as_str(), outcome]).inc();
     }
 
-    /// Returns the identity that a server is given when a connection is opened.
+    /// Returns the identity under which this daemon opens connections for a principal.
     pub(crate) fn client_identity<'a>(&'a self, principal: &'a Principal) -> ClientIdentity<'a> {
         ClientIdentity { host: &self.settings.host, principal }
     }
