--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -24,17 +24,17 @@
     statement::{ErrorCode, StatementError},
 };
 
-/// How long granted operations may be used. Covers what a daemon requests ahead, and limits the loss when callers
-/// move to other daemons.
+/// How long granted quota may be used. Long enough for quota that is requested in advance; limits the loss of unused
+/// quota when callers move to other daemons.
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 /// Timeout of a quota request: a round trip between zones, on busy hosts.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long an operation may wait for the coordinator, or for one to be elected, before it is refused.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(220);
-/// The same while no coordinator was known since this daemon started. Covers the first election after a restart
-/// of all daemons, where a refused caller would only retry at another daemon that has just started.
+/// The same until this daemon has seen a coordinator. Covers the first election after a restart of all daemons, where a
+/// refused caller would only retry at another daemon that has just started.
 const STARTUP_ADMISSION_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before the coordinator is looked up again.
+/// Pause before quota is requested again if no coordinator was found.
 const COORDINATOR_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 /// How long operations of an account are refused at once after no coordinator was found.
 const NO_COORDINATOR_PAUSE: Duration = Duration::from_millis(100);
@@ -42,11 +42,11 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What this daemon holds of one account's limit.
+/// The quota that this daemon holds of one account's limit.
 #[derive(Default)]
 pub(super) struct AccountQuota {
     held: RefCell<HeldQuota>,
-    is_asking: Cell<bool>,
+    is_requesting: Cell<bool>,
     waiting: Cell<u32>,
     answered: Notify,
     /// Operations refused since the last log record about it, and the time of that record.
@@ -153,7 +153,7 @@
 
     /// Requests quota in the background; one request at a time for each account.
     fn request_quota(self: &Rc<Self>, account: &Arc<Account>, quota: &Rc<AccountQuota>) {
-        if quota.is_asking.replace(true) {
+        if quota.is_requesting.replace(true) {
             return;
         }
         let (engine, account, quota) = (self.clone(), account.clone(), quota.clone());
@@ -190,14 +190,14 @@
                     }
                 }
             }
-            quota.is_asking.set(false);
+            quota.is_requesting.set(false);
             quota.answered.notify_waiters();
         });
     }
 
-    /// Requests quota from the coordinator, or from a random voter that may know it.
+    /// Requests quota from the coordinator, or from a random voter that may know the coordinator.
     ///
-    /// A daemon that is not a member is not asked for its vote, so it may not know the coordinator although it can reach it.
+    /// A daemon that is not a member is not asked for its vote, so it may not know a coordinator that it can reach.
     async fn request_grant(self: &Rc<Self>, account: &Name, unused: u32, wanted: u32) -> Grant {
         let now = Instant::now();
         let view = self.control_view();
@@ -232,7 +232,7 @@
         grant
     }
 
-    /// Answers a quota request of another daemon: a grant, or the name of the coordinator.
+    /// Answers a quota request of another daemon with a grant, or with the name of the coordinator.
     pub(crate) fn answer_quota_request(
         &self,
         account: &Name,
@@ -255,9 +255,9 @@
         if !view.is_member(now) {
             return Grant::NotCoordinator;
         }
-        let known = view.catalog.accounts.as_ref().and_then(|it| it.get(account));
+        let account_entry = view.catalog.accounts.as_ref().and_then(|it| it.get(account));
         // The requesting daemon may already have a newer configuration.
-        let Some(limit) = known.and_then(|account| account.limit) else {
+        let Some(limit) = account_entry.and_then(|account| account.limit) else {
             return Grant::NotCoordinator;
         };
         self.limits.grant(account, &limit, quota_request, now)
