--- a/crates/proxy/src/serve/replay.rs
+++ b/crates/proxy/src/serve/replay.rs
@@ -10,8 +10,8 @@
 
 use crate::statement::{EndpointOperation, PreparedStatement};
 
-/// Maximum number of statements prepared on one connection. It is reset beyond that, to bound the memory use of
-/// the server.
+/// Maximum number of statements prepared on one connection. The connection is reset before a further one is prepared,
+/// to bound the memory use of the server.
 pub const MAX_PREPARED: usize = 256;
 
 /// The values of a session, by name.
@@ -41,8 +41,8 @@
         self.prepared.get(statement).copied()
     }
 
-    /// Returns the commands to send before a statement with these values and this prepared statement, and records them as
-    /// applied. The connection must be closed if any of them fails.
+    /// Returns the commands to send before a statement that needs these values and this prepared statement, and records
+    /// them as applied. The connection must be closed if any of them fails.
     pub fn prepare_for(
         &mut self,
         wanted: &SessionValues,
