--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -21,7 +21,7 @@
     pub limit: u32,
     /// Whether the capacity available to the statement is in use.
     pub is_full: bool,
-    /// Whether another replica is preferred for the account, being more likely to have a connection for it.
+    /// Whether another replica is preferred for the account, since it more likely has a connection for that account.
     pub is_non_preferred: bool,
     /// Average latency in microseconds; 0 if it is unknown.
     pub latency_us: u32,
@@ -51,7 +51,7 @@
 const CROSS_REGION_PENALTY: Duration = Duration::from_millis(60);
 /// Cost added to the primary, which is the only server for writes.
 const PRIMARY_PENALTY: Duration = Duration::from_millis(10);
-/// The same where connections are scarce and all daemons compete for those to the primary. Higher than
+/// Cost added to the primary where connections are scarce and all daemons compete for those to the primary. Higher than
 /// `CROSS_ZONE_PENALTY`, so that reads prefer a replica in another zone over a primary in the same zone.
 const SCARCE_PRIMARY_PENALTY: Duration = Duration::from_millis(65);
 /// Cost added to a replica that is not the preferred one of the account. Higher than `CROSS_ZONE_PENALTY`,
