--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -1,9 +1,8 @@
-//! The paths from this daemon to a server, directly or through the owners of its connections, and which of them
-//! work.
+//! The paths from this daemon to a server, directly or through the owners of its connections, and their state.
 //!
-//! A failure counts against the hop that reports it: the link to an owner has its own state
-//! ([`crate::relay::links`]), an owner reports that it can't reach the server, and the probe of this daemon covers
-//! the direct path.
+//! A failure counts only against the hop where it occurred. [`crate::relay::links`] tracks the link to an owner, the
+//! circuit breakers in this module track the hop from an owner to the server, and this daemon's probe covers the direct
+//! path.
 
 use std::{
     collections::HashMap,
@@ -27,8 +26,7 @@
     },
 };
 
-/// How many daemons are asked for a tunnel at a time. Finds one within a second where half of the fleet reaches the
-/// server, and limits the connects to a dead server.
+/// Number of daemons through which a tunnel is tried at a time. Bounds the connection attempts to a dead server.
 const PARALLEL_TUNNEL_TRIES: usize = 4;
 
 /// How often the search for a tunnel is repeated. Candidates become known once other daemons have reported which
@@ -38,11 +36,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct ServerPaths {
     owner_circuits: HashMap<SocketAddr, CircuitBreaker>,
-    /// Whether connects of this daemon to the server time out.
+    /// Whether this daemon's last probe of the server failed, without an answer from the server since.
     is_unreachable: bool,
-    /// Whether a tunneled connection was opened since then.
+    /// Whether the last attempt to open a connection through a tunnel succeeded; `false` again after a direct answer.
     has_working_tunnel: bool,
-    is_searching: bool,
+    is_searching_tunnel: bool,
     /// When the server last answered on a connection of this daemon.
     answered_at: Option<Instant>,
 }
@@ -99,15 +97,15 @@
         self.has_working_tunnel = false;
     }
 
-    /// Records a failed connect that began at `asked_at`. An answer since then outweighs it, since a busy server is
-    /// slow to accept new connections.
-    fn on_unreachable(&mut self, asked_at: Instant) {
-        self.is_unreachable = self.answered_at.is_none_or(|at| at < asked_at);
+    /// Records a failed probe that began at `probed_at`. It is ignored if the server has answered on a connection since
+    /// then, since a busy server is slow to accept new connections.
+    fn on_unreachable(&mut self, probed_at: Instant) {
+        self.is_unreachable = self.answered_at.is_none_or(|at| at < probed_at);
     }
 }
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Whether paths that do not work are avoided here.
+    /// Whether circuit breakers are used: they are enabled and connections are scarce.
     pub(super) fn has_circuits(&self) -> bool {
         self.overload.circuits && self.state.borrow().idle_policy != IdlePolicy::KeepOne
     }
@@ -128,7 +126,7 @@
         }
     }
 
-    /// Records that a server answered this daemon directly, even if only to a connect.
+    /// Records that a server answered this daemon directly, even if it only accepted or refused a connection.
     pub(crate) fn on_direct_answer(&self, server: &str) {
         self.with_server(server, |pooled| pooled.paths.on_direct_answer(Instant::now()));
     }
@@ -137,15 +135,16 @@
         self.with_server(server, |pooled| pooled.paths.is_unreachable).unwrap_or(false)
     }
 
-    /// Marks the search for a tunnel as running; `Some(true)` if one is needed and none was running.
+    /// Marks the search for a tunnel as running; returns `Some(true)` if a search is needed and none was running.
     fn begin_tunnel_search(&self, server: &str) -> Option<bool> {
         self.with_server(server, |pooled| {
-            pooled.paths.is_unreachable && !std::mem::replace(&mut pooled.paths.is_searching, true)
+            pooled.paths.is_unreachable
+                && !std::mem::replace(&mut pooled.paths.is_searching_tunnel, true)
         })
     }
 
     fn end_tunnel_search(&self, server: &str) {
-        self.with_server(server, |pooled| pooled.paths.is_searching = false);
+        self.with_server(server, |pooled| pooled.paths.is_searching_tunnel = false);
     }
 
     /// Records an attempt of this daemon's own callers, which counts as a probe if the server's circuit breaker is
@@ -181,12 +180,12 @@
         to_try.unwrap_or_default()
     }
 
-    /// Records that a server does not answer connects of this daemon, and fails the statements that wait for it.
-    pub(crate) fn on_unreachable(&self, server: &str, asked_at: Instant) {
+    /// Records that a server does not answer this daemon's probe, and fails the statements that wait for this server.
+    pub(crate) fn on_unreachable(&self, server: &str, probed_at: Instant) {
         if !self.has_circuits() {
             return;
         }
-        self.with_server(server, |pooled| pooled.paths.on_unreachable(asked_at));
+        self.with_server(server, |pooled| pooled.paths.on_unreachable(probed_at));
         self.fail_waiters_for(server);
     }
 }
@@ -213,7 +212,7 @@
         });
     }
 
-    /// Returns when a tunnel works or no daemon is left to try.
+    /// Tries tunnels; returns when one works or no daemon is left to try.
     async fn find_tunnel(&self, group: &Group<E>, service: &Name, server: &Name) {
         loop {
             let peers = group.pool.tunnels_to_try(server);
