--- a/crates/proxy/src/serve/connection.rs
+++ b/crates/proxy/src/serve/connection.rs
@@ -31,7 +31,7 @@
 /// connections.
 const TUNNEL_SUFFIX: &str = ".detour";
 
-/// Why a connection can't be used any more.
+/// Why a connection can no longer be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionLost {
     /// The connection could not be opened or broke.
@@ -61,7 +61,7 @@
     }
 }
 
-/// The identity that a daemon gives to a server.
+/// The identity under which a daemon connects to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientIdentity<'a> {
     /// This daemon's host.
@@ -86,9 +86,9 @@
 pub struct ServerRoute {
     /// The server's identity.
     pub server: Name,
-    /// Whether no other daemon is in between, so that an answer proves that the server is reachable.
+    /// Whether no other daemon is in between, so that an answer proves that this daemon reaches the server.
     pub is_direct: bool,
-    /// Whether the connection, direct or tunneled, belongs to this daemon. Otherwise its owner takes care of it.
+    /// Whether the connection, direct or tunneled, belongs to this daemon. Otherwise its owner monitors the server.
     pub is_own: bool,
     /// Address of the owner, if the connection belongs to another daemon.
     pub owner: Option<SocketAddr>,
@@ -108,7 +108,7 @@
     pub principal: Principal,
     /// The server's incarnation as its entry stated it when the connection was opened.
     pub incarnation: Option<ServerIncarnation>,
-    /// The session state at the server's side of the connection.
+    /// The session state that the server holds for the connection.
     pub environment: Environment,
     /// Whether the connection goes to the server itself and not through another daemon.
     pub is_direct: bool,
@@ -133,7 +133,7 @@
         EndpointConnection::handshake(dialect, stream, true, entry, identity, deadline).await
     }
 
-    /// Connects through a tunnel of the daemon at `peer`, for a server that is not reachable from here.
+    /// Connects through a tunnel of the daemon at `peer`, for a server that this daemon can't reach.
     pub async fn open_tunneled(
         peer: SocketAddr,
         dialect: &E,
@@ -146,7 +146,7 @@
             TunnelRequest { service: entry.service.to_string(), server: entry.server.to_string() };
         let stream = match timeout_at(deadline.into(), open_tunnel(peer, request)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(none)) => return Err(ConnectionLost::Broken(none.to_string())),
+            Ok(Err(error)) => return Err(ConnectionLost::Broken(error.to_string())),
             Err(_) => return Err(ConnectionLost::TimedOut),
         };
         EndpointConnection::handshake(dialect, stream, false, entry, identity, deadline).await
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Whether an idle connection is still open and has no unexpected input.
+    /// Whether an idle connection is still open and has received nothing unexpected.
     pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         matches!(
