--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -27,7 +27,7 @@
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<E: EndpointDialect> GroupPool<E> {
-    /// Returns the capacity for the queue of a server, if its statements are to be queued.
+    /// Returns the capacity of a server's queue at this daemon; `None` if its statements are not queued.
     pub(super) fn queue_capacity(
         &self,
         pooled: &PooledServer<E>,
@@ -104,8 +104,8 @@
         self.await_opening(&server, deadline).await
     }
 
-    /// Waits before a server is chosen again if no connection to this one may be opened now. Fails if the server
-    /// stays unreachable until the deadline, or if the deadline would pass first.
+    /// Waits until the pool should choose a server again, because no connection to this one may be opened now. Fails if
+    /// the server stays unavailable until the deadline, or if the deadline is too close.
     async fn await_opening(
         &self,
         server: &str,
