--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -1,8 +1,8 @@
 //! The connections of this daemon to the servers of one service, and the statements that wait for one.
 //!
-//! Connections are scarce and shared by all daemons: each has its share of what a server grants ([`super::share`]).
-//! A statement that finds none free waits, the most urgent first, and gets the next suitable connection that is
-//! released. `docs/PLATFORM.md`, "Connections", explains the design.
+//! Connections are scarce and shared by all daemons: each has its share of what a server grants ([`super::share`]). If
+//! all are in use, statements wait in the order of their priority for the next suitable connection that is released.
+//! `docs/PLATFORM.md`, "Connections", explains the design.
 
 use std::{
     cell::RefCell,
@@ -59,7 +59,7 @@
 pub struct GroupPool<E: EndpointDialect> {
     layout: Rc<ZoneLayout>,
     relays: Rc<RelayLinks>,
-    /// Which overload decisions are enabled.
+    /// Which overload controls are enabled.
     pub(super) overload: OverloadSettings,
     pub(super) state: RefCell<PoolState<E>>,
 }
@@ -67,7 +67,7 @@
 /// Why no connection was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// No server can run the statement.
+    /// No suitable server is available.
     NoServer,
     /// Too many statements are waiting.
     QueueFull,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Returns a lease on a connection of the server's owner, if another daemon owns them and is reachable.
+    /// Returns a lease on a connection of another daemon, if it owns the server's connections and is reachable.
     fn acquire_remote(
         self: &Rc<Self>,
         index: usize,
@@ -247,14 +247,14 @@
         self.relays.first_usable(owners.copied(), now)
     }
 
-    /// Returns the link to the daemon that owns the connections to a server; `None` if it is this one or
-    /// unreachable.
+    /// Returns the link to the daemon that owns the connections to a server; `None` if that is this daemon or if no
+    /// owner is reachable.
     pub(crate) fn owner_link(&self, server: &str) -> Option<Rc<RelayLink>> {
         let now = Instant::now();
         self.with_server(server, |pooled| self.owner_in_use(pooled, now))?
     }
 
-    /// Counts down the work that runs on connections of an owner.
+    /// Records that a statement or transaction on an owner's connections has ended.
     pub(super) fn release_remote(&self, server: &str) {
         self.with_server(server, |pooled| {
             pooled.in_use_remote = pooled.in_use_remote.saturating_sub(1)
@@ -272,7 +272,7 @@
             });
         }
         if candidates.is_empty() && request.only.is_none() {
-            // No server is left: consider those that are avoided after recent failures too.
+            // No server is left: consider also those that are avoided after recent failures.
             for pooled in &mut state.servers {
                 pooled.avoid_until = None;
                 pooled.lagging_until = None;
@@ -298,7 +298,7 @@
                     index,
                     distance: self.layout.distance(&pooled.entry.availability_zone),
                     is_primary: request.primary.as_ref() == Some(&pooled.entry.server),
-                    // The owner has the queue, since it sees the demand of the whole zone.
+                    // Always available: statements queue at the owner, which sees the demand of the whole zone.
                     idle: 1,
                     in_use: pooled.in_use_remote,
                     limit: u32::MAX,
@@ -317,7 +317,7 @@
                 index,
                 distance: match pooled.tunnels.is_empty() {
                     true => self.layout.distance(&pooled.entry.availability_zone),
-                    // A connection through another daemon is never the nearest.
+                    // A tunnel through another daemon costs at least as much as crossing zones.
                     false => ZoneDistance::SameRegion
                         .max(self.layout.distance(&pooled.entry.availability_zone)),
                 },
@@ -385,7 +385,7 @@
         };
         let Some(index) = found else { return };
         let permit = self.permit_opening(index, &waiter.request, None);
-        // If the waiter is gone, dropping the permit releases its place.
+        // If the waiter is gone, dropping the permit releases its place in the pool.
         let _ = waiter.grant.send(Offer::Open(permit));
     }
 
