--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -44,8 +44,9 @@
     pub(super) backing: Backing<E>,
     pub(super) acquired_at: Instant,
     pub(super) yields: bool,
-    /// The queue permit that comes with the connection, and the one of the transaction's current statement.
+    /// The queue permit with which the connection was acquired.
     pub(super) permit: Option<QueuePermit>,
+    /// The queue permit of the transaction's current statement, after the slot of `permit` was released.
     pub(super) statement_permit: Option<QueuePermit>,
 }
 
@@ -136,7 +137,7 @@
         Ok(())
     }
 
-    /// Releases the server's slot to others. Only statements that ran to completion count for the service time.
+    /// Releases the server's slot to other statements. Only those that ran to completion count for the service time.
     fn release_slot(
         &mut self,
         task: &EndpointTask,
@@ -166,13 +167,13 @@
         }
     }
 
-    /// Passes the connection to a waiting request, or returns it to the idle ones.
+    /// Passes the connection to a waiting request, or adds it to the idle connections.
     fn pass_to_waiter(mut self) {
         if self.is_stale() {
             // Dropping it makes room for a connection to the server's current incarnation.
             return;
         }
-        // The next statement with a permit finds the connection idle: no other task runs before this function
+        // The statement that gets the permit next finds this connection idle: no other task runs before this function
         // returns.
         self.permit = None;
         self.acquired_at = Instant::now();
