--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -40,18 +40,18 @@
 /// How long a connection above the kept minimum may stay idle. Closing it makes room for daemons that restart while
 /// the server still counts their old connections.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The same where accounts compete for an owner's connections. Spans the time between statements of an account that
-/// sends one every few seconds.
+/// The same where accounts compete for an owner's connections. Longer than the interval between statements of an
+/// account that sends one every few seconds.
 const COMPETED_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// How long a connection may stay idle where there are more daemons than connections to a server.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long the overflow is not used after the server refused a connection. Longer than an overflow connection
-/// stays idle, so that daemons below their share get the room.
+/// How long no overflow connection is opened after the server refused a connection. Longer than an overflow connection
+/// stays idle, so that daemons below their share can open connections.
 const OVERFLOW_PAUSE: Duration = Duration::from_millis(2_000);
 
-/// How long no tunnel is tried after all of them failed. Other daemons need about as long to detect and report that
-/// they have no path either.
+/// How long no tunnel is tried after all of them failed. Other daemons need about this long to detect and report that
+/// they can't reach the server either.
 const TUNNEL_PAUSE: Duration = Duration::from_millis(500);
 
 /// One server and the connections to it.
@@ -172,7 +172,7 @@
             as u32
     }
 
-    /// Closes the idle connections that are least likely to be used again until one more can be opened.
+    /// Closes idle connections, the least likely to be used again first, until another one may be opened.
     pub(crate) fn make_room(&mut self) {
         let now = Instant::now();
         let max = self.max_connections_at(now);
@@ -244,7 +244,7 @@
         self.avoid_until = Some(Instant::now() + self.next_backoff());
     }
 
-    /// Records that a connection could not be opened; returns how long no other is opened.
+    /// Records that a connection could not be opened; returns how long no other one is opened.
     pub(crate) fn on_open_failed(&mut self, refused: bool) -> Duration {
         let max_backoff = if refused { MAX_REFUSED_BACKOFF } else { MAX_BACKOFF };
         let backoff = self.next_backoff().min(max_backoff);
@@ -327,7 +327,7 @@
         self.lagging_until.is_some_and(|until| now < until + RECENT_LAG_WINDOW)
     }
 
-    /// Whether there may be more connections than there are.
+    /// Whether another connection may be opened.
     pub(crate) fn has_room(&self, now: Instant) -> bool {
         self.listed && (self.idle.len() as u32) + self.in_use < self.limit_at(now)
     }
@@ -346,7 +346,8 @@
         backoff.min(MAX_BACKOFF)
     }
 
-    /// Returns how many connections may be used now; only those in use while the pause after a failed open lasts.
+    /// Returns how many connections may be in use now; no more than already are, while opening is paused after a
+    /// failure.
     pub(crate) fn limit_at(&self, now: Instant) -> u32 {
         match self.no_opening_until {
             Some(until) if now < until && !self.may_tunnel(now) => self.limit.min(self.in_use),
@@ -384,8 +385,8 @@
         }
     }
 
-    /// Whether a request that yields at the primary would take room that others need. A server runs few statements
-    /// at a time; more of them wait inside the server, where priorities have no effect.
+    /// Whether a request that yields at the primary would take capacity that other statements need. A server runs few
+    /// statements at a time; further ones wait inside the server, where priorities have no effect.
     pub(crate) fn is_full_for(&self, request: &ConnectionRequest) -> bool {
         let is_primary = request.primary.as_ref() == Some(&self.entry.server);
         request.yields && is_primary && self.yielding >= (self.limit / YIELDING_DIVISOR).max(1)
