--- a/crates/proxy/src/serve/primary_wait.rs
+++ b/crates/proxy/src/serve/primary_wait.rs
@@ -50,9 +50,9 @@
     pub(crate) last_error: Option<ErrorCode>,
     pub(crate) needs_primary: bool,
     pub(crate) opens_transaction: bool,
-    /// Whether an owner was asked for a sample of the primary's log position.
+    /// Whether a sample of the primary's log point was requested from an owner.
     pub(crate) requested_sample: bool,
-    /// How many times it was sent to a server or an owner.
+    /// How many times the statement was sent to a server or an owner.
     pub(crate) sent: u32,
 }
 
@@ -201,7 +201,8 @@
         queued.resume_at(interval, job.hold_limits().release_deadline(outage, now), now)
     }
 
-    /// Records that a statement was answered; an answer from the primary ends the group's outage.
+    /// Records that a statement or the begin of a transaction succeeded; a success at the primary ends the group's
+    /// outage.
     pub(crate) fn record_success(&self, group: &Group<E>, job: &Job<'_>, at_primary: bool) {
         let account = Name::from(job.principal.account_name());
         self.hold_state.retry_budget.borrow_mut().on_success(&account, job.rank());
@@ -343,7 +344,7 @@
         let now = Instant::now();
         let view = self.control_view();
         let leader = view.usable_leader(&job.route.service, now);
-        // An empty name means that no server was found, which here means that the primary was not found.
+        // An empty name means that no server was available, which for this statement means the primary.
         if needs_primary(job)
             && leader.is_some_and(|leader| leader.server == *server || server.is_empty())
         {
@@ -360,11 +361,11 @@
         };
         let account = Name::from(job.principal.account_name());
         let mut retry_budget = self.hold_state.retry_budget.borrow_mut();
-        let may = retry_budget.may_retry(&account, job.rank(), attempts.sent, cause);
-        if !may {
+        let may_retry = retry_budget.may_retry(&account, job.rank(), attempts.sent, cause);
+        if !may_retry {
             self.metrics.attempts_denied.with_label_values(&[cause.as_str()]).inc();
         }
-        !may
+        !may_retry
     }
 
     fn no_answer_error(
@@ -412,7 +413,7 @@
     }
 }
 
-/// Whether only the primary can run a statement, regardless of samples of its log position.
+/// Whether only the primary can run a statement, regardless of samples of its log point.
 fn needs_primary(job: &Job<'_>) -> bool {
     job.statement.class() == StatementClass::Write || job.route.read_rule == ReadRule::Primary
 }
