--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -1,4 +1,4 @@
-//! The statement queue of one server, and the permit by which a statement runs there.
+//! The statement queue of one server, and the permit that a statement needs to run on the server.
 
 use std::{
     cell::{Cell, RefCell},
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Sets how much of the server may be used.
+    /// Sets how much of the server's capacity may be used.
     pub fn set_capacity(self: &Rc<Self>, capacity: Capacity) {
         self.work.borrow_mut().set_capacity(capacity);
         self.start_waiting();
@@ -98,7 +98,7 @@
         work.running() + work.waiting() as u32
     }
 
-    /// Logs refused statements and the load of the queue, with a limited rate.
+    /// Logs refused statements and the load of the queue, at a limited rate.
     fn log_refusals(&self, request: &Request) {
         let now = Instant::now();
         self.refusals.set(self.refusals.get() + 1);
@@ -113,7 +113,7 @@
             stage = format!("{:?}", request.stage).as_str(), waiting = work.waiting(),
             running = work.running(), limit = work.limit(),
             come_back_ms = work.expected_wait(request.rank, now).as_millis() as u64;
-            "a server's queue refused statements for which it has no room in time"
+            "a server's queue refused statements that could not start in time"
         );
     }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Answers a waiting statement. If nobody waits for the answer any more, dropping the permit releases it.
+    /// Answers a waiting statement. If its future was dropped, dropping the unsent permit releases it.
     fn answer(&self, ticket: Ticket, answer: PermitResult) {
         let waiting = self.waiting.borrow_mut().remove(&ticket);
         drop(waiting.map(|waiting| waiting.send(answer)));
