--- a/crates/proxy/src/serve/server_feedback.rs
+++ b/crates/proxy/src/serve/server_feedback.rs
@@ -34,14 +34,14 @@
         self.with_server(server, PooledServer::on_failure);
     }
 
-    /// Closes the idle connections to a server after one of its connections fell silent: usually all of them
-    /// did, and each would make another statement time out.
+    /// Closes the idle connections to a server after a statement on one of its connections timed out: usually all of
+    /// them are dead, and each would make another statement time out.
     pub fn on_statement_timeout(&self, server: &str) {
         self.with_server(server, |pooled| pooled.idle.clear());
     }
 
     /// Records that a connection could not be opened. No further one is opened during a backoff, so that a
-    /// server which refuses connections is not flooded; statements wait for the existing ones.
+    /// server which refuses connections is not flooded; statements wait for the existing connections.
     pub fn on_open_failed(self: &Rc<Self>, server: &str, refused: bool) {
         let Some(backoff) = self.with_server(server, |pooled| pooled.on_open_failed(refused))
         else {
@@ -55,7 +55,7 @@
     }
 
     /// Returns the expected wait of a statement at a server as last reported by the owner of its connections;
-    /// without an owner, as estimated from the statements that wait here.
+    /// without an owner, as estimated from the statements that wait at this daemon.
     pub fn expected_wait_at(&self, server: &str, rank: Rank) -> Duration {
         let now = Instant::now();
         let reported =
