--- a/crates/proxy/src/serve/share.rs
+++ b/crates/proxy/src/serve/share.rs
@@ -38,7 +38,8 @@
     pub overflow: u32,
     /// Which idle connections may be kept.
     pub idle_policy: IdlePolicy,
-    /// Quota of the owners where there are more daemons than connections; `None` where every daemon has its own.
+    /// Quota of the owners where there are more daemons than connections; `None` where every daemon has its own
+    /// connections.
     pub owned: Option<OwnerQuota>,
 }
 
@@ -79,7 +80,8 @@
 
     /// Returns how many idle connections the owner of a rank keeps; rank 0 is the first.
     ///
-    /// A second owner of all connections keeps none: they would count against the first one when it returns.
+    /// The second owner of a [`OwnerQuota::Single`] keeps none: they would count against the first owner when it
+    /// returns.
     pub fn kept_by(self, rank: usize) -> u32 {
         match self {
             OwnerQuota::PerZone(count) => count,
@@ -109,7 +111,7 @@
         0 => IdlePolicy::KeepNone,
         _ => IdlePolicy::KeepOne,
     };
-    // Scarce connections have no overflow.
+    // Where connections are scarce there is no overflow.
     let overflow = match per_daemon {
         0 => 0,
         _ => (shared - per_daemon * counts.daemons.max(1))
