--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -30,28 +30,29 @@
     },
 };
 
-/// How long a vote binds its voter: three rounds, so that a lost one does no harm. Also the longest wait of an
-/// account after the coordinator died.
+/// How long a vote binds its voter: three rounds, so that one lost round has no effect. After the coordinator died, an
+/// account waits at most this long for a new one.
 const VOTE_DURATION: Duration = Duration::from_millis(600);
-/// How long a vote counts for the candidate. The difference covers the drift between two clocks.
+/// How long a vote counts for the candidate. The difference to `VOTE_DURATION` covers the drift between two clocks.
 const VOTE_COUNTED_FOR: Duration = Duration::from_millis(570);
 /// Interval between two requests for votes.
 const VOTE_ROUND_INTERVAL: Duration = Duration::from_millis(190);
 /// Timeout of a vote request: a round trip between zones, on busy hosts.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(180);
-/// How long the coordinator may be silent before the first voter in order campaigns: a little more than two rounds.
+/// How long the coordinator may be silent before the voter with the first rank campaigns: a little more than two
+/// rounds.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(420);
-/// The same for a daemon that knew no coordinator since it started, so that accounts are served soon after all
+/// The same for a daemon that has not seen a coordinator since it started, so that accounts are served soon after all
 /// daemons restart together.
 const STARTUP_COORDINATOR_TIMEOUT: Duration = Duration::from_millis(20);
 /// How long the set of voters must be unchanged before their votes elect a coordinator: while a fleet starts, each
 /// daemon sees more and more members.
 const STABLE_MEMBERS_FOR: Duration = Duration::from_millis(200);
-/// How long a candidate campaigns without a quorum before it frees its voters.
+/// How long a candidate campaigns without a quorum before it resigns and releases its voters.
 const CANDIDACY_LIMIT: Duration = Duration::from_millis(1_200);
-/// The same for a candidate that grants its part of the limits: longer, since it serves its voters during the campaign.
+/// The same for a candidate that grants its part of the limits. Longer, since it serves its voters during the campaign.
 const PARTIAL_CANDIDACY_LIMIT: Duration = Duration::from_millis(5_000);
-/// How often it is checked whether this daemon should campaign.
+/// Interval between checks whether this daemon should campaign.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// The same while no account has a limit.
 const UNLIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -60,7 +61,7 @@
     ElectionTimes { vote_duration: VOTE_DURATION, counted_for: VOTE_COUNTED_FOR, window }
 }
 
-/// The members that vote, and since when this set is unchanged.
+/// The members that vote, and since when this set has been unchanged.
 #[derive(Default)]
 struct Electorate {
     /// In order of rank, which is the same on every daemon that knows the same members.
@@ -70,8 +71,7 @@
     members: Arc<BTreeMap<Name, SocketAddr>>,
 }
 
-/// Maximum number of voters. Bounds the traffic, since each candidate asks all of them; large enough that a quorum
-/// remains when a third is cut off.
+/// Maximum number of voters. Bounds the traffic, since each candidate asks all of them.
 const MAX_VOTERS: usize = 75;
 
 /// This daemon's state in the election, and the quota that it holds or grants.
@@ -118,7 +118,7 @@
         self.voter.borrow_mut().note_coordinator(host, now);
     }
 
-    /// Whether a coordinator was known since this daemon started, or it is a candidate itself.
+    /// Whether this daemon has seen a coordinator since it started, or is a candidate itself.
     pub(super) fn has_seen_coordinator(&self) -> bool {
         self.coordinator_seen_at.get().is_some() || self.candidacy.borrow().is_some()
     }
@@ -153,12 +153,12 @@
             return vote;
         }
         if request.resigns {
-            // Expires the timeout, so that the first voter in order campaigns at once.
+            // Expires the timeout, so that the voter with the first rank campaigns at once.
             self.coordinator_seen_at.set(now.checked_sub(COORDINATOR_TIMEOUT));
         } else if vote.is_bound {
             self.coordinator_seen_at.set(Some(now));
         } else if request.is_coordinator && !self.is_coordinator(now) {
-            // Another candidate has a quorum; campaigning on would only take votes from it.
+            // Another candidate has a quorum; continuing the campaign would only take votes from it.
             self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
@@ -167,18 +167,18 @@
 
     /// Gives up the campaign in favor of a candidate with a better rank. After a partition many daemons campaign at
     /// once, and none reaches a quorum while each has some votes.
-    fn yield_to(&self, other: &Name, own: &Name, now: Instant) {
+    fn yield_to(&self, other: &Name, own_host: &Name, now: Instant) {
         let members = self.electorate.borrow().hosts.len();
         let has_chance = |it: &Candidacy| it.is_coordinator(now) || it.has_many_votes(members, now);
         let is_candidate = self.candidacy.borrow().as_ref().is_some_and(|it| !has_chance(it));
         let rank_of = |host: &Name| self.electorate.borrow().hosts.iter().position(|it| it == host);
-        if is_candidate && should_yield(rank_of(own), rank_of(other)) {
+        if is_candidate && should_yield(rank_of(own_host), rank_of(other)) {
             self.coordinator_seen_at.set(Some(now));
             self.resign();
         }
     }
 
-    fn count(&self, ballot: Ballot, now: Instant) {
+    fn count_ballot(&self, ballot: Ballot, now: Instant) {
         let electorate = self.electorate.borrow();
         let is_settled =
             electorate.since.is_some_and(|at| now.duration_since(at) >= STABLE_MEMBERS_FOR);
@@ -213,9 +213,9 @@
     }
 
     /// Returns a random voter other than this daemon, which may know the coordinator.
-    pub(super) fn random_voter(&self, own: &Name) -> Option<Name> {
+    pub(super) fn random_voter(&self, own_host: &Name) -> Option<Name> {
         let electorate = self.electorate.borrow();
-        let others: Vec<&Name> = electorate.hosts.iter().filter(|host| *host != own).collect();
+        let others: Vec<&Name> = electorate.hosts.iter().filter(|host| *host != own_host).collect();
         if others.is_empty() {
             return None;
         }
@@ -223,9 +223,9 @@
     }
 
     /// Returns the voters other than this daemon and their addresses.
-    fn others(&self, own: &Name) -> Vec<(Name, SocketAddr)> {
+    fn other_voters(&self, own_host: &Name) -> Vec<(Name, SocketAddr)> {
         let electorate = self.electorate.borrow();
-        let others = electorate.hosts.iter().filter(|host| *host != own);
+        let others = electorate.hosts.iter().filter(|host| *host != own_host);
         others.filter_map(|host| Some((host.clone(), *electorate.members.get(host)?))).collect()
     }
 
@@ -277,12 +277,12 @@
 
     fn should_campaign(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) -> bool {
         let limits = &self.limits;
-        let own = &self.settings.host;
+        let own_host = &self.settings.host;
         if self.is_stopping() && limits.is_coordinator(now) {
             limits.resign();
             self.release_voters(view, now);
         }
-        if self.is_stopping() || !view.is_member(now) || !view.members.contains_key(own) {
+        if self.is_stopping() || !view.is_member(now) || !view.members.contains_key(own_host) {
             limits.resign();
             limits.member_since.set(None);
             return false;
@@ -309,7 +309,7 @@
         if limits.no_campaign_until.get().is_some_and(|until| now < until) {
             return false;
         }
-        let rank = limits.electorate.borrow().hosts.iter().position(|host| host == own);
+        let rank = limits.electorate.borrow().hosts.iter().position(|host| host == own_host);
         let Some(rank) = rank else { return false };
         let (since, silence) = match limits.coordinator_seen_at.get() {
             Some(at) => (at, COORDINATOR_TIMEOUT),
@@ -324,29 +324,28 @@
         true
     }
 
-    /// Tells every voter that this daemon grants no more quota, so that a successor need not wait until its votes
+    /// Informs every voter that this daemon no longer grants quota, so that a successor need not wait until the votes
     /// expire. In a rolling restart each daemon may be the coordinator when it stops.
     fn release_voters(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
-        let own = &self.settings.host;
-        let host = own.clone();
+        let own_host = &self.settings.host;
         let request = VoteRequest {
-            host,
+            host: own_host.clone(),
             incarnation: self.limits.incarnation,
             is_coordinator: false,
             resigns: true,
         };
         self.limits.vote(&request, view, now);
-        for (host, address) in self.limits.others(own) {
+        for (host, address) in self.limits.other_voters(own_host) {
             self.ask_for_vote(host, address, &request, now);
         }
     }
 
     /// Asks every voter for its vote; the answers are counted as they arrive.
     fn ask_for_votes(self: &Rc<Self>, view: &Arc<ControlView>, now: Instant) {
-        let own = self.settings.host.clone();
+        let own_host = self.settings.host.clone();
         let is_coordinator = self.limits.is_coordinator(now);
         let request = VoteRequest {
-            host: own.clone(),
+            host: own_host.clone(),
             incarnation: self.limits.incarnation,
             is_coordinator,
             resigns: false,
@@ -357,8 +356,8 @@
             self.limits.resign();
             return;
         }
-        self.limits.count(Ballot { host: own.clone(), asked_at: now, vote }, now);
-        for (host, address) in self.limits.others(&own) {
+        self.limits.count_ballot(Ballot { host: own_host.clone(), asked_at: now, vote }, now);
+        for (host, address) in self.limits.other_voters(&own_host) {
             self.ask_for_vote(host, address, &request, now);
         }
     }
@@ -378,7 +377,7 @@
             let answered = link.call(request, asked_at + VOTE_TIMEOUT).await;
             if let Ok(RelayOutcome::Voted(vote)) = answered {
                 let ballot = Ballot { host, asked_at, vote: vote.vote() };
-                engine.limits.count(ballot, Instant::now());
+                engine.limits.count_ballot(ballot, Instant::now());
             }
         });
     }
