--- a/crates/proxy/src/serve/reachability.rs
+++ b/crates/proxy/src/serve/reachability.rs
@@ -21,16 +21,16 @@
     statement::ErrorCode,
 };
 
-/// How long reads must have been refused because replicas lag before it is reported to the control thread. Balances
+/// How long reads must have been refused because replicas lag before this is reported to the control thread. Balances
 /// the cost of a needless change of primary against that of further refusals.
 const BEHIND_REPORT_AFTER: Duration = Duration::from_millis(500);
-/// Refusals that are further apart are not counted as one period.
+/// Refusals that are further apart count as separate periods.
 const BEHIND_GAP: Duration = Duration::from_millis(1_000);
 /// Interval between two probes of an unreachable server.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// State of a running probe.
+/// State of a server that is being probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeState {
     Probing,
@@ -122,7 +122,7 @@
         matches!(opened, Ok(_) | Err(ConnectionLost::Refused(ErrorCode::TooManyConnections)))
     }
 
-    /// Records a read that was refused because replicas lag; reports it to the control thread if this lasts.
+    /// Records a read that was refused because replicas lag; reports to the control thread if such refusals persist.
     pub fn record_replicas_behind(&self, group: &Group<E>, service: &Name, primary: &Name) {
         if !group.pool.are_others_lagging(primary) {
             return;
@@ -152,17 +152,17 @@
         server: &Name,
         asked_at: Instant,
     ) {
-        let before = group.probes.borrow_mut().insert(server.clone(), ProbeState::Unreachable);
+        let previous = group.probes.borrow_mut().insert(server.clone(), ProbeState::Unreachable);
         group.pool.on_unreachable(server, asked_at);
         group.server_unreachable.notify_waiters();
-        if before != Some(ProbeState::Unreachable) {
+        if previous != Some(ProbeState::Unreachable) {
             log_reachability(service, server, false);
         }
         // Reported for each probe, since the control thread uses the time of the last one.
         self.observe(service, server, false, asked_at);
     }
 
-    /// Probes a server at once, because it was unreachable a while ago or another daemon suspects it.
+    /// Probes a server at once, because its last probe failed or another daemon suspects the server.
     pub(crate) fn probe_at_once(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
