--- a/crates/proxy/src/serve/health.rs
+++ b/crates/proxy/src/serve/health.rs
@@ -29,8 +29,8 @@
 }
 
 impl<C: CallerDialect, E: EndpointDialect> Engine<C, E> {
-    /// Returns whether a read may be sent to a server. A read that passes while the circuit is not closed is
-    /// recorded as a probe.
+    /// Returns whether a forwarded read may be sent to a server. A read that is admitted while the circuit is not
+    /// closed is recorded as a probe.
     pub(crate) fn admit_read(&self, group: &Group<E>, server: &Name) -> bool {
         let now = Instant::now();
         let may_pass = group.pool.with_server(server, |pooled| {
@@ -43,7 +43,7 @@
         may_pass.unwrap_or(true)
     }
 
-    /// Records the result of a statement that a caller of this daemon ran on one of its own connections.
+    /// Records the result of a statement that a caller of this daemon ran on one of this daemon's connections.
     pub(crate) fn record_own_health(
         &self,
         group: &Group<E>,
