--- a/crates/proxy/src/serve/outage.rs
+++ b/crates/proxy/src/serve/outage.rs
@@ -32,7 +32,7 @@
         QueuedStatement { outage: self, ticket: self.queue.borrow_mut().enqueue(rank) }
     }
 
-    /// Records that an outage of this kind is ongoing; a new one began at `began_at`.
+    /// Records that an outage of this kind is ongoing. If it was not known before, it began at `began_at`.
     pub(crate) fn observe(
         &self,
         outage: Outage,
@@ -55,6 +55,7 @@
 }
 
 impl QueuedStatement<'_> {
+    /// Returns how many held statements continue before this one.
     pub(crate) fn ahead(&self) -> u32 {
         self.outage.queue.borrow().ahead_of(self.ticket) as u32
     }
