--- a/crates/proxy/src/serve/verdict.rs
+++ b/crates/proxy/src/serve/verdict.rs
@@ -62,8 +62,8 @@
 
 /// Whether a write at `point` is known to be kept in the history of the primary of `term`.
 ///
-/// A history that does not include that term, as after a promotion known only from the servers, does not
-/// show where the write's own term ended.
+/// A history that does not include `term`, as after a promotion that this daemon learned of only from the servers, does
+/// not show where the write's own term ended.
 pub fn is_write_kept(point: Option<LogPoint>, term: Term, history: &TermHistory) -> bool {
     history.latest() == Some(term)
         && point.is_some_and(|point| history.write_status(point) == WriteStatus::Kept)
