--- a/crates/proxy/src/serve/transaction.rs
+++ b/crates/proxy/src/serve/transaction.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// What to do with the answer to a statement inside a transaction.
+/// What to do after a statement inside a transaction was answered.
 pub(crate) enum TransactionStep {
     /// Return the answer to the caller.
     Deliver,
@@ -157,7 +157,7 @@
         });
     }
 
-    /// Opens the transaction on a server. Returns an answer for the first statement if that fails.
+    /// Opens the transaction on a server. If that fails, returns the answer for the transaction's first statement.
     pub(crate) async fn open_transaction(
         self: &Rc<Self>,
         group: &Rc<Group<E>>,
@@ -181,7 +181,7 @@
             let sent_at = Instant::now();
             attempts.sent += 1;
             let server_route = assignment.connection.server_route();
-            // At an owner, the wait for a connection comes first.
+            // An owner first waits for a connection, within the same deadline.
             let has_queues = group.pool.has_queues();
             let max_wait =
                 if server_route.is_own { Duration::ZERO } else { job.max_wait(has_queues) };
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Whether a transaction opened at the primary may continue there. One that an owner opened may have waited
-    /// for longer than the primary lease under which it was sent.
+    /// Whether a transaction opened at the primary may continue there. Its begin may have waited at an owner for longer
+    /// than the primary lease under which it was sent.
     fn is_begin_valid(&self, job: &Job<'_>, assignment: &Assignment<E>) -> bool {
         assignment.leader.is_none()
             || assignment.connection.server_route().is_own
