--- a/crates/proxy/src/serve/job.rs
+++ b/crates/proxy/src/serve/job.rs
@@ -19,7 +19,7 @@
     statement::PreparedStatement,
 };
 
-/// Share of a statement's timeout after which it is refused if it could not be sent, also while a failed
+/// Share of a statement's timeout after which it is refused if it could not be sent, including while a failed
 /// primary is being replaced. An early refusal with a retry delay leaves the caller time for another attempt.
 const HOLD_SHARE: f64 = 0.1;
 /// The same during a planned change of the primary, which is short. Less than half, so that a caller with a
@@ -79,7 +79,7 @@
     pub route: &'a Arc<Route>,
     /// The values of its session.
     pub values: &'a SessionValues,
-    /// The point of the session's latest own write.
+    /// The log point of the session's latest write.
     pub own_point: Option<LogPoint>,
     /// When it arrived.
     pub arrived: Instant,
@@ -119,7 +119,7 @@
         Rank::of_priority(self.route.priority)
     }
 
-    /// Returns the time limits within which it may be held.
+    /// Returns the time limits within which the statement may be held.
     pub(crate) fn hold_limits(&self) -> HoldLimits {
         HoldLimits {
             arrived: self.arrived,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns the time limits from which its retry delay is computed if it is refused.
+    /// Returns the time limits from which the retry delay is computed if the statement is refused.
     pub(crate) fn retry_delay(&self) -> RetryDelay {
         RetryDelay { target: self.route.target_latency, timeout: self.route.timeout }
     }
