--- a/crates/proxy/src/serve/placement.rs
+++ b/crates/proxy/src/serve/placement.rs
@@ -32,7 +32,7 @@
 
 /// Returns where a statement, or the transaction that it opens, may run.
 ///
-/// `own_point` is the point of the session's latest own write. A point of an ended term is clamped to the end of
+/// `own_point` is the log point of the session's latest write. A point of an ended term is clamped to the end of
 /// that term, since entries beyond it were rolled back and no log holds them.
 pub fn placement_for(
     rule: ReadRule,
