--- a/crates/proxy/src/relay/link.rs
+++ b/crates/proxy/src/relay/link.rs
@@ -38,11 +38,11 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 const OUTGOING_CAPACITY: usize = 512;
 
-/// How long after its wait for a connection the owner may still start a request. Covers the way there and
+/// How long after its wait for a connection the owner may still start a request. Covers the network delay and
 /// scheduling on a busy host.
 const START_SLACK: Duration = Duration::from_millis(150);
 
-/// Why a request got no outcome: how far it had come, and what was lost.
+/// Why a request got no outcome: how far it had progressed, and what was lost.
 pub type CallError = (Progress, ConnectionLost);
 
 /// A request that waits for its answer: the receiver, the server that runs it, and the time until which the owner
@@ -100,7 +100,7 @@
         self.owner
     }
 
-    /// Whether the link was ever connected; it may be down by now.
+    /// Whether the link was ever connected; it may have ended since.
     pub fn is_connected(&self) -> bool {
         self.is_connected.get()
     }
@@ -122,9 +122,9 @@
 
     /// Sends a request to the owner and waits for the outcome until `deadline`.
     ///
-    /// An owner that is taken for dead may only be frozen, and read the request when it resumes. So each request
+    /// An owner that counts as dead may only be frozen, and may read the request when it resumes. So each request
     /// carries a start deadline by the owner's clock, and the loss of a write is reported only after that deadline.
-    /// A write in doubt then can't take effect after a later one.
+    /// A write in doubt then can't take effect after a later write of the caller.
     pub async fn call(
         &self,
         request: RelayRequest,
@@ -169,7 +169,7 @@
 
     /// Sends a request that has no answer.
     pub fn send(&self, request: RelayRequest) {
-        // Without room in the queue the link is closed, and the owner cancels everything that it got over it.
+        // If the queue is full, the link is closed, and the owner cancels all open requests of the link.
         if self.outgoing.try_send(request).is_err() {
             self.is_down.set(true);
         }
@@ -185,7 +185,7 @@
             Ok(Ok((frames, clock_ms))) => {
                 self.clock.set(Some((clock_ms, Instant::now())));
                 self.is_connected.set(true);
-                self.carry(frames, requests).await
+                self.transfer(frames, requests).await
             }
             Ok(Err(error)) => error.to_string(),
             Err(_) => "connect timed out".to_owned(),
@@ -198,17 +198,17 @@
             "the link to an owner of connections ended"
         );
         for pending in waiting.into_values() {
-            // The receiver may be gone.
+            // The request may have been cancelled.
             let _ = pending.answer.send(None);
         }
     }
 
-    /// Transfers requests and answers until the link fails; returns why.
-    async fn carry(&self, frames: Frames, requests: flume::Receiver<RelayRequest>) -> String {
+    /// Transfers requests and answers until the link fails; returns the reason.
+    async fn transfer(&self, frames: Frames, requests: flume::Receiver<RelayRequest>) -> String {
         let (mut sink, mut stream) = frames.split();
         let mut received_at = Instant::now();
-        // Whether a request was sent since data last arrived, even if nobody waits for its answer any more.
-        let mut is_answer_owed = false;
+        // Whether a request was sent since data last arrived, even if it was cancelled in the meantime.
+        let mut is_answer_due = false;
         let mut check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
         loop {
             if self.is_down() {
@@ -218,11 +218,11 @@
             tokio::select! {
                 request = requests.recv_async() => {
                     let Ok(request) = request else { return "this daemon is stopping".to_owned() };
-                    if !is_answer_owed && self.is_only_pending(request.number) {
+                    if !is_answer_due && self.is_only_pending(request.number) {
                         // The time without data is measured from the first outstanding request.
                         received_at = Instant::now();
                     }
-                    is_answer_owed |= self.waiting.borrow().contains_key(&request.number);
+                    is_answer_due |= self.waiting.borrow().contains_key(&request.number);
                     let written = async {
                         sink.feed(encoded(&self.with_start_deadline(request))).await?;
                         while let Ok(more) = requests.try_recv() {
@@ -239,7 +239,7 @@
                 frame = stream.next() => {
                     received_at = Instant::now();
                     self.pinged_at.set(None);
-                    is_answer_owed = false;
+                    is_answer_due = false;
                     match frame.map(|frame| frame.map(|it| RelayAnswer::decode(it.freeze()))) {
                         Some(Ok(Ok(answer))) => self.on_answer(answer),
                         Some(Ok(Err(error))) => return error.to_string(),
@@ -247,8 +247,8 @@
                         None => return "closed by the owner".to_owned(),
                     }
                 }
-                // A fixed time, so that a flow of new requests can't delay the check.
-                () = tokio::time::sleep_until(check_at.into()), if is_waiting || is_answer_owed => {
+                // At a fixed time, so that a stream of new requests can't delay the check.
+                () = tokio::time::sleep_until(check_at.into()), if is_waiting || is_answer_due => {
                     check_at = Instant::now() + LIVENESS_CHECK_INTERVAL;
                     match check_liveness(received_at, self.pinged_at.get(), Instant::now()) {
                         LivenessAction::Wait => {}
@@ -277,8 +277,8 @@
         waiting.len() == 1 && waiting.contains_key(&number)
     }
 
-    /// Sets the start deadline of a request by the owner's clock. The clock was read before it was received here,
-    /// so the deadline is never later than the one that this daemon waits for.
+    /// Sets the start deadline of a request by the owner's clock. The owner read the clock before this daemon received
+    /// the value, so the deadline is never later than the one that this daemon waits for.
     fn with_start_deadline(&self, request: RelayRequest) -> RelayRequest {
         let start_until = self.waiting.borrow().get(&request.number).map(|it| it.start_until);
         let start_deadline_ms = match (self.clock.get(), start_until) {
@@ -299,7 +299,7 @@
             self.loads.borrow_mut().insert(pending.server, report);
         }
         if let Some(outcome) = answer.outcome {
-            // The receiver may be gone.
+            // The request may have been cancelled.
             let _ = pending.answer.send(Some(outcome));
         }
     }
@@ -326,7 +326,7 @@
 /// What to do about an owner that sends nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessAction {
-    /// Nothing yet.
+    /// Do nothing until the next check.
     Wait,
     /// Send a ping.
     Ping,
