--- a/crates/proxy/src/relay/links.rs
+++ b/crates/proxy/src/relay/links.rs
@@ -15,13 +15,13 @@
 const AVOID_FOR: Duration = Duration::from_millis(1_000);
 /// Delay of the first reconnect after a link was lost. Doubles with each failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(125);
-/// Maximum delay between two reconnects. A try costs one packet, and callers retry within a second.
+/// Maximum delay between two reconnects. An attempt costs one packet, and callers retry within a second.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// The links, by the owner's address.
 ///
-/// Requests wait for the first connection of a link. A lost link is reconnected before it gets requests again, so
-/// an unreachable owner delays only the first ones.
+/// Requests wait for the first connection of a link. With `reconnects_first` a lost link is reconnected before it gets
+/// requests again, so that an unreachable owner delays only the first requests.
 pub struct RelayLinks {
     owners: RefCell<HashMap<SocketAddr, OwnerLink>>,
     reconnects_first: bool,
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct OwnerLink {
     link: Option<Rc<RelayLink>>,
-    /// Failed tries since the link was last connected.
+    /// Failed attempts since the link was last connected.
     failures: u32,
     avoid_until: Option<Instant>,
 }
@@ -43,7 +43,7 @@
         RelayLinks { owners: RefCell::default(), reconnects_first }
     }
 
-    /// Returns the link to the first usable owner; prefers one that does not delay its answer to a ping. `None` if
+    /// Returns the link to the first usable owner; prefers owners whose answer to a ping is not overdue. `None` if
     /// no owner is usable.
     pub fn first_usable(
         &self,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Returns the link to a member for a request that no other one can answer, such as a vote request. Members are
-    /// never avoided: after a partition the limit coordinator needs the votes of a majority at once.
+    /// Returns the link to a member for a request that no other member can answer, such as a vote request. Such links
+    /// are never avoided: after a partition the limit coordinator needs the votes of a majority at once.
     pub fn member_link(&self, member: SocketAddr, now: Instant) -> Rc<RelayLink> {
         let mut owners = self.owners.borrow_mut();
         let state = owners.entry(member).or_default();
