--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -24,7 +24,7 @@
     statement::Answer,
 };
 
-/// What the owner is told about a statement besides its task.
+/// The properties of a statement, besides its task, that are sent to the owner.
 #[derive(Clone, Debug)]
 pub struct LeaseOptions {
     /// The service of the server.
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Ends the lease with nothing open, so that the owner can reuse the connection.
+    /// Ends the lease without an open transaction, so that the owner can reuse the connection.
     pub fn release(mut self) {
         self.end(true);
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Rounds down, so that a request never gets more time than it has.
+/// Converts to whole milliseconds. Rounds down, so that the owner never gets more time than is left.
 fn millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
