--- a/crates/proxy/src/relay/load_messages.rs
+++ b/crates/proxy/src/relay/load_messages.rs
@@ -8,7 +8,7 @@
 /// The load of a server, as reported by its owner.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadMessage {
-    /// Expected wait of a statement in microseconds, by priority, the most urgent first.
+    /// Expected wait of a statement in microseconds, by rank, the most urgent first.
     #[prost(uint32, repeated, tag = "1")]
     pub waits_us: Vec<u32>,
     /// Statements that the server runs now.
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Converts the message to a report. Priorities that it does not list get the wait of the last one.
+    /// Converts the message to a report. Ranks that it does not list get the wait of the last listed one.
     pub fn aged_report(&self, now: Instant) -> AgedReport {
         let mut waits = [Duration::ZERO; RANKS];
         let listed =
