--- a/crates/proxy/src/relay/messages.rs
+++ b/crates/proxy/src/relay/messages.rs
@@ -55,13 +55,13 @@
     /// How long the sender waits for the answer, in milliseconds.
     #[prost(uint64, tag = "9")]
     pub answer_timeout_ms: u64,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     #[prost(uint32, tag = "10")]
     pub priority: u32,
     /// Whether the sender regards the server as the primary.
     #[prost(bool, tag = "11")]
     pub at_primary: bool,
-    /// Whether it yields to statements that only the primary can run.
+    /// Whether it yields capacity of the primary to statements that only the primary can run.
     #[prost(bool, tag = "12")]
     pub yields: bool,
     /// Until when the owner may start it, by the owner's clock as sent in its answers, in milliseconds.
@@ -70,14 +70,14 @@
     /// The client account that it runs for; empty for none.
     #[prost(string, tag = "24")]
     pub account: String,
-    /// How often the operation was sent to a server or an owner before, by all daemons.
+    /// How many times the operation was sent to a server or an owner before, by all daemons.
     #[prost(uint32, tag = "27")]
     pub previous_attempts: u32,
-    /// Whether the sender knows no other server that could run it, so that it runs even if the circuit breaker is
-    /// open.
+    /// Whether the sender knows no other server that could run it. The owner then runs it even if its circuit breaker
+    /// for the server is open.
     #[prost(bool, tag = "31")]
     pub last_resort: bool,
-    /// The task; `None` if it is of a version that this daemon does not know.
+    /// The task; `None` if this daemon's version does not know it.
     #[prost(oneof = "RelayTask", tags = "13, 14, 15, 16, 17, 18, 19, 20, 21, 23, 25, 26")]
     pub task: Option<RelayTask>,
 }
@@ -111,7 +111,7 @@
     /// the same number.
     #[prost(bool, tag = "20")]
     Release(bool),
-    /// Answer at once, to show that the owner is alive.
+    /// Answer immediately, which shows that the owner is alive.
     #[prost(bool, tag = "21")]
     Ping(bool),
     /// Return a sample of the primary's log point that is at most this many milliseconds old.
