--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -57,7 +57,7 @@
 }
 
 impl OpenRequests {
-    /// Cancels a request or ends a transaction; what is waiting does not start any more.
+    /// Cancels a single statement or ends a transaction; a statement that still waits is not started.
     fn cancel(&self, request: RelayRequest) {
         if request.transaction == 0 {
             if let Some(single) = self.statements.borrow_mut().remove(&request.number) {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Serves the requests of another daemon until its link ends, and then rolls back what is open.
+/// Serves the requests of another daemon until its link ends, and then rolls back its open transactions.
 pub async fn serve_relay<C: CallerDialect, E: EndpointDialect>(
     engine: Rc<Engine<C, E>>,
     link: AcceptedLink,
@@ -100,7 +100,7 @@
                 log::warn!(event = "peer_garbled"; "could not parse a request of another daemon");
                 return;
             };
-            if start(&engine, request, &open, &answers).await.is_err() {
+            if start_request(&engine, request, &open, &answers).await.is_err() {
                 return;
             }
         }
@@ -131,14 +131,15 @@
 
 struct LinkEnded;
 
-async fn start<C: CallerDialect, E: EndpointDialect>(
+/// Starts a request, or answers it immediately if it needs no connection.
+async fn start_request<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     request: RelayRequest,
     open: &Rc<OpenRequests>,
     answers: &flume::Sender<RelayAnswer>,
 ) -> Result<(), LinkEnded> {
     let (transaction, number) = (request.transaction, request.number);
-    let at_once = match &request.task {
+    let immediate = match &request.task {
         Some(RelayTask::Ping(_)) => Some(RelayOutcome::Pong(true)),
         Some(RelayTask::Vote(message)) => {
             Some(RelayOutcome::Voted(engine.vote(&message.request()).into()))
@@ -198,7 +199,7 @@
         }
         None => Some(not_sent(NotSent::Unwilling)),
     };
-    let Some(outcome) = at_once else { return Ok(()) };
+    let Some(outcome) = immediate else { return Ok(()) };
     answers.send_async(answer_to(number, outcome)).await.map_err(|_| LinkEnded)
 }
 
@@ -248,7 +249,7 @@
     match state {
         Some(TransactionState::Idle) => connection.release(),
         Some(_) => engine.roll_back(connection),
-        // Closing the connection rolls back what is open.
+        // Closing the connection rolls back an open transaction.
         None => drop(connection),
     }
     outcome
@@ -263,13 +264,15 @@
 ) {
     let mut connection: Option<PooledConnection<E>> = None;
     loop {
-        let rest = engine.control_view().catalog.idle_transaction_timeout;
-        let request = match rest {
-            Some(rest) => match tokio::time::timeout(rest * 2, requests.recv_async()).await {
-                Ok(request) => request,
-                // The sender ends an idle transaction after half of this time, so it must be gone.
-                Err(_) => break,
-            },
+        let idle_timeout = engine.control_view().catalog.idle_transaction_timeout;
+        let request = match idle_timeout {
+            Some(idle_timeout) => {
+                match tokio::time::timeout(idle_timeout * 2, requests.recv_async()).await {
+                    Ok(request) => request,
+                    // The sender ends an idle transaction after half of this time, so the sender must be gone.
+                    Err(_) => break,
+                }
+            }
             None => requests.recv_async().await,
         };
         let Ok(request) = request else { break };
@@ -338,16 +341,16 @@
     if request.is_past_start_deadline(engine.clock_ms()) { Err(NotSent::TooLate) } else { Ok(()) }
 }
 
-/// Waits until this daemon knows the servers. After a common start other daemons may know before it does that it
-/// owns their connections.
+/// Waits until this daemon has the list of servers. When all daemons start together, other daemons may learn that this
+/// one owns a server's connections before this one does.
 async fn await_servers<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     until: Instant,
 ) {
     let mut view = engine.control_view.clone();
-    let known = view.wait_for(|view| view.is_ready());
+    let ready = view.wait_for(|view| view.is_ready());
     // After a timeout the pool refuses the request.
-    let _ = tokio::time::timeout_at(until.into(), known).await;
+    let _ = tokio::time::timeout_at(until.into(), ready).await;
 }
 
 fn group_of<C: CallerDialect, E: EndpointDialect>(
@@ -398,8 +401,8 @@
     })
 }
 
-/// Runs the task. Returns the outcome and the transaction state of the connection, `None` if the connection can't
-/// be used any more.
+/// Runs the task. Returns the outcome and the transaction state of the connection; the state is `None` if the
+/// connection can no longer be used.
 async fn run<C: CallerDialect, E: EndpointDialect>(
     engine: &Rc<Engine<C, E>>,
     group: &Rc<Group<E>>,
