--- a/crates/proxy/src/relay/sampling.rs
+++ b/crates/proxy/src/relay/sampling.rs
@@ -1,8 +1,8 @@
 //! Samples of a primary's log point, shared by the owner of its connections in the zone.
 //!
 //! A bounded stale read may run at any server once a recent log point of the primary is known. After a start no
-//! daemon knows one, and the first reads of all daemons would overload the primary. So they ask the owner, which
-//! sends one of them to the primary and lets the others wait for its result. See `docs/PLATFORM.md`, "Owned
+//! daemon knows one, and the first reads of all daemons would overload the primary. So the daemons ask the owner, which
+//! lets one of them read at the primary while the others wait for its result. See `docs/PLATFORM.md`, "Owned
 //! connections".
 
 use std::time::{Duration, Instant};
@@ -22,12 +22,12 @@
     },
 };
 
-/// How long a sample request may wait at the owner: a read at a busy primary. Without a sample the read goes to the
-/// primary and needs the rest of its target latency.
+/// How long a sample request may wait at the owner: about as long as a read at a busy primary takes. Without a sample
+/// the read goes to the primary and needs the rest of its target latency.
 const OWNER_WAIT: Duration = Duration::from_millis(60);
 /// How long the requesting daemon waits for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
-/// How long the owner waits for the daemon that it sent to the primary before it sends another one.
+/// How long the owner waits for the result of a daemon's read at the primary before it lets another daemon read there.
 pub const SAMPLING_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// What an owner does about a sample request.
@@ -35,9 +35,9 @@
 pub enum SampleStep {
     /// Return this sample: when it was requested from the primary, and the log point.
     Return(Instant, LogPoint),
-    /// Send the requesting daemon to the primary.
+    /// Let the requesting daemon read at the primary.
     ReadPrimary,
-    /// Wait for the result of the daemon that was sent to the primary.
+    /// Wait for the result of a daemon that reads at the primary.
     Wait,
 }
 
@@ -62,8 +62,8 @@
 
 /// Requests a sample of the primary's log point that is at most `max_age` old from the owner of its connections.
 ///
-/// The sample's time is the send time of this request minus the age in the answer. The answer was made later, so
-/// the sample never seems younger than it is.
+/// The sample's time is the send time of this request minus the age in the answer. The owner computed the age after
+/// that, so the sample never seems younger than it is.
 pub(crate) async fn request_sample(
     link: &RelayLink,
     service: &Name,
@@ -87,8 +87,8 @@
     Some((asked_at, sampled))
 }
 
-/// Answers a sample request: with a recent sample, or by sending the requesting daemon to the primary, or with the
-/// result of a daemon that was sent there before.
+/// Answers a sample request with a recent sample, after waiting for one if another daemon is reading at the primary.
+/// Otherwise the answer has no sample, and the requesting daemon reads at the primary.
 pub(crate) async fn answer_sample<C: CallerDialect, E: EndpointDialect>(
     group: &Group<E>,
     engine: &Engine<C, E>,
@@ -138,7 +138,7 @@
         true
     }
 
-    /// Keeps the sample from a forwarded statement, if the server is the primary by this daemon's own view.
+    /// Stores the sample from a forwarded statement, if this daemon also regards the server as the primary.
     pub(crate) fn record_forwarded_sample(
         &self,
         group: &Group<E>,
