--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -139,7 +139,7 @@
 }
 
 mod link {
-    //! A link to an owner that answers, is slow, closes, freezes or is not there.
+    //! A link to an owner that answers, is slow, closes the link, freezes or is unreachable.
 
     use std::net::SocketAddr;
 
@@ -238,8 +238,8 @@
         });
     }
 
-    /// Guards against a frozen owner that runs a write after its caller was told that the outcome is unknown and
-    /// wrote again.
+    /// Guards against a frozen owner that runs a write after its caller received the error that the outcome is unknown
+    /// and wrote again.
     #[test]
     fn a_lost_write_is_not_reported_while_the_owner_may_still_start_it() {
         run(async {
@@ -292,7 +292,7 @@
                 frames = accept(&listener) => frames,
                 _ = &mut call => panic!("no answer was sent"),
             };
-            // Reads everything and sends nothing.
+            // The owner reads everything and sends nothing.
             let frozen = async {
                 while frames.next().await.is_some() {}
                 std::future::pending().await
@@ -305,7 +305,7 @@
         });
     }
 
-    /// Guards against statements of departed callers in the owner's queue.
+    /// Guards against statements of disconnected callers in the owner's queue.
     #[test]
     fn an_abandoned_request_is_cancelled() {
         run(async {
@@ -382,7 +382,7 @@
                 let mut frames = accept(&listener).await;
                 let first = read(&mut frames).await.number;
                 let second = read(&mut frames).await.number;
-                // Answers several pings.
+                // The owner answers several pings.
                 for _ in 0..3 {
                     let ping = read(&mut frames).await;
                     assert_eq!(ping.task, Some(RelayTask::Ping(true)));
@@ -411,7 +411,7 @@
             let first = links.first_usable([address], start).unwrap();
             drop(accept_only(&listener).await);
             until_down(&first).await;
-            // The owner is avoided at first, and then reconnected without requests.
+            // The owner is avoided at first; then its link is reconnected without requests.
             assert!(links.first_usable([address], start).is_none());
             let later = start + Duration::from_secs(60);
             assert!(links.first_usable([address], later).is_none());
@@ -433,7 +433,7 @@
         });
     }
 
-    /// Guards against requests that wait for an owner that is gone while the second one is available.
+    /// Guards against requests that wait for a dead owner while the second owner is available.
     #[test]
     fn the_second_owner_is_used_while_the_link_to_the_first_is_lost() {
         run(async {
