--- a/crates/proxy/tests/contradiction.rs
+++ b/crates/proxy/tests/contradiction.rs
@@ -39,7 +39,7 @@
             Some(Contradiction::BehindSample),
         ),
     ];
-    for (name, known, shown, expected) in cases {
-        assert_eq!(find_contradiction(&leader, known, shown), expected, "{name}");
+    for (name, known, returned, expected) in cases {
+        assert_eq!(find_contradiction(&leader, known, returned), expected, "{name}");
     }
 }
