--- a/crates/proxy/tests/replay.rs
+++ b/crates/proxy/tests/replay.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn only_what_is_missing_is_sent() {
+fn only_missing_values_are_sent() {
     let mut environment = Environment::default();
     let one = values(&[("a", "1")]);
     let two = values(&[("a", "1"), ("b", "2")]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_connection_with_too_many_shapes_is_reset() {
+fn a_connection_with_too_many_prepared_statements_is_reset() {
     let mut environment = Environment::default();
     for number in 0..MAX_PREPARED {
         let sent = environment.prepare_for(&values(&[]), Some(&statement(&format!("q{number}"))));
