--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -48,9 +48,9 @@
     waiter
 }
 
-/// Guards against statements of a daemon whose link has ended.
+/// Guards against statements that stay in the queue after their daemon's link has ended.
 #[test]
-fn a_cancelled_waiter_is_removed_and_blocks_nobody() {
+fn a_cancelled_waiter_is_removed_and_blocks_no_other() {
     run(async {
         let queue = queue();
         let permit = begin(&queue).await;
