--- a/crates/proxy/tests/sampling.rs
+++ b/crates/proxy/tests/sampling.rs
@@ -1,4 +1,4 @@
-//! Which first reads of a zone go to the primary for a sample of its log point.
+//! Tests which of a zone's first reads go to the primary for a sample of its log point.
 //!
 //! Guards against an overload of the primary after a common restart, when all daemons of a zone have no sample and
 //! receive reads at the same time.
@@ -36,14 +36,14 @@
 }
 
 impl Owner {
-    fn request_sample(&mut self, now: Instant, answers: bool) {
+    fn request_sample(&mut self, now: Instant, primary_answers: bool) {
         match next_sample_step(self.latest, MAX_AGE, self.sampling_until, now) {
             SampleStep::Return(..) => self.returned += 1,
             SampleStep::Wait => self.waiting += 1,
             SampleStep::ReadPrimary => {
                 self.sent_to_primary += 1;
                 self.sampling_until = Some(now + SAMPLING_TIMEOUT);
-                if answers {
+                if primary_answers {
                     self.running.push((now + ms(READ_MS), now));
                 }
             }
@@ -79,7 +79,7 @@
     assert_eq!((owner.sent_to_primary, owner.returned, owner.waiting), (1, DAEMONS - 1, 0));
 }
 
-/// The daemon that was sent to the primary may have died, or the primary may not answer; then another one is sent.
+/// The daemon that reads at the primary may have died, or the primary may not answer; then another daemon reads.
 #[test]
 fn a_primary_that_does_not_answer_is_read_again_after_a_timeout() {
     let owner = first_reads(false);
