--- a/crates/proxy/tests/shares.rs
+++ b/crates/proxy/tests/shares.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// A connection serves one account only, so one owner has all connections of a server. Part of them stays free for
-/// those of its former incarnation and for commands.
+/// A connection serves one account only, so one owner has all connections of a server. Part of them stays unused for
+/// the connections of the owner's previous incarnation and for commands.
 #[test]
 fn with_accounts_one_owner_has_most_of_a_servers_connections() {
     let counts = DaemonCounts { daemons: 71, in_zone: 25, zones: 3 };
