--- a/crates/proxy/tests/leadership_model.rs
+++ b/crates/proxy/tests/leadership_model.rs
@@ -33,7 +33,7 @@
     sent_at_ms: u64,
     /// From sending the request to its processing.
     request_delay_ms: u64,
-    /// From there until the daemon handles the response; longer if the daemon is frozen.
+    /// From the processing until the daemon handles the response; longer if the daemon is frozen.
     response_delay_ms: u64,
 }
 
@@ -60,7 +60,7 @@
 struct AfterOrder {
     /// When the promoter resumes it, after the order.
     resumed_after_ms: u64,
-    /// When it learns of the new primary, after the order; `None` if it can't reach that one.
+    /// When it learns of the new primary, after the order; `None` if it can't reach the new primary.
     learns_after_ms: Option<u64>,
 }
 
@@ -72,7 +72,7 @@
     member_until_ms: u64,
     /// When it learns of the change and drops its lease; `None` while it is disconnected.
     learns_after_ms: Option<u64>,
-    /// From then until the promoter sees its acknowledgement.
+    /// From learning of the change until the promoter sees the acknowledgement.
     acknowledge_delay_ms: u64,
 }
 
@@ -81,9 +81,9 @@
     daemons: Vec<Daemon>,
     /// When each server is stopped, after the record; `None` if the promoter can't reach it.
     stops_after_ms: Vec<Option<u64>>,
-    /// From a stop until the promoter knows of it.
+    /// From a stop until the promoter receives the reply to it.
     stop_reply_delay_ms: u64,
-    /// From the record's effect until the promoter knows of it.
+    /// From the record's effect until the promoter receives the reply to its write.
     record_reply_delay_ms: u64,
     after_order: Vec<AfterOrder>,
 }
@@ -184,7 +184,7 @@
 }
 
 impl Case {
-    /// When the promotion is ordered; `None` if the promoter never gets that far.
+    /// When the promotion is ordered; `None` if the promoter can't stop enough servers.
     fn ordered_at_ms(&self, defect: Defect) -> Option<u64> {
         let base = Instant::now();
         let at = |ms: u64| base + Duration::from_millis(ms);
