--- a/crates/proxy/tests/samples_model.rs
+++ b/crates/proxy/tests/samples_model.rs
@@ -2,10 +2,10 @@
 //!
 //! The messages and conversions are the engine's own; the daemons, their clocks and the delays are modelled.
 //! Invariant: a sample never counts as younger than its request to the primary, since a read that relies on it must
-//! see everything acknowledged before. The test must detect the deliberate faults.
+//! see everything that was acknowledged before. The test must detect the injected faults.
 //!
-//! Not covered: how a promotion affects a sample (`reads.rs` and `history_model.rs`), and which sample is sent to
-//! whom.
+//! Not covered: how a promotion affects a sample (`reads.rs` and `history_model.rs`), and which daemon is sent which
+//! sample.
 
 use std::{
     collections::HashMap,
@@ -34,13 +34,13 @@
 enum Event {
     /// A daemon requests a sample from the primary.
     Sample(usize),
-    /// One daemon sends a request to another; each part takes this long, in milliseconds.
+    /// One daemon sends a request to another one; with the delays of the request, at the receiver and of the answer.
     Request {
         sender: usize,
         receiver: usize,
-        there_ms: u64,
+        request_delay_ms: u64,
         held_ms: u64,
-        back_ms: u64,
+        answer_delay_ms: u64,
     },
     Restart(usize),
     /// Time passes, in milliseconds.
@@ -67,12 +67,12 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let request = (0..DAEMONS, 1..DAEMONS, 0_u64..400, 0_u64..900, 0_u64..2_000).prop_map(
-        |(sender, distance, there_ms, held_ms, back_ms)| Event::Request {
+        |(sender, distance, request_delay_ms, held_ms, answer_delay_ms)| Event::Request {
             sender,
             receiver: (sender + distance) % DAEMONS,
-            there_ms,
+            request_delay_ms,
             held_ms,
-            back_ms,
+            answer_delay_ms,
         },
     );
     prop_oneof![
@@ -130,14 +130,14 @@
                 let point = LogPoint::new(1, self.asked_at.len() as u64);
                 self.keep(*daemon, PrimarySample { asked_at, point });
             }
-            Event::Request { sender, receiver, there_ms, held_ms, back_ms } => {
+            Event::Request { sender, receiver, request_delay_ms, held_ms, answer_delay_ms } => {
                 let (request, sent_at) = self.request(*sender, *receiver, fault);
-                self.pass(*there_ms);
+                self.pass(*request_delay_ms);
                 let received_at = self.now();
                 self.take_request(*receiver, &request, received_at);
                 self.pass(*held_ms);
                 let mut answer = self.answer(*receiver, received_at);
-                self.pass(*back_ms);
+                self.pass(*answer_delay_ms);
                 let counts_from = match fault {
                     Fault::FromArrival => self.now(),
                     _ => sent_at,
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn deliberate_faults_are_detected() {
+fn every_injected_fault_is_detected() {
     for fault in [Fault::FromArrival, Fault::IgnoredIncarnation] {
         assert!(run(fault).is_err(), "{fault:?} was not detected");
     }
