--- a/crates/proxy/tests/restore_model.rs
+++ b/crates/proxy/tests/restore_model.rs
@@ -21,7 +21,7 @@
 
 const DAEMONS: usize = 3;
 const SERVERS: usize = 3;
-/// How long a group must not be changed after a restore, so that earlier orders have taken effect.
+/// How long a group must not be changed after a restore, so that orders from before the restore have taken effect.
 const SETTLES_MS: u64 = 4_000;
 /// The longest delay between the confirmation of the promoter key and the effect of an order.
 const ORDER_DELAY_MS: u64 = 3_500;
@@ -55,7 +55,7 @@
         server: usize,
         order_delay_ms: u64,
     },
-    /// The same, but the write is applied only at [`Event::ApplyDelayedWrite`], and its result is lost.
+    /// Like `Act`, but the write is applied only at [`Event::ApplyDelayedWrite`], and its result is lost.
     ActWithoutReply {
         daemon: usize,
         server: usize,
