--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -27,11 +27,11 @@
         ("the first of all", &all[..], "a-1", None),
         ("the second of its zone", &all, "a-2", Some("a-1")),
         ("the first of another zone", &all, "b-3", Some("a-1")),
-        ("the second there", &all, "b-4", Some("b-3")),
+        ("the second of another zone", &all, "b-4", Some("b-3")),
         ("alone in its zone", &all, "c-5", Some("a-1")),
         ("the first is silent", &all[1..], "b-3", Some("a-2")),
         ("the first of its zone is silent", &["a-1", "b-4"][..], "b-4", Some("a-1")),
-        ("the only one left", &["c-5"][..], "c-5", None),
+        ("the only member", &["c-5"][..], "c-5", None),
         ("later daemons are never followed", &["b-3", "b-4"][..], "b-3", None),
     ];
     for (name, known, host, expected) in cases {
