--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_answer_to_a_held_request_is_never_dated_too_late() {
+fn contents_of_a_delayed_answer_never_look_younger_than_they_are() {
     let base = Instant::now() + ms(10_000);
     // Sent at 0 ms, received at 40 ms, answered at 540 ms, and received back at any later time.
     let (sent_at, received_at, made_at) = (base, base + ms(40), base + ms(540));
@@ -168,16 +168,16 @@
         samples: sample.to_message_since(&service, answered_at).into_iter().collect(),
         ..FollowRequest::default()
     };
-    // To the upstream: the request takes any time.
+    // The sample is sent to the upstream; the request may take any time.
     let received_at = base + ms(2_500);
-    let here = request.local_samples(9, epoch, received_at);
-    assert_eq!(here.len(), 1);
-    assert_eq!(here[0].1.point, point);
-    assert!(here[0].1.asked_at <= taken_at && here[0].1.asked_at >= taken_at - ms(71));
-    // To a third daemon, whose request was sent at 2,400 ms and held for 200 ms.
+    let received = request.local_samples(9, epoch, received_at);
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].1.point, point);
+    assert!(received[0].1.asked_at <= taken_at && received[0].1.asked_at >= taken_at - ms(71));
+    // The upstream sends it to a third daemon, whose request was sent at 2,400 ms and held for 200 ms.
     let mut answer = FollowAnswer {
         held_ms: 200,
-        samples: vec![here[0].1.to_message(&service, base + ms(2_650))],
+        samples: vec![received[0].1.to_message(&service, base + ms(2_650))],
         ..FollowAnswer::default()
     };
     let contents = answer.take_contents(base + ms(2_400));
@@ -197,17 +197,17 @@
         "taken before the answer came"
     );
     let message = sample.to_message_since(&service, base).unwrap();
-    let request = |received| FollowRequest {
-        last_clock: received,
+    let request = |last_clock| FollowRequest {
+        last_clock,
         samples: vec![message.clone()],
         ..FollowRequest::default()
     };
     let now = base + ms(500);
-    let here = |received| request(received).local_samples(7, base, now).len();
-    assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 0 })), 1);
-    assert_eq!(here(Some(ClockMessage { incarnation: 8, at_ms: 0 })), 0, "another incarnation");
-    assert_eq!(here(Some(ClockMessage { incarnation: 7, at_ms: 450 })), 0, "a time in the future");
-    assert_eq!(here(None), 0);
+    let dated = |last_clock| request(last_clock).local_samples(7, base, now).len();
+    assert_eq!(dated(Some(ClockMessage { incarnation: 7, at_ms: 0 })), 1);
+    assert_eq!(dated(Some(ClockMessage { incarnation: 8, at_ms: 0 })), 0, "another incarnation");
+    assert_eq!(dated(Some(ClockMessage { incarnation: 7, at_ms: 450 })), 0, "a time in the future");
+    assert_eq!(dated(None), 0);
 }
 
 #[test]
