--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -117,7 +117,8 @@
 #[test]
 fn changes_that_are_arriving_are_not_read_from_the_store() {
     let cases = [
-        // Behind for, follows an upstream, receiving for; reads the store.
+        // Time behind in ms, whether it has an upstream, time since changes began to arrive; whether it reads the
+        // store.
         (800, false, None, false),
         (1_000, false, None, true),
         (1_000, true, None, false),
