--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -321,7 +321,7 @@
     assert!(servers.put("k/a", entry("a", false)), "the entry is back");
     assert_eq!(servers.expire(grace, now + grace * 5), nothing);
     servers.remove("k/a", now + grace * 5);
-    // It may have left without announcing it: it gets no new reads, and a primary is replaced while it leads.
+    // The server may have left without announcing it: it gets no new reads, and if it leads, it is replaced.
     let leaving = Lapsed { leaving: vec![Name::from("a")], removed: Vec::new() };
     assert_eq!(servers.expire(grace, now + grace * 6), leaving);
     assert!(servers.by_service()[&Name::from("s")][0].leaving);
