--- a/crates/proxy/src/control/shared_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -28,7 +28,7 @@
 
 impl<P: Adapter> Control<P> {
     /// Notes when each member was last seen.
-    pub(crate) fn note_members(&self, now: Instant) {
+    pub(crate) fn update_seen_members(&self, now: Instant) {
         let own_zone = &*self.settings.availability_zone;
         let mut state = self.state.borrow_mut();
         state.drop_lost_members(&self.key("members/"), now);
@@ -42,7 +42,7 @@
 
     /// Applies a change of a shared key. Returns the service if it is a leadership record, which
     /// [`Control::apply_records`] applies together with the others that changed at the same time.
-    pub(crate) fn on_shared_key(&self, key: &str) -> Option<Name> {
+    pub(crate) fn on_daemon_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
         if let Some(service) = rest.strip_prefix("groups/") {
             return Some(Name::from(service));
@@ -52,7 +52,7 @@
         } else if rest == RETAINED_CONFIGURATION_KEY {
             self.on_retained_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
-            self.note_own_suspicion(key);
+            self.on_own_suspicion(key);
             self.probe_suspected_server(key, suspicion);
         }
         None
@@ -131,7 +131,7 @@
                 VersionedRecord { record: known?.record.clone(), revision }
             }
         };
-        state.note_edition(service, &authoritative.record);
+        state.update_edition(service, &authoritative.record);
         let authoritative = Arc::new(authoritative);
         state.records.insert(service.clone(), authoritative.clone());
         Some(authoritative)
--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -242,7 +242,7 @@
     pub samples: Vec<SampleMessage>,
     /// The answering daemon has applied every change of the daemons' own keys up to this revision.
     #[prost(uint64, tag = "11")]
-    pub own_applied_revision: u64,
+    pub daemon_keys_revision: u64,
     /// Whether the changes follow in a frame of their own.
     #[prost(bool, tag = "12")]
     pub changes_follow: bool,
@@ -463,7 +463,7 @@
 
 /// The daemons' own keys as this daemon has them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OwnKeys {
+pub struct DaemonKeys {
     /// Every change up to this revision has been applied.
     pub applied_revision: Revision,
     /// The revision of this daemon's member key, if it exists.
@@ -474,11 +474,11 @@
 
 /// What another daemon's store read is good for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SharedRead {
+pub enum ReadEffect {
     /// It renews the primary leases of these services.
     Renews(Vec<Name>),
     /// It renews nothing; this daemon has to read the store itself.
-    Useless,
+    RenewsNothing,
 }
 
 /// Evaluates another daemon's store read. A daemon that has applied every change up to the read's revision knows what
@@ -487,15 +487,15 @@
     read: &StoreRead,
     now: Instant,
     useful_for: Duration,
-    known: &OwnKeys,
-) -> SharedRead {
+    known: &DaemonKeys,
+) -> ReadEffect {
     let is_shown = |revision: Revision| revision <= read.revision;
     let is_old = now.saturating_duration_since(read.asked_at) > useful_for;
     // A daemon that lacks a change which the read showed may have missed a change of primary.
     if is_old || !known.member.is_some_and(is_shown) || known.applied_revision < read.revision {
-        return SharedRead::Useless;
+        return ReadEffect::RenewsNothing;
     }
     // The read says nothing about a record that has changed since.
     let shown = known.records.iter().filter(|(_, revision)| is_shown(**revision));
-    SharedRead::Renews(shown.map(|(service, _)| service.clone()).collect())
+    ReadEffect::Renews(shown.map(|(service, _)| service.clone()).collect())
 }
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -14,8 +14,8 @@
         mirror::{Mirror, StoreUpdates},
         move_times::MoveTimes,
         record::{
-            ChosenServer, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations, RecordSource,
-            StopProgress, StoppedServer, SuccessorSelection, is_primary_lost,
+            ChosenServer, FencingProgress, LeadershipRecord, PrimaryChange, PrimaryLeaseDurations,
+            RecordSource, StoppedServer, SuccessorSelection, is_primary_lost,
         },
         servers::{Lapsed, ServerList},
     },
@@ -262,8 +262,8 @@
     };
     let after = |ms| recorded_at + Duration::from_millis(ms);
     let progress =
-        |fenced_at, all_acknowledged| StopProgress { recorded_at, fenced_at, all_acknowledged };
-    let complete = |progress: StopProgress| progress.complete_at(bounds);
+        |fenced_at, all_acknowledged| FencingProgress { recorded_at, fenced_at, all_acknowledged };
+    let complete = |progress: FencingProgress| progress.complete_at(bounds);
     assert_eq!(complete(progress(None, true)), None);
     assert_eq!(complete(progress(Some(after(20)), true)), Some(after(335)));
     assert_eq!(complete(progress(Some(after(20)), false)), Some(after(1_575)));
@@ -388,7 +388,7 @@
     ] {
         mirror.apply(change);
     }
-    mirror.note_applied(at(7));
+    mirror.on_applied(at(7));
     let cases = [
         ("everything", 0, vec![Change::Put(item("p/a", 6)), removed("p/b", 7)]),
         ("after the last update", 6, vec![removed("p/b", 7)]),
@@ -435,7 +435,7 @@
         mirror.apply(put(key, at(9)));
     }
     mirror.apply(Change::Removed { key: "p/gone".to_owned(), revision: at(10) });
-    mirror.note_applied(at(10));
+    mirror.on_applied(at(10));
     assert!(!mirror.apply(put("p/early", restored(6))), "a change of an era that was not entered");
     mirror.enter_era(Era(1));
     let Change::Put(kept) = put("p/kept", restored(4)) else { unreachable!() };
@@ -443,7 +443,7 @@
     for change in changes {
         assert!(mirror.apply(change));
     }
-    mirror.note_applied(restored(5));
+    mirror.on_applied(restored(5));
     assert_eq!(mirror.applied_revision(), restored(5));
     assert_eq!(mirror.last_revision(), restored(5));
     assert_eq!(mirror.get("p/kept").unwrap().revision, restored(4));
