--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -20,7 +20,7 @@
         mirror::StoreUpdates,
         peer_link::{SplitAnswer, serve_peers},
         peers::{
-            ClockMessage, FollowAnswer, FollowRequest, OwnKeys, SharedRead, StoreRead,
+            ClockMessage, DaemonKeys, FollowAnswer, FollowRequest, ReadEffect, StoreRead,
             TunnelRequest, evaluate_read,
         },
         runner::{Control, ServingRequest},
@@ -112,7 +112,7 @@
         let upstream_progress = self.state.borrow().upstream_progress;
         let ttl = self.primary_lease_duration().mul_f64(SHARED_READ_TTL_FACTOR);
         let is_old = upstream_progress.read_at.is_none_or(|at| at.elapsed() > ttl);
-        // Reads are sent after the changes that are being received.
+        // The upstream sends its next read only after the changes that are still being received.
         let is_old = is_old && self.requester.receiving_for(Instant::now()).is_none();
         if let Some(upstream) = upstream_progress.upstream.filter(|_| is_old) {
             log::info!(
@@ -151,7 +151,7 @@
             accepts_compressed: true,
         };
         let sent_at = Instant::now();
-        let is_starting = !self.state.borrow().servers_known;
+        let is_starting = !self.state.borrow().store_loaded;
         match self.requester.request(upstream, &request, is_starting).await {
             Some(answer) => self.apply_answer(answer, sent_at),
             None => {
@@ -177,8 +177,8 @@
         self.apply_updates(contents.updates);
         {
             let mut state = self.state.borrow_mut();
-            let own_applied_revision = answer.revision(answer.own_applied_revision);
-            state.own_applied_revision = state.own_applied_revision.max(own_applied_revision);
+            let daemon_keys_revision = answer.revision(answer.daemon_keys_revision);
+            state.daemon_keys_revision = state.daemon_keys_revision.max(daemon_keys_revision);
         }
         if let Some(message) = read
             && let Some(read) = message.to_store_read(answer.made_at(sent_at), answer.era())
@@ -196,22 +196,22 @@
         }
         self.merge_samples(contents.samples);
         self.updates_available.notify_waiters();
-        self.note_members(Instant::now());
+        self.update_seen_members(Instant::now());
         self.publish();
     }
 
     /// Applies another daemon's store read and renews the primary leases that it covers.
     fn apply_shared_read(&self, read: StoreRead) {
         let now = Instant::now();
-        self.state.borrow_mut().note_observed_revision(&read);
+        self.state.borrow_mut().on_observed_revision(&read);
         let useful_for = self.primary_lease_duration().mul_f64(USEFUL_READ_FACTOR);
-        let evaluated = evaluate_read(&read, now, useful_for, &self.own_keys());
-        let SharedRead::Renews(services) = evaluated else { return };
+        let evaluated = evaluate_read(&read, now, useful_for, &self.daemon_keys());
+        let ReadEffect::Renews(services) = evaluated else { return };
         let has_recovered = {
             let mut state = self.state.borrow_mut();
             state.shared_read_at = Some(read.asked_at);
             state.keep_latest_read(read);
-            state.note_read(now, self.store_silence_timeout())
+            state.on_store_read(now, self.store_silence_timeout())
         };
         if has_recovered {
             self.reprobe_suspected_servers();
@@ -219,11 +219,11 @@
         self.grant_primary_leases(read.asked_at, Some(&services));
     }
 
-    /// Returns which of the daemons' own keys this daemon has, and their revisions.
-    pub(crate) fn own_keys(&self) -> OwnKeys {
+    /// Returns the revisions of the daemon keys that this daemon has.
+    pub(crate) fn daemon_keys(&self) -> DaemonKeys {
         let state = self.state.borrow();
-        OwnKeys {
-            applied_revision: state.own_applied_revision,
+        DaemonKeys {
+            applied_revision: state.daemon_keys_revision,
             member: state.mirror.get(&self.member_key()).map(|item| item.revision),
             records: state
                 .records
@@ -247,7 +247,7 @@
             changes
         };
         self.apply_changes(changes);
-        self.state.borrow_mut().note_applied(applied_revision);
+        self.state.borrow_mut().on_applied(applied_revision);
     }
 
     /// Answers a follower as soon as there are updates for it.
@@ -257,7 +257,7 @@
         self.store.record_era(request.applied().era());
         self.merge_samples(request.local_samples(self.incarnation, self.epoch, received_at));
         for service in &request.behind {
-            self.note_replicas_behind(Name::from(service.as_str()));
+            self.on_replicas_behind(Name::from(service.as_str()));
         }
         let until = received_at + Duration::from_millis(request.wait_ms).min(UPDATE_WAIT);
         loop {
@@ -316,7 +316,7 @@
             era: state.mirror.era().0,
             // Set by `FollowAnswer::split`.
             changes_follow: false,
-            own_applied_revision: state.own_applied_revision.number(),
+            daemon_keys_revision: state.daemon_keys_revision.number(),
             evidence: state
                 .evidence
                 .iter()
@@ -361,9 +361,9 @@
                 let find_server = move |request: &TunnelRequest| control.server_address(request);
                 let serving_requests = self.serving_requests.clone();
                 let pass_link = move |link| {
-                    // The serving thread is overloaded; the other daemon will reconnect.
+                    // If the queue is full, the serving thread is overloaded; the other daemon will reconnect.
                     if serving_requests.try_send(ServingRequest::Relay(link)).is_err() {
-                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread did not take it");
+                        log::info!(event = "relay_refused"; "closed the connection of another daemon; the serving thread did not accept it");
                     }
                 };
                 serve_peers(listener, answer, find_server, pass_link).await;
--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -1,4 +1,4 @@
-//! Primary leases that are based on store reads: this daemon's own ones and those that its upstream shares.
+//! Primary leases that are based on store reads, by this daemon or shared by its upstream.
 
 use std::{
     collections::HashSet,
@@ -12,7 +12,7 @@
         adapter::Adapter,
         backoff::Backoff,
         control_view::Basis,
-        peers::{SharedRead, StoreRead, evaluate_read},
+        peers::{ReadEffect, StoreRead, evaluate_read},
         runner::Control,
         state::State,
     },
@@ -32,7 +32,7 @@
         let interval = Duration::from_millis(self.settings.leadership.refresh_ms);
         let mut backoff = Backoff::default();
         // The initial load provides the servers and records that the leases refer to.
-        while !self.state.borrow().servers_known {
+        while !self.state.borrow().store_loaded {
             self.initial_load_done.notified().await;
         }
         loop {
@@ -102,31 +102,33 @@
 
     /// Reads the store to extend the primary leases, counted from when the read was sent.
     ///
-    /// A read of this daemon's own key suffices if every change up to its revision is known, which is the normal case
-    /// and transfers little data. Otherwise the missing changes are fetched in a large fleet, and all keys of the
-    /// daemons are read only as the last resort, since full reads by many daemons would saturate a slow link.
+    /// A read of this daemon's member key suffices if every change up to its revision is known, which is the normal
+    /// case and transfers little data. Otherwise the missing changes are fetched in a large fleet, and all daemon keys
+    /// are read only as the last resort, since full reads by many daemons would saturate a slow link.
     pub(crate) async fn renew_primary_leases(
         &self,
         asked_at: Instant,
     ) -> Result<(), MetadataError> {
-        let own = self.read_prefix(&self.member_key()).await?;
-        if own.revision.era() > self.state.borrow().mirror.era() {
-            return self.handle_newer_era(StoreRead { asked_at, revision: own.revision }).await;
+        let member_key = self.read_prefix(&self.member_key()).await?;
+        if member_key.revision.era() > self.state.borrow().mirror.era() {
+            return self
+                .handle_newer_era(StoreRead { asked_at, revision: member_key.revision })
+                .await;
         }
-        if self.state.borrow().own_applied_revision >= own.revision {
-            self.on_own_read(own.revision, asked_at);
+        if self.state.borrow().daemon_keys_revision >= member_key.revision {
+            self.on_own_read(member_key.revision, asked_at);
             return Ok(());
         }
         if self.is_fleet_large() {
-            if self.expects_changes_from_upstream(own.revision) {
+            if self.expects_changes_from_upstream(member_key.revision) {
                 return Ok(());
             }
-            match self.fetch_own_changes().await {
+            match self.fetch_daemon_key_changes().await {
                 Ok(()) | Err(MetadataError::HistoryGone) => {}
                 Err(error) => return Err(error),
             }
-            if self.state.borrow().own_applied_revision >= own.revision {
-                self.on_own_read(own.revision, asked_at);
+            if self.state.borrow().daemon_keys_revision >= member_key.revision {
+                self.on_own_read(member_key.revision, asked_at);
                 return Ok(());
             }
         }
@@ -137,28 +139,28 @@
                 .handle_newer_era(StoreRead { asked_at, revision: everything.revision })
                 .await;
         }
-        self.on_own_snapshot(everything, asked_at);
+        self.on_daemon_keys_snapshot(everything, asked_at);
         Ok(())
     }
 
     /// Whether so many changes are missing up to a revision that the upstream's compressed update is awaited.
     fn expects_changes_from_upstream(&self, revision: Revision) -> bool {
-        let known = self.state.borrow().own_applied_revision;
+        let known = self.state.borrow().daemon_keys_revision;
         let missing = revision.number().saturating_sub(known.number());
         missing > MAX_MISSING_CHANGES_FETCHED && self.upstream().is_some()
     }
 
-    /// Fetches the changes of the daemons' own keys from the store once, and applies them.
+    /// Fetches the changes of the daemon keys from the store once, and applies them.
     ///
     /// Other keys, such as a large configuration, are omitted because primary leases don't depend on them.
-    async fn fetch_own_changes(&self) -> Result<(), MetadataError> {
-        let after = self.state.borrow().own_applied_revision;
+    async fn fetch_daemon_key_changes(&self) -> Result<(), MetadataError> {
+        let after = self.state.borrow().daemon_keys_revision;
         let changes = self.store.watch(&self.key(""), after, Duration::ZERO).await;
         self.count_call("watch", &changes);
         let Changes { changes, revision } = changes?;
         self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
-        state.own_applied_revision = state.own_applied_revision.max(revision);
+        state.daemon_keys_revision = state.daemon_keys_revision.max(revision);
         Ok(())
     }
 
@@ -169,30 +171,30 @@
         read
     }
 
-    /// Applies a store read at a revision up to which every change of the daemons' own keys is known.
+    /// Applies a store read at a revision up to which every change of the daemon keys is known.
     fn on_own_read(&self, revision: Revision, asked_at: Instant) {
         let store_read = StoreRead { asked_at, revision };
         let now = Instant::now();
-        self.note_own_read(store_read, now);
-        match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.own_keys()) {
-            SharedRead::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
-            SharedRead::Useless if self.is_member_key_missing() => self.rejoin.notify_one(),
-            SharedRead::Useless => {}
+        self.record_own_read(store_read, now);
+        match evaluate_read(&store_read, now, self.primary_lease_duration(), &self.daemon_keys()) {
+            ReadEffect::Renews(services) => self.grant_primary_leases(asked_at, Some(&services)),
+            ReadEffect::RenewsNothing if self.is_member_key_missing() => self.rejoin.notify_one(),
+            ReadEffect::RenewsNothing => {}
         }
         self.finish_read(now);
     }
 
-    /// Notes a store read that this daemon made itself.
-    fn note_own_read(&self, store_read: StoreRead, now: Instant) {
+    /// Records a store read that this daemon made itself.
+    fn record_own_read(&self, store_read: StoreRead, now: Instant) {
         let mut state = self.state.borrow_mut();
-        state.note_observed_revision(&store_read);
+        state.on_observed_revision(&store_read);
         let before = state.own_read_at.replace(store_read.asked_at);
         if before.is_none_or(|before| now.duration_since(before) > self.primary_lease_duration()) {
             // Members that joined and left since the last own read were not seen; shared reads don't contain them.
             state.watching_since = Some(now);
         }
-        let is_back = state.note_read(now, self.store_silence_timeout());
-        state.own_applied_revision = state.own_applied_revision.max(store_read.revision);
+        let is_back = state.on_store_read(now, self.store_silence_timeout());
+        state.daemon_keys_revision = state.daemon_keys_revision.max(store_read.revision);
         state.keep_latest_read(store_read);
         drop(state);
         if is_back {
@@ -200,22 +202,22 @@
         }
     }
 
-    /// Does what follows from every store read.
+    /// Updates and publishes the state that depends on store reads.
     fn finish_read(&self, now: Instant) {
-        self.note_members(now);
+        self.update_seen_members(now);
         self.report_and_probe_suspicions();
         self.publish();
         self.updates_available.notify_waiters();
     }
 
-    /// Applies a snapshot of the daemons' own keys whose read was sent at `asked_at`.
-    pub(crate) fn on_own_snapshot(&self, snapshot: Snapshot, asked_at: Instant) {
+    /// Applies a snapshot of the daemon keys whose read was sent at `asked_at`.
+    pub(crate) fn on_daemon_keys_snapshot(&self, snapshot: Snapshot, asked_at: Instant) {
         let now = Instant::now();
         let revision = snapshot.revision;
         let is_member = snapshot.items.iter().any(|item| item.key == self.member_key());
         let changes = self.state.borrow().mirror.changes_to(&self.key(""), snapshot);
         self.apply_changes(changes);
-        self.note_own_read(StoreRead { asked_at, revision }, now);
+        self.record_own_read(StoreRead { asked_at, revision }, now);
         if is_member {
             self.grant_primary_leases(asked_at, None);
         } else if self.is_member_key_missing() {
@@ -244,17 +246,17 @@
     /// waits only for members. `services` are those that the read covers; `None` for all.
     pub(crate) fn grant_primary_leases(&self, asked_at: Instant, services: Option<&[Name]>) {
         let valid_until = asked_at + self.primary_lease_duration();
-        let shown: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
+        let covered: Option<HashSet<&Name>> = services.map(|services| services.iter().collect());
         let mut state = self.state.borrow_mut();
         let State { leaders, records, servers, mirror, .. } = &mut *state;
         let leaders = Arc::make_mut(leaders);
         for (service, known) in records {
             let record = &known.record;
-            if shown.as_ref().is_some_and(|shown| !shown.contains(service)) {
+            if covered.as_ref().is_some_and(|covered| !covered.contains(service)) {
                 continue;
             }
-            // The leader's own state may no longer show the change, since earlier evidence replaces it. A record from
-            // before a restore may be older than a later change.
+            // Checked in the record, since evidence that was accepted during the change may have cleared
+            // `leader.changing`. A record from before a restore may be older than a later change.
             if record.change.is_some()
                 || record.era != mirror.era().0
                 || servers.is_restarted(service, &record.primary, record.primary_incarnation)
