--- a/crates/proxy/src/control/daemon_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -35,8 +35,8 @@
         state.drop_lost_members(&self.key("members/"), now);
         let State { members, members_seen, .. } = &mut *state;
         for (host, member) in members {
-            let is_near = member.availability_zone == own_zone;
-            members_seen.insert(host.clone(), SeenMember { seen_at: now, is_near });
+            let is_in_own_zone = member.availability_zone == own_zone;
+            members_seen.insert(host.clone(), SeenMember { seen_at: now, is_in_own_zone });
         }
         members_seen.retain(|_, member| now.duration_since(member.seen_at) < MEMBER_RETENTION);
     }
--- a/crates/proxy/src/control/runner.rs
+++ b/crates/proxy/src/control/runner.rs
@@ -277,8 +277,12 @@
         let daemon_counts = DaemonCounts {
             zones: state.zone_count.max(1),
             daemons: state.members_seen.len().max(1) as u32,
-            in_zone: state.members_seen.values().filter(|member| member.is_near).count().max(1)
-                as u32,
+            in_zone: state
+                .members_seen
+                .values()
+                .filter(|member| member.is_in_own_zone)
+                .count()
+                .max(1) as u32,
         };
         self.metrics.gauges.with_label_values(&["members"]).set(i64::from(daemon_counts.daemons));
         self.metrics
--- a/crates/proxy/src/control/state.rs
+++ b/crates/proxy/src/control/state.rs
@@ -43,7 +43,7 @@
 pub(crate) struct SeenMember {
     pub(crate) seen_at: Instant,
     /// Whether it is in this daemon's zone.
-    pub(crate) is_near: bool,
+    pub(crate) is_in_own_zone: bool,
 }
 
 /// A store lease held by this daemon.
@@ -83,7 +83,7 @@
     pub(crate) read_number: u64,
     /// Every change of the daemon keys up to this revision has been applied.
     pub(crate) daemon_keys_revision: Revision,
-    /// The latest change that the followers of this daemon should receive at once.
+    /// The latest change that the followers of this daemon should receive immediately.
     pub(crate) urgent_revision: Revision,
     /// Leaders reported by a majority of their servers, to be sent to followers.
     pub(crate) evidence: Vec<Evidence>,
@@ -144,7 +144,7 @@
 }
 
 impl State {
-    /// Whether there was no store read within `silence_timeout`.
+    /// Whether no store read, own or shared, was applied within `silence_timeout`.
     pub(crate) fn is_store_silent(&self, silence_timeout: Duration) -> bool {
         self.last_read_at.is_none_or(|at| at.elapsed() > silence_timeout)
     }
