--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns the server whose entry has this key, or had it within the grace time.
-    pub fn at(&self, key: &str) -> Option<&ServerEntry> {
+    /// Returns the server entry with this key, or the one that was removed within the grace time.
+    pub fn entry_at(&self, key: &str) -> Option<&ServerEntry> {
         self.known.get(key).map(|known| &*known.entry)
     }
 
--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -136,7 +136,7 @@
         if !is_from_backup || restore.era_age(Instant::now()) >= grace {
             return false;
         }
-        let is_contradiction = match self.servers.at(&item.key) {
+        let is_contradiction = match self.servers.entry_at(&item.key) {
             None => true,
             Some(known) if known.incarnation != entry.incarnation => {
                 known.incarnation > entry.incarnation
