--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,6 +1,6 @@
 //! Failure detection and change of primary for a replicated group.
 //!
-//! Everything here is pure decision logic without I/O or a clock; the daemon carries out the decisions.
+//! This crate only makes decisions, without I/O or a clock; the daemon carries them out.
 //! `docs/FAILOVER.md` explains the design.
 
 mod driver;
