--- a/crates/proxy/src/control/compression.rs
+++ b/crates/proxy/src/control/compression.rs
@@ -28,7 +28,7 @@
 /// The largest decompressed snapshot or batch that is accepted.
 const MAX_SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Changes of at least this total size are compressed together, as when many servers start at once.
+/// Changes of at least this total size are compressed together, as when many servers start at the same time.
 const COMPRESS_BATCH_MIN_BYTES: usize = 32 * 1024;
 
 /// How long a compressed snapshot is reused, followed by the changes since: daemons that start together request it
