--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -209,7 +209,7 @@
         /// The term.
         term: Term,
     },
-    /// A primary refuses reads because every replica is too far behind to serve them.
+    /// Reads keep being refused, because every replica is too far behind and the primary can't run all of them.
     ReplicasBehind {
         /// The service.
         service: Name,
