--- a/crates/proxy/src/control/evidence_collection.rs
+++ b/crates/proxy/src/control/evidence_collection.rs
@@ -233,7 +233,7 @@
                 deadline,
                 answer,
             };
-            // If the queue is full, the serving thread is overloaded; this round omits the server.
+            // If the queue is full, the serving thread is overloaded; this query omits the server.
             if self.serving_requests.try_send(ServingRequest::Command(request)).is_ok() {
                 let server = server.clone();
                 waiting.push(async move { answered.await.ok().map(|status| (server, status)) });
