--- a/crates/proxy/src/control/fencing.rs
+++ b/crates/proxy/src/control/fencing.rs
@@ -132,7 +132,7 @@
     ///
     /// Gives up shortly before an unrenewed promoter lease expires: until then no other daemon can have started a
     /// change, so the servers can be resumed and used on evidence. Otherwise the group would have no primary until the
-    /// store is back.
+    /// store answers again.
     pub(crate) async fn await_daemon_stops(
         &self,
         service: &Name,
