--- a/crates/proxy/src/control/following.rs
+++ b/crates/proxy/src/control/following.rs
@@ -73,9 +73,13 @@
                 let address = member.peer_address?;
                 let availability_zone = &member.availability_zone;
                 let distance = self.settings.layout.distance(availability_zone);
-                let is_near = distance < ZoneDistance::OtherRegion || crosses_regions;
+                let is_allowed = distance < ZoneDistance::OtherRegion || crosses_regions;
                 let is_silent = self.requester.is_unresponsive(address, now);
-                (is_near && !is_silent).then_some(TreeMember { host, availability_zone, address })
+                (is_allowed && !is_silent).then_some(TreeMember {
+                    host,
+                    availability_zone,
+                    address,
+                })
             })
             .collect();
         select_upstream(&candidates, &self.settings.host, &self.settings.availability_zone)
@@ -88,7 +92,7 @@
         state.shared_read_at.is_some_and(|at| at.elapsed() < ttl)
     }
 
-    /// Returns the maximum age of the store data held here, in milliseconds; 0 before the first read, when no caller
+    /// Returns the maximum age of this daemon's store data, in milliseconds; 0 before the first read, when no caller
     /// is served.
     pub(crate) fn store_data_age_ms(&self) -> u64 {
         let age = self.state.borrow().freshness.age(Instant::now());
