--- a/crates/proxy/src/control/mod.rs
+++ b/crates/proxy/src/control/mod.rs
@@ -1,5 +1,14 @@
 //! The control thread: its view of the configuration, the servers, the other daemons and the group leaders, and how
 //! that view is kept up to date.
+//!
+//! * `starting`, `watching`, `following`, `freshness` and `mirror` load the metadata store and follow its changes,
+//!   either directly or through another daemon, the upstream. `watching`, `daemon_keys` and `servers` apply the
+//!   changes.
+//! * `membership`, `primary_lease` and `evidence_collection` keep this daemon a member and obtain the leases without
+//!   which it may not use a primary. `evidence` is used while the store does not answer.
+//! * `suspicion` reports servers that don't answer. One daemon, the `promoter`, evaluates these reports and changes
+//!   primaries: `change`, `fencing`, `commands`, `record` and `record_confirmation`.
+//! * `store_restore` and `republish` handle a store that was restored from a backup, which starts a new era.
 
 pub mod adapter;
 mod backoff;
