--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Answers the requests on one connection in turn, until the peer closes it.
+/// Answers the requests on one connection one after the other, until the peer closes the connection.
 async fn serve_peer(
     stream: TcpStream,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer,
