--- a/crates/proxy/src/control/primary_lease.rs
+++ b/crates/proxy/src/control/primary_lease.rs
@@ -36,7 +36,7 @@
             self.initial_load_done.notified().await;
         }
         loop {
-            // Updated here because this loop also runs while no update arrives.
+            // This loop sets the gauge because it also runs while no store update arrives.
             let age_ms = i64::try_from(self.store_data_age_ms()).unwrap_or(i64::MAX);
             self.metrics.gauges.with_label_values(&["knowledge_age_ms"]).set(age_ms);
             if let Some(until) = self.next_read_at(interval) {
