--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -241,7 +241,7 @@
                 "the promoter role may remain taken until the lease expires"
             ),
         }
-        // The watch updates the mirror; until then there is nothing to do.
+        // Waits for the watch to remove the promoter key from the mirror.
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 
