--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -201,7 +201,7 @@
     pub synchronous_replicas: u32,
     /// Whether the old primary may remain primary if it holds the most entries.
     pub may_keep_primary: bool,
-    /// Whether the old primary is still listed; an unlisted one does not come back.
+    /// Whether the old primary is still listed; an unlisted server is assumed not to return.
     pub is_primary_listed: bool,
 }
 
@@ -231,8 +231,8 @@
         })
     }
 
-    /// Whether no server can hold the history of the current term any more: its primary is gone and every remaining
-    /// server has answered. Continuing from an earlier history is then better than having no primary.
+    /// Whether the history of the current term is lost: its primary is no longer listed, and every listed server has
+    /// answered. Continuing from an earlier history is then better than having no primary.
     fn is_history_lost(&self, stopped: &[StoppedServer]) -> bool {
         !self.is_primary_listed && stopped.len() >= self.servers
     }
