--- a/crates/proxy/src/control/reports.rs
+++ b/crates/proxy/src/control/reports.rs
@@ -46,7 +46,7 @@
             FollowRequest { behind: vec![service.to_string()], ..self.request_without_updates() };
         let control = self.clone();
         tokio::task::spawn_local(async move {
-            // A promoter that does not answer is excluded for a while by the requester.
+            // If the promoter does not answer, the requester excludes it from requests for some seconds.
             let _ = control.requester.request(promoter, &request, false).await;
         });
     }
