--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -2,7 +2,8 @@
 //! knows later ones than the store holds.
 //!
 //! Each write is conditional on the revision that was read, so the latest known value remains, independent of the order
-//! of the writes. A daemon that was disconnected does the same when it is back. See `docs/design/store-restored.md`.
+//! of the writes. A daemon that was disconnected does the same after it reconnects. See
+//! `docs/design/store-restored.md`.
 
 use std::{rc::Rc, time::Duration};
 
