--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -108,7 +108,7 @@
     pub(crate) fn on_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
         state.store_loaded = true;
-        // Entries may have expired here during an outage of the store; their servers can renew them now.
+        // Server entries may have expired during an outage of the store; the servers can renew them now.
         state.servers.restart_grace(Instant::now());
         drop(state);
         self.initial_load_done.notify_one();
