--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -247,8 +247,8 @@
         self.updates_available.notify_waiters();
     }
 
-    /// Whether followers are told of a change of this key at once. Keys that change in bulk, as when many daemons
-    /// start, are sent along with the next answer.
+    /// Whether a change of this key is sent to followers immediately. Changes that occur in bulk, as when many daemons
+    /// start, are sent with the next answer.
     fn is_urgent(&self, key: &str) -> bool {
         let bulk_prefixes = [self.key("members/"), self.key("stopped/")];
         !bulk_prefixes.iter().any(|prefix| key.starts_with(prefix))
