--- a/crates/daemon/src/apply.rs
+++ b/crates/daemon/src/apply.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// How often the head is read to find out whether a write with a lost answer took effect.
+/// Maximum number of reads of the head to determine whether a write with a lost answer took effect.
 const MAX_OUTCOME_READS: usize = 5;
 
 pub(crate) fn head_key(prefix: &str) -> String {
@@ -111,7 +111,7 @@
     Ok(head.revision)
 }
 
-/// Reads the head to find out whether a write with a lost answer took effect.
+/// Reads the head to determine whether a write with a lost answer took effect.
 fn resolve_outcome<P: KeyValueStore>(
     store: &P,
     prefix: &str,
@@ -163,7 +163,7 @@
     let needed: BTreeSet<&ChunkHash> =
         head.chunks.iter().chain(&head.superseded).chain(&before.chunks).collect();
     for hash in before.superseded.iter().filter(|hash| !needed.contains(hash)) {
-        // A chunk that is left over only takes up space. The change itself is in force.
+        // A chunk that can't be removed only takes up space; the change is in force.
         let _ = store.delete(&chunk_key(prefix, hash));
     }
 }
