--- a/crates/daemon/src/caller_log_in.rs
+++ b/crates/daemon/src/caller_log_in.rs
@@ -11,7 +11,7 @@
 
 use crate::{context::Context, relay::relay_cancel};
 
-/// Start-up parameters, with those in `options` split into entries of their own.
+/// Start-up parameters. Those in `options` are split into separate entries.
 pub(crate) type Parameters = BTreeMap<String, String>;
 
 pub(crate) async fn log_in(
@@ -105,7 +105,7 @@
     split_options(parameters)
 }
 
-/// Moves the `-c name=value` pairs of the `options` parameter into entries of their own.
+/// Moves the `-c name=value` pairs of the `options` parameter into separate entries.
 fn split_options(parameters: &mut Parameters) -> Result<(), (&'static str, String)> {
     let Some(options) = parameters.remove("options") else { return Ok(()) };
     let mut arguments = options.split_whitespace();
