--- a/crates/daemon/src/caller_session.rs
+++ b/crates/daemon/src/caller_session.rs
@@ -27,7 +27,7 @@
     request::{ExtendedState, Request, RequestError},
 };
 
-/// Limits the steps of one request, to bound its memory.
+/// Maximum number of steps of one request, to limit its memory.
 const MAX_REQUEST_STEPS: usize = 10_000;
 
 /// Serves a caller's connection until it ends.
@@ -36,7 +36,7 @@
     socket: TcpStream,
     tls: Option<Arc<TlsAcceptor>>,
 ) {
-    // Sends small answers without delay. The session also works if this can't be set.
+    // Sends small answers without delay. A failure only costs latency.
     let _ = socket.set_nodelay(true);
     let mut stream = CallerStream::new(socket);
     let login_timeout =
@@ -61,8 +61,7 @@
     context.metrics.callers.dec();
 }
 
-/// How long a planned stop keeps an idle session open. A request that is already on its way can
-/// arrive within this time.
+/// How long a planned stop keeps an idle session open, so that a request in transit is still answered.
 const STOP_IDLE_TIME: Duration = Duration::from_millis(250);
 
 /// Returns once a planned stop has begun and `STOP_IDLE_TIME` has passed.
@@ -90,17 +89,17 @@
     pub(crate) user: Name,
     pub(crate) service_name: Name,
     pub(crate) token: SessionToken,
-    /// Whether the caller passes on the session token itself.
+    /// Whether the caller has set the session token, and so tracks the session itself.
     pub(crate) tracked: bool,
     pub(crate) read_kind: String,
     pub(crate) group_name: Option<String>,
     pub(crate) settings: SessionSettings,
     pub(crate) extended: ExtendedState,
     pub(crate) request: Request,
-    /// After an error, extended messages are skipped until the next `Sync`.
+    /// Whether messages are skipped until the next `Sync`, after an error.
     pub(crate) skipping: bool,
     pub(crate) transaction: u8,
-    /// The transaction failed in this daemon, without its server knowing.
+    /// Whether this daemon aborted the transaction, which is still open at its server.
     pub(crate) aborted_locally: bool,
     pub(crate) pinned: Option<PinnedConnection>,
     pub(crate) relay_pin: Option<Arc<RelayPin>>,
@@ -362,7 +361,8 @@
         self.run_request(request).await
     }
 
-    /// Answers a request in a transaction aborted in this daemon. Only its end is accepted.
+    /// Answers a request in a transaction that this daemon aborted. Only the end of the transaction is
+    /// accepted.
     async fn answer_aborted(&mut self, request: &Request) -> Result<AfterRequest, StreamEnd> {
         let ends = request.effects.commits || !request.effects.executes;
         if !ends || request.effects.writes {
@@ -370,7 +370,8 @@
             self.fail(&RequestError::new("25P02", message));
             return Ok(AfterRequest::Continue);
         }
-        // Dropping the connection rolls the transaction back and keeps others from using it before.
+        // Dropping the connection closes it instead of returning it to the pool, which rolls the
+        // transaction back.
         self.pinned = None;
         self.relay_pin = None;
         self.aborted_locally = false;
