--- a/crates/daemon/src/caller_session/run_request.rs
+++ b/crates/daemon/src/caller_session/run_request.rs
@@ -173,7 +173,7 @@
         self.relay_pin = None;
         self.transaction = b'I';
         if job.may_commit {
-            // The request was to end the transaction, so no statement of it can follow.
+            // The request would have ended the transaction, so no further statement belongs to it.
             self.stream.add_bytes(&encode_refusal(refusal));
             return AfterRequest::Continue;
         }
@@ -212,7 +212,7 @@
     }
 }
 
-/// Passes parts of an answer to the caller.
+/// Forwards the parts of an answer to the caller.
 struct CallerSink<'a> {
     stream: &'a mut CallerStream,
     begun: bool,
