--- a/crates/daemon/src/caller_settings.rs
+++ b/crates/daemon/src/caller_settings.rs
@@ -93,7 +93,7 @@
                         RequestError::new(reason.sqlstate(Verdict::NotRun), error.to_string())
                     })?;
                 self.tracked = true;
-                // An empty token starts a new session. Any other is merged into the present one.
+                // An empty token starts a new session. Any other token is merged into the current one.
                 if token.is_empty() {
                     self.token = token;
                 } else {
