--- a/crates/daemon/src/cancel.rs
+++ b/crates/daemon/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Finds the statement that a caller's cancellation is for.
+//! Maps a caller's cancellation request to the statement that it cancels.
 
 use std::{
     collections::HashMap,
@@ -27,7 +27,7 @@
 }
 
 impl CancelRegistry {
-    /// Registers a caller. Returns the process number and the secret to send to it.
+    /// Registers a caller. Returns the process number and the secret that are sent to the caller.
     pub(crate) fn register(
         &self,
         session_id: u64,
@@ -56,7 +56,8 @@
         self.targets.lock().remove(&process);
     }
 
-    /// Finds the caller that a cancellation is for. Returns `None` if the secret is wrong.
+    /// Returns the target of a cancellation request, or `None` if the process number or the secret is
+    /// wrong.
     pub(crate) fn find(&self, process: i32, secret: i32) -> Option<CancelTarget> {
         let targets = self.targets.lock();
         targets.get(&process).filter(|target| target.secret == secret).cloned()
