--- a/crates/daemon/src/configuration_sync.rs
+++ b/crates/daemon/src/configuration_sync.rs
@@ -150,8 +150,8 @@
 
 type Chunks = HashMap<ChunkHash, Arc<ParsedChunk>>;
 
-/// Applies a head read from the store. If many chunks are missing, another daemon is asked first,
-/// to limit the load on the store when a whole availability zone starts.
+/// Applies a head read from the store. If many chunks are missing, they are requested from another
+/// daemon first, to limit the load on the store when a whole availability zone starts.
 async fn apply_head<P: KeyValueStore + 'static>(
     context: &Arc<Context>,
     peers: &Arc<Peers>,
@@ -181,7 +181,7 @@
         };
         if !text.is_some_and(|text| add_chunk(&mut chunks, &hash, text)) {
             log::warn!(revision = head.revision; "a configuration chunk is not available yet");
-            // The head can't be applied yet. Other daemons may have the missing chunks.
+            // The head can't be applied yet. Gossip may reach a daemon that has the missing chunks.
             push_gossip(context, peers, 1).await;
             return;
         }
@@ -189,7 +189,7 @@
     install(context, head, chunks);
 }
 
-/// If more chunks than this are missing, another daemon is asked before the store.
+/// If more chunks than this are missing, they are requested from another daemon before the store.
 const MAX_CHUNKS_FROM_STORE: usize = 2;
 
 fn known_chunks(context: &Context, head: &Head) -> Chunks {
@@ -251,7 +251,7 @@
     }
 }
 
-/// Fetches the configuration from another daemon, requesting only the chunks missing here.
+/// Fetches the configuration from another daemon. Requests only the chunks that this daemon lacks.
 async fn fetch_configuration(context: &Arc<Context>, peers: &Arc<Peers>, address: SocketAddr) {
     let Some(Body::HeadAnswer(answer)) =
         call_peer(context, peers, address, Body::HeadRequest(HeadRequest {})).await
