--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -71,7 +71,7 @@
     Configuration(SocketAddr),
     /// The daemon at this address has a newer host list.
     HostList(SocketAddr),
-    /// A newer configuration is in force here and has to be announced.
+    /// This daemon has put a newer configuration in force, which has to be announced.
     Installed,
 }
 
@@ -171,7 +171,7 @@
         )
     }
 
-    /// Returns the daemons that may get work, without this one while it stops.
+    /// Returns the daemons that may get work. This daemon is left out while it stops.
     pub(crate) fn usable_members(&self) -> Arc<Vec<Member>> {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
@@ -233,7 +233,7 @@
         (self.in_force.load().revision, cache.changes)
     }
 
-    /// Makes the next use compute the members again.
+    /// Invalidates the cached usable members.
     pub(crate) fn invalidate_members(&self) {
         self.owner_cache.lock().computed_at = None;
     }
@@ -300,7 +300,8 @@
                 group.in_force.store(Arc::new(options));
                 true
             }
-            // A group whose servers changed gets a new state. Running work ends in the old one.
+            // A group whose servers changed gets a new state on its next use. Running work finishes with
+            // the old state.
             _ => {
                 group.close();
                 false
