--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -1,4 +1,4 @@
-//! Answers to requests from other daemons, except jobs.
+//! Answers the requests of other daemons, except jobs.
 
 use std::time::{Duration, Instant};
 
@@ -76,7 +76,7 @@
     let Some(group) = group else { return ViewAnswer { reachable: false, term: 0 } };
     let in_force = group.in_force.load();
     let rules = &in_force.configuration.failover;
-    // An older answer may be from before the primary failed.
+    // An older answer does not show that the primary is reachable now.
     let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
     let view = group.view.read();
     let reachable = view.primary.is_some_and(|primary| {
@@ -99,8 +99,8 @@
 
 /// Holds back new transactions of a group, or releases them.
 ///
-/// The servers are queried before a release: a transaction would fail if it started at the old
-/// primary.
+/// The servers are queried before a release, so that no transaction starts at the former primary,
+/// where it would fail.
 pub(crate) async fn set_hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
     let id = GroupId::new(request.service.as_str(), request.group.as_str());
     let group = context.groups.read().get(&id).cloned();
