--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -175,7 +175,7 @@
         finished
     }
 
-    /// Announces to other daemons that this one takes no more work.
+    /// Announces to other daemons that this daemon accepts no more work.
     fn announce_stop(&self) {
         let Some(control) = &self.control else { return };
         let context = self.context.clone();
@@ -202,7 +202,7 @@
                 .flat_map(|group| group.pools.iter().map(|pool| pool.in_flight()))
                 .sum();
             if callers == 0 && writing == 0 && in_flight == 0 {
-                // The last answers may still be on their way to another daemon.
+                // Gives the last answers time to be sent to other daemons.
                 thread::sleep(STOP_POLL_INTERVAL);
                 return true;
             }
@@ -231,7 +231,8 @@
     }
 }
 
-/// Daemons that a stopping daemon notifies itself. The others learn of the stop by gossip.
+/// Maximum number of daemons that a stopping daemon notifies directly. The others learn of the stop by
+/// gossip.
 const MAX_STOP_ANNOUNCEMENTS: usize = 16;
 
 struct Addresses {
