--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -18,14 +18,14 @@
 
 /// Receives the parts of an answer as they arrive.
 pub(crate) trait AnswerSink: Send {
-    /// Passes on whole backend messages. Returns `false` if the receiver is gone.
+    /// Forwards whole backend messages. Returns `false` if the receiver has disconnected.
     fn send(&mut self, messages: Bytes) -> impl Future<Output = bool> + Send;
 
-    /// Whether any part was passed on, after which the job can't run elsewhere.
+    /// Whether any part was forwarded, after which the job can't be run on another server.
     fn has_begun(&self) -> bool;
 }
 
-/// When the server's status is queried.
+/// When a job queries the server's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Probe {
     None,
@@ -39,14 +39,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunOptions {
     pub(crate) probe: Probe,
-    /// Bytes held back until the job may be acknowledged. `None` passes the answer on at once.
+    /// Maximum number of bytes held back until the job may be acknowledged. `None` forwards the answer
+    /// at once.
     pub(crate) hold_bytes: Option<usize>,
 }
 
 /// The decision on a status that precedes an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatusCheck {
-    /// Pass the answer on.
+    /// Forward the answer.
     Accept,
     /// Drop the answer. The connection stays usable.
     Reject,
@@ -54,7 +55,7 @@
 
 #[derive(Debug)]
 pub(crate) struct JobAnswer {
-    /// Messages not yet passed on, without `ReadyForQuery`.
+    /// Messages not yet forwarded, without `ReadyForQuery`.
     pub(crate) tail: BytesMut,
     /// The transaction status byte.
     pub(crate) transaction: u8,
@@ -77,11 +78,11 @@
     Lost(EndpointError),
     /// The answer exceeds the bytes that may be held back.
     TooLarge,
-    /// The receiver of the answer is gone.
+    /// The receiver of the answer has disconnected.
     CallerGone,
 }
 
-/// Answers are passed on in parts of about this size.
+/// Answers are forwarded in parts of about this size.
 const CHUNK_BYTES: usize = 32 * 1024;
 
 /// A connection with its prepared statements and a fingerprint of its settings.
@@ -178,7 +179,7 @@
         Ok(reader.answer)
     }
 
-    /// Replaces the connection's settings if the job has others. Returns whether it did.
+    /// Replaces the connection's settings if they differ from the job's. Returns whether it did.
     fn add_settings(&mut self, job: &Job) -> Result<bool, EndpointError> {
         let settings =
             || job.settings.iter().map(|setting| (setting.name.as_str(), setting.value.as_str()));
@@ -294,7 +295,7 @@
                 continue;
             }
             match answer {
-                ExpectedAnswer::Canned(messages) => reader.pass_bytes(&messages),
+                ExpectedAnswer::Canned(messages) => reader.forward_bytes(&messages),
                 ExpectedAnswer::Step { shape: StepShape::Query, .. } => {
                     return self.read_until_ready(reader).await;
                 }
@@ -320,7 +321,7 @@
         Ok(())
     }
 
-    /// Passes messages on until `ReadyForQuery`.
+    /// Forwards messages until `ReadyForQuery`.
     async fn read_until_ready<S: AnswerSink>(
         &mut self,
         reader: &mut AnswerReader<'_, S>,
@@ -331,12 +332,12 @@
                     reader.answer.transaction = ready.status as u8;
                     return Ok(());
                 }
-                message => reader.pass(&message).await?,
+                message => reader.forward(&message).await?,
             }
         }
     }
 
-    /// Passes messages on until the answer to a step is complete.
+    /// Forwards messages until the answer to a step is complete.
     async fn read_step<S: AnswerSink>(
         &mut self,
         shape: StepShape,
@@ -345,7 +346,7 @@
         loop {
             let message = self.next().await?;
             let last = ends_step(shape, &message);
-            reader.pass(&message).await?;
+            reader.forward(&message).await?;
             if last || reader.answer.error_code.is_some() {
                 return Ok(());
             }
@@ -353,7 +354,7 @@
     }
 
     /// Reads the answer to a message that the daemon added. Returns `false` for an error, which is
-    /// passed on to the caller.
+    /// forwarded to the caller.
     async fn read_implicit<S: AnswerSink>(
         &mut self,
         reader: &mut AnswerReader<'_, S>,
@@ -365,7 +366,7 @@
                 }
                 PgWireBackendMessage::NoticeResponse(_) => {}
                 message => {
-                    reader.pass(&message).await?;
+                    reader.forward(&message).await?;
                     return Ok(false);
                 }
             }
@@ -382,7 +383,7 @@
 }
 
 impl CancelKey {
-    /// Sends the cancellation. It has no answer, so its effect is not known.
+    /// Sends the cancellation. The protocol has no answer to it, so its effect is unknown.
     pub(crate) async fn cancel(self) {
         if let Err(error) = EndpointStream::cancel(self.address, self.process, self.secret).await {
             log::debug!(error = error.to_string().as_str(); "a cancellation could not be sent");
@@ -397,7 +398,7 @@
 }
 
 impl<S: AnswerSink> AnswerReader<'_, S> {
-    async fn pass(&mut self, message: &PgWireBackendMessage) -> Result<(), RunError> {
+    async fn forward(&mut self, message: &PgWireBackendMessage) -> Result<(), RunError> {
         match message {
             PgWireBackendMessage::ErrorResponse(error) => {
                 let code = error.fields.iter().find(|(field, _)| *field == b'C');
@@ -415,7 +416,8 @@
             .map_err(|error| RunError::Lost(EndpointError::Protocol(error.to_string())))?;
         let tail = self.answer.tail.len();
         match self.hold_bytes {
-            // Rows do not reveal a commit, so they may be passed on before it. Completions may not.
+            // Rows do not tell whether a commit succeeded, so they may be forwarded before it is
+            // confirmed. Completions may not.
             Some(limit) if tail > limit && self.answer.completed => Err(RunError::TooLarge),
             Some(limit) if tail > limit => self.send().await,
             None if tail > CHUNK_BYTES => self.send().await,
@@ -423,7 +425,7 @@
         }
     }
 
-    fn pass_bytes(&mut self, messages: &Bytes) {
+    fn forward_bytes(&mut self, messages: &Bytes) {
         if !self.answer.rejected {
             self.answer.tail.extend_from_slice(messages);
         }
