--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -39,7 +39,7 @@
 /// The result of a job that was answered.
 #[derive(Debug)]
 pub(crate) struct JobResult {
-    /// Messages not yet passed on.
+    /// Messages not yet forwarded.
     pub(crate) tail: Bytes,
     /// The transaction status byte.
     pub(crate) transaction: u8,
@@ -68,7 +68,8 @@
     if job.in_transaction {
         return run.run_in_transaction(pinned, sink).await;
     }
-    // The caller does not know of this transaction any more, so it must not get new statements.
+    // For the caller no transaction is open, so a connection that is still pinned must not get new
+    // statements.
     *pinned = None;
     if job.read_only { run.read(pinned, sink).await } else { run.write(pinned, sink).await }
 }
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The longest staleness that the read's kind accepts, or `None` without a kind.
+    /// Returns the maximum staleness that the read's kind accepts, or `None` without a kind.
     pub(crate) fn staleness(&self) -> Option<Duration> {
         if self.job.read_kind.is_empty() {
             return None;
@@ -115,8 +116,8 @@
         Some(Duration::from_millis(kind.staleness_ms))
     }
 
-    /// Gets a connection to a server. Fails if the server becomes silent or is replaced: nothing
-    /// was sent yet, so the request may run elsewhere.
+    /// Gets a connection to a server. Fails if the server stops answering or is replaced as primary;
+    /// nothing was sent yet, so the request may run on another server.
     pub(crate) async fn acquire(
         &self,
         server: ServerId,
@@ -176,7 +177,9 @@
         })
     }
 
-    /// Returns a refusal once the server's answer is no longer worth waiting for.
+    /// Waits for a reason to give up a server's answer, and returns the refusal: a replica stopped
+    /// answering, the primary was replaced, a leaving server must end its work, or the time limit
+    /// has passed.
     pub(crate) async fn wait_for_abort(&self, server: ServerId, by_replica: bool) -> Refusal {
         let limit = match self.options().run_timeout_ms {
             0 => Duration::MAX,
@@ -202,12 +205,12 @@
         }
     }
 
-    /// Returns when another server leads.
+    /// Returns when another server is the primary.
     pub(crate) async fn wait_until_replaced(&self, server: ServerId) {
         self.wait_until(|view| view.primary.is_some_and(|primary| primary != server)).await;
     }
 
-    /// Returns when a server has been silent for `suspect_after_ms`.
+    /// Returns when a server has not answered for `suspect_after_ms`.
     pub(crate) async fn wait_until_silent(&self, server: ServerId) {
         let suspect_after =
             Duration::from_millis(self.in_force.configuration.failover.suspect_after_ms);
@@ -218,7 +221,7 @@
         .await;
     }
 
-    /// Returns when a leaving server may not run any work.
+    /// Returns when a leaving server may no longer run any work.
     pub(crate) async fn wait_until_work_ends(&self, server: ServerId) {
         let address = &self.in_force.group.servers[server.index()].address;
         let configuration = &self.in_force.configuration;
@@ -229,7 +232,7 @@
     }
 
     /// Waits until the view fulfils a condition. The condition is also checked at an interval,
-    /// since no notification is sent while a server stays silent.
+    /// since no notification is sent while a server does not answer.
     pub(crate) async fn wait_until(&self, condition: impl Fn(&GroupView) -> bool) {
         loop {
             let changed = self.group.changed.notified();
