--- a/crates/daemon/src/failover_runner.rs
+++ b/crates/daemon/src/failover_runner.rs
@@ -36,7 +36,7 @@
 /// How long the remaining servers may take to answer once a majority is sealed.
 const SEAL_GRACE: Duration = Duration::from_millis(20);
 
-/// Limits the steps of one failover, in case the driver does not terminate.
+/// Maximum number of steps of one failover, in case the driver does not terminate.
 const MAX_STEPS: usize = 64;
 
 /// Runs the failovers of one group that this daemon drives.
@@ -207,7 +207,7 @@
         FailoverEvent::Record { record: Some(record), version: entry.version, stalled }
     }
 
-    /// Whether the failover of a record is finished, or has made no progress for
+    /// Whether the failover of a record has finished, or its record has not changed for
     /// `takeover_after_ms`.
     fn has_stalled(&mut self, record: &LeadershipRecord) -> bool {
         let finished =
@@ -303,8 +303,8 @@
         }
     }
 
-    /// Makes the other servers follow the primary. The group watch repeats this for those that
-    /// fail.
+    /// Makes the other servers follow the primary. For a server that fails, the group watch repeats
+    /// this.
     async fn follow(&self, primary: ServerId, term: Term) {
         let address = self.group.in_force.load().group.servers[primary.index()].address;
         for server in (0..self.group.links.len()).map(ServerId::from_index) {
