--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: daemons exchange messages in pairs, so that updates reach all of them without a central
+//! Gossip: daemons exchange messages in pairs, so that updates reach all daemons without a central
 //! sender.
 
 use std::{
@@ -17,7 +17,7 @@
     peers::Peers,
 };
 
-/// Builds this daemon's message for another one.
+/// Builds the gossip message to another daemon.
 pub(crate) fn build_gossip_message(context: &Context, to_host: &str) -> GossipMessage {
     GossipMessage {
         host: context.host().to_string(),
@@ -45,7 +45,7 @@
     demands
 }
 
-/// Applies another daemon's message.
+/// Applies a gossip message from another daemon.
 pub(crate) fn apply_gossip_message(context: &Context, message: &GossipMessage) {
     let sender = {
         let members = context.members.load();
@@ -142,7 +142,8 @@
     match answer {
         Some(Body::Gossip(message)) => {
             apply_gossip_message(context, &message);
-            // A seed may not be listed yet, but its updates are needed.
+            // `apply_gossip_message` ignores a seed that is not in the member list, but its updates are
+            // needed.
             request_updates(context, &message, target.address);
         }
         _ => {
