--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -142,7 +142,7 @@
         self.used_at.lock().elapsed()
     }
 
-    /// Queries a server's status, and records the answer or the silence.
+    /// Queries a server's status, and records the answer or that there was none.
     pub(crate) async fn query_status(
         &self,
         server: ServerId,
@@ -228,7 +228,7 @@
             .collect()
     }
 
-    /// Waits until the evidence is decisive or the deadline passes.
+    /// Queries the other servers until the evidence is decisive or the deadline passes.
     pub(crate) async fn wait_for_evidence(&self, request: EvidenceRequest<'_>) -> Evidence {
         loop {
             match self.query_evidence(&request).await {
@@ -267,7 +267,7 @@
     /// Waits until the primary or the term changes, or the deadline passes. May return earlier.
     pub(crate) async fn wait_for_change(&self, deadline: Instant) {
         let until = tokio::time::Instant::from_std(deadline);
-        // A change between the caller's check and this wait is not notified, so the wait is short.
+        // A change after the caller's last check and before this wait is missed, so the wait is short.
         let until = until.min(tokio::time::Instant::now() + Duration::from_millis(20));
         let _ = tokio::time::timeout_at(until, self.changed.notified()).await;
     }
