--- a/crates/daemon/src/group_view.rs
+++ b/crates/daemon/src/group_view.rs
@@ -30,7 +30,7 @@
     pub(crate) samples: StalenessSamples,
     pub(crate) primary: Option<ServerId>,
     pub(crate) term: Term,
-    /// Until when a planned switch holds new transactions back.
+    /// Until when a planned switch holds back new transactions.
     pub(crate) held_until: Option<Instant>,
     pub(crate) watched_since: Instant,
 }
@@ -66,7 +66,7 @@
         self.update_primary()
     }
 
-    /// Whether a status adds nothing to what is known.
+    /// Whether the last recorded status of a server already covers a status.
     pub(crate) fn is_already_known(&self, server: ServerId, status: &ServerStatus) -> bool {
         let observed = &self.servers[server.index()];
         observed.silent_since.is_none()
@@ -91,8 +91,8 @@
     /// Sets the primary to the server that leads in the newest term. Returns whether the primary or
     /// the term changed.
     ///
-    /// A leader is ignored once a majority is sealed above its term, since no write could be
-    /// acknowledged there.
+    /// A leader is ignored once a majority of the servers is sealed above its term, since none of its
+    /// writes could be acknowledged.
     fn update_primary(&mut self) -> bool {
         let before = (self.primary, self.term);
         let leading = self
@@ -135,7 +135,7 @@
         status.map(|status| status.applied()).unwrap_or_default()
     }
 
-    /// Returns the input for the admission of a write. `usable` says whether the primary may get
+    /// Returns the view from which writes are admitted. `usable` is whether the primary may get new
     /// work.
     pub(crate) fn primary_view(&self, usable: bool, now: Instant) -> PrimaryView {
         let held = self.held_until.is_some_and(|until| until > now);
