--- a/crates/daemon/src/group_watch.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -34,7 +34,7 @@
     let mut watched: HashSet<GroupId> = HashSet::new();
     let mut scanned_version = None;
     loop {
-        // With many groups configured, a scan of all of them is only worth it after a change.
+        // A scan of all configured groups is expensive, so it is done only after a change.
         let version = context.ownership_version();
         if scanned_version.replace(version) != Some(version) {
             load_owned_groups(&context);
@@ -58,8 +58,8 @@
     }
 }
 
-/// Creates the state of the groups that this daemon owns. While no members are known it would own
-/// all groups, and use connections that the real owners need, so it waits.
+/// Creates the state of the groups that this daemon owns. Does nothing while no members are known: the
+/// daemon would own all groups, and take connections from the actual owners.
 fn load_owned_groups(context: &Context) {
     if context.members.load().all().is_empty() {
         return;
@@ -127,7 +127,8 @@
 async fn sample_primary(context: Arc<Context>, group: Arc<GroupState>) {
     while is_held(&context, &group) {
         if group.view.read().primary.is_some() {
-            // A success is recorded as a sample. A failure shows as silence of the servers.
+            // `get` adds a sample on success. On failure, the queries have recorded which servers did
+            // not answer.
             let _ = group.read_index.get().await;
             tokio::time::sleep(heartbeat_of(&group)).await;
         } else {
@@ -137,7 +138,7 @@
 }
 
 /// Queries one server whenever its last answer is older than half a heartbeat. Each server has a
-/// loop of its own, so that a silent one does not delay the others.
+/// loop of its own, so that one that does not answer does not delay the others.
 async fn watch_server(context: Arc<Context>, group: Arc<GroupState>, server: ServerId) {
     while is_held(&context, &group) {
         let heartbeat = heartbeat_of(&group);
@@ -236,8 +237,8 @@
     futures::future::join_all(requests).await
 }
 
-/// Makes servers follow the primary that don't, such as a former primary or one that missed a
-/// failover.
+/// Makes servers that don't follow the primary follow it, such as a former primary or a server that
+/// missed a failover.
 async fn reattach_followers(group: &GroupState, rules: SuspicionRules) {
     let (primary, term, detached) = {
         let view = group.view.read();
@@ -262,7 +263,7 @@
         let outcome = group.run_statement(server, Dialect::follow(term, address)).await;
         log::info!(
             group = group.id.to_string().as_str(), server = server.0, done = outcome.is_ok();
-            "a server was told to follow the primary"
+            "requested a server to follow the primary"
         );
     }
 }
