--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -5,10 +5,11 @@
 use parking_lot::Mutex;
 use peer::{PeerClient, PeerDisconnected};
 
-/// A connection, if one was opened. The lock is held while it is opened, so that it is opened once.
+/// The connection to one daemon, if one was opened. The lock is held during opening, so that concurrent
+/// requests open only one.
 type ConnectionSlot = Arc<tokio::sync::Mutex<Option<Arc<PeerClient>>>>;
 
-/// Connections by address.
+/// Connections to other daemons, by address.
 pub(crate) struct Peers {
     timeout: Duration,
     connections: Mutex<HashMap<SocketAddr, ConnectionSlot>>,
