--- a/crates/daemon/src/planned_switch.rs
+++ b/crates/daemon/src/planned_switch.rs
@@ -51,13 +51,14 @@
     );
 }
 
-/// Only the first owner switches, so that holds of several owners do not interfere.
+/// Whether this daemon is the group's first owner. Only the first owner switches the primary, so that
+/// holds of several owners do not interfere.
 fn is_first_owner(context: &Context, group: &GroupState) -> bool {
     let owners = context.owners_of(&group.in_force.load().group);
     owners.first().is_none_or(|owner| owner.key == context.key)
 }
 
-/// Selects the most advanced server among those that stay.
+/// Selects the server with the highest log point among those that are not leaving.
 fn choose_target(context: &Context, group: &GroupState) -> Option<ServerId> {
     let in_force = group.in_force.load();
     let view = group.view.read();
