--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -259,10 +259,10 @@
         Ok((ticket, answer))
     }
 
-    /// Opens a connection that is already counted.
+    /// Opens a connection that is already counted in `open`.
     async fn open(self: &Arc<ServerPool>) -> Result<PooledConnection, EndpointError> {
         let prepared = self.state.lock().prepared_statements;
-        // Dropping the slot corrects the count if the request is dropped while it connects.
+        // If connecting fails or the request is dropped meanwhile, dropping the slot releases the count.
         let slot = OpeningSlot { pool: self, counted: true };
         let connection = EndpointConnection::open(&self.target, CONNECT_TIMEOUT, prepared).await?;
         slot.keep();
@@ -358,7 +358,8 @@
     .retry_after(QUEUE_RETRY_MS)
 }
 
-/// A waiting request. Dropping it leaves the queue and releases a connection granted too late.
+/// A waiting request. Dropping it removes it from the queue, and releases a connection that was granted
+/// in the meantime.
 struct QueuedRequest<'a> {
     pool: &'a Arc<ServerPool>,
     request: Request,
@@ -399,7 +400,7 @@
     }
 }
 
-/// The counted slot of a connection that is being opened.
+/// The slot of a connection that is being opened, which is counted in `PoolState::open`.
 struct OpeningSlot<'a> {
     pool: &'a Arc<ServerPool>,
     counted: bool,
@@ -419,8 +420,8 @@
     }
 }
 
-/// A connection checked out by a request. Unless it is released it is closed, since answers may be
-/// pending.
+/// A connection checked out by a request. If it is dropped without a release, the connection is closed,
+/// since answers may be pending on it.
 pub(crate) struct PooledConnection {
     pool: Arc<ServerPool>,
     connection: Option<EndpointConnection>,
@@ -431,7 +432,7 @@
     /// Returns the connection.
     ///
     /// # Panics
-    /// Never: the connection is only taken out on release.
+    /// Never: only [`PooledConnection::release`] takes the connection out, and it consumes the guard.
     pub(crate) fn get(&mut self) -> &mut EndpointConnection {
         self.connection.as_mut().expect("the connection is checked out")
     }
