--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -1,5 +1,5 @@
-//! The read index: a position of the primary with evidence that it still leads, shared by all
-//! requests that wait for it.
+//! The read index: a log point of the primary, with evidence from other servers that it still leads.
+//! Requests that wait at the same time share one read index.
 
 use std::{
     sync::{Arc, Weak},
@@ -49,7 +49,8 @@
     }
 }
 
-/// Serves rounds until the group is dropped. Each round starts after its requests were made.
+/// Serves requests in rounds until the group is dropped. A round starts after its requests were made,
+/// so that its result covers every write acknowledged before them.
 pub(crate) async fn serve_rounds(group: Weak<GroupState>, requests: flume::Receiver<IndexReply>) {
     while let Ok(first) = requests.recv_async().await {
         let mut waiting = vec![first];
