--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -33,7 +33,8 @@
     fn drop(&mut self) {
         let client = self.client.clone();
         let session_id = self.session_id;
-        // The owner rolls back at once, rather than when the connection to this daemon ends.
+        // The notification lets the owner roll back at once, rather than when the connection to this
+        // daemon closes.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 let _ = client.notify(Body::Abandon(RelayAbandon { session_id })).await;
@@ -128,7 +129,8 @@
 /// Retry delay for a request that reaches no owner of its group.
 const OWNER_RETRY_MS: u64 = 200;
 
-/// Returns the owners, those of this availability zone first, with sessions spread over equal ones.
+/// Returns the owners, those of this availability zone first. Owners of equal preference are ordered
+/// differently for each session, to spread the load.
 fn owners_by_preference(context: &Context, group: &Group, session_id: u64) -> Vec<Member> {
     let owners = context.owners_of(group);
     let zone = &context.settings.daemon.availability_zone;
@@ -140,7 +142,7 @@
 /// Why a relayed job was not answered.
 struct RelayFailure {
     refusal: Refusal,
-    /// Whether another owner may be tried: nothing ran, or what ran changed nothing.
+    /// Whether another owner may be tried, because nothing ran or only reads did.
     try_next: bool,
 }
 
@@ -190,7 +192,7 @@
     Err(RelayFailure { refusal, try_next })
 }
 
-/// Asks the daemon that runs a session's statement to cancel it.
+/// Requests the daemon that runs a session's statement to cancel it.
 pub(crate) async fn relay_cancel(context: &Context, owner: u64, session_id: u64) {
     let address = context
         .members
@@ -242,7 +244,7 @@
             if session.pinned.lock().await.is_none() {
                 sessions.lock().remove(&key);
             }
-            // If the daemon has disconnected, its sessions end with its connection.
+            // If the requesting daemon has disconnected, `on_disconnect` ends its sessions.
             let _ = reply.send(Body::End(end)).await;
         });
     }
@@ -279,7 +281,7 @@
     }
 }
 
-/// Passes parts of an answer to the daemon that relayed the job.
+/// Forwards the parts of an answer to the daemon that relayed the job.
 struct ReplySink<'a> {
     reply: &'a Reply,
     begun: bool,
