--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -57,7 +57,7 @@
     pub(crate) effects: RequestEffects,
     pub(crate) read_kind: Option<String>,
     pub(crate) traceparent: Option<String>,
-    /// Effects that the daemon handles itself, in order.
+    /// Effects of statements that the daemon runs itself, in order.
     pub(crate) local: Vec<Effect>,
     /// The error that answers the whole request.
     pub(crate) error: Option<RequestError>,
@@ -152,7 +152,7 @@
     portals: HashMap<String, Arc<PreparedStatement>>,
 }
 
-/// Limits the portals of one transaction.
+/// Maximum number of portals of one transaction.
 const MAX_PORTALS: usize = 1_024;
 
 impl ExtendedState {
