--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -1,4 +1,5 @@
-//! Runs a read: determines what it must see, checks the answer, and tries other servers.
+//! Runs a read: determines the log points that it must see, checks the answer, and tries other
+//! servers.
 
 use std::time::Instant;
 
@@ -16,7 +17,7 @@
     read_index::ReadIndexError,
 };
 
-/// Limits the servers that a read is tried on.
+/// Maximum number of servers on which a read is tried.
 const MAX_READ_ATTEMPTS: usize = 4;
 
 /// The outcome of one attempt at a read.
@@ -24,7 +25,7 @@
     Answered(JobResult),
     /// The server was behind, so another one is tried.
     Behind(ServerId),
-    /// The server failed before any part of the answer was passed on, so another one is tried.
+    /// The server failed before any part of the answer was forwarded, so another one is tried.
     Failed(ServerId, Refusal),
 }
 
@@ -186,11 +187,13 @@
                 StatusCheck::Reject
             }
         };
-        let confirm = self.options().untracked_reads == UntrackedReads::Primary
+        let needs_evidence = self.options().untracked_reads == UntrackedReads::Primary
             && !self.job.tracked
             && self.staleness().is_none();
-        let options =
-            RunOptions { probe: Probe::Before, hold_bytes: confirm.then_some(self.hold_bytes()) };
+        let options = RunOptions {
+            probe: Probe::Before,
+            hold_bytes: needs_evidence.then_some(self.hold_bytes()),
+        };
         let started = Instant::now();
         let answer =
             self.run(&mut connection, server, by_replica, options, check_status, sink).await;
@@ -207,7 +210,7 @@
         if answer.rejected {
             return self.rejected(server, read_check, connection, &answer);
         }
-        if confirm && let Some(status) = &answer.status {
+        if needs_evidence && let Some(status) = &answer.status {
             let request = EvidenceRequest {
                 rule: Acknowledge::Term,
                 point: status.held(),
@@ -248,7 +251,7 @@
         connection: PooledConnection,
         answer: &JobAnswer,
     ) -> Result<ReadAttempt, Refusal> {
-        // Dropping the connection ends a read-only transaction that was started on the server.
+        // A connection with an open transaction is dropped, which ends the transaction.
         if answer.transaction == b'I' {
             connection.release();
         }
