--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -1,4 +1,5 @@
-//! Runs a write or a transaction: waits for a primary, and acknowledges writes by evidence.
+//! Runs a write or a transaction: waits for a primary, and acknowledges a write once other servers
+//! confirm it.
 
 use std::time::{Duration, Instant};
 
@@ -79,13 +80,13 @@
                     .as_ref()
                     .is_some_and(|status| !status.leads() || status.log_term != admitted.term);
             if began_on_old_primary && !sink.has_begun() {
-                // Only a transaction was started there, and it ends with the connection.
+                // The former primary only began a transaction, which ends when the connection is dropped.
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
             }
             if self.was_refused_by_sealed_server(&answer) && !sink.has_begun() {
-                // The server refused the statement because it does not lead, so the next primary
-                // may run it.
+                // The server refused the statement because it is not the primary, so the next primary may
+                // run it.
                 let _ = self.group.query_status(server).await;
                 self.wait_or_refuse(self.group.no_primary()).await?;
                 continue;
@@ -136,14 +137,15 @@
         }
     }
 
-    /// Whether a new transaction must see writes that only the primary knows of.
+    /// Whether a new transaction must see all acknowledged writes, which only a confirmed primary has.
     fn needs_read_index(&self) -> bool {
         !self.job.writes
             && !self.job.tracked
             && self.options().untracked_reads != UntrackedReads::Connection
     }
 
-    /// Checks that the primary's term contains the session's writes, which a transaction must see.
+    /// Checks that the history of the primary's term contains the session's writes, since a
+    /// transaction must see them.
     async fn check_session(&self, term: Term) -> Result<(), Refusal> {
         let Some(min_point) = self.min_point() else { return Ok(()) };
         let write_status = self.group.view.read().history.write_status(min_point);
@@ -180,7 +182,7 @@
         Ok(())
     }
 
-    /// Whether the server refused the first statement because it does not lead.
+    /// Whether the server refused the first statement because it is not the primary.
     fn was_refused_by_sealed_server(&self, answer: &JobAnswer) -> bool {
         answer.error_code.as_deref() == Some(READ_ONLY_SERVER)
             && !answer.completed
@@ -199,7 +201,8 @@
         let Some(status) = answer.status.as_ref().filter(|_| !nothing_committed) else {
             return Ok(self.result(server, false, None, &answer));
         };
-        // The write belongs to the term in which it was admitted, even if the server left it since.
+        // The write belongs to the term in which it was admitted, even if the server's term has changed
+        // since.
         let write = LogPoint { term, position: status.held_position };
         let started = Instant::now();
         let wait = Duration::from_millis(self.options().acknowledge_timeout_ms);
@@ -265,7 +268,8 @@
         Ok(self.result(server, pin.by_replica, None, &answer))
     }
 
-    /// If the connection is lost before the commit is sent, the transaction is rolled back.
+    /// Adjusts the verdict on a failed request of a transaction: if the connection is lost before the
+    /// commit is sent, the transaction is rolled back, so nothing ran.
     fn transaction_verdict(&self, refusal: Refusal, commits: bool) -> Refusal {
         if commits {
             return refusal;
