--- a/crates/daemon/src/show.rs
+++ b/crates/daemon/src/show.rs
@@ -33,7 +33,7 @@
     pub callers: u32,
     /// Configured groups that this daemon owns.
     pub groups_to_own: usize,
-    /// The groups that this daemon holds.
+    /// The groups whose state this daemon holds.
     pub groups: Vec<ShowGroup>,
 }
 
@@ -48,7 +48,7 @@
     pub term: u64,
     /// The primary's name, if there is one.
     pub primary: Option<String>,
-    /// Whether a planned switch holds new transactions back.
+    /// Whether a planned switch holds back new transactions.
     pub held: bool,
     /// Requests that wait for a connection.
     pub waiting: u32,
@@ -67,9 +67,9 @@
     pub answers: bool,
     /// Whether it may get new work.
     pub gets_work: bool,
-    /// The position that its reads see.
+    /// The last position that is visible to its reads.
     pub applied_position: u64,
-    /// The position that it holds.
+    /// The last position that it holds.
     pub held_position: u64,
     /// The maximum age of its data, or `None` without a sample.
     pub staleness_ms: Option<u64>,
