--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -54,10 +54,10 @@
 
 /// The share of a window's spare operations that the coordinator may save up.
 const BURST_SHARE: f64 = 0.3;
-/// The share that may be granted and unused.
+/// The share of the spare operations that may be granted and unused.
 const OUTSTANDING_SHARE: f64 = 0.25;
-/// The share for grants without a coordinator. The remaining share covers operations that are delayed on their way to
-/// a server.
+/// The share of the spare operations for grants without a coordinator. The remaining share covers operations that are
+/// delayed on their way to a server.
 const PROVISIONAL_SHARE: f64 = 0.4;
 
 impl WindowRule {
