--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -1,7 +1,7 @@
 //! Election of the limit coordinator among the daemons.
 //!
-//! A vote binds its voter for a time by the voter's clock, and counts for the candidate for slightly less, from the
-//! time of the request. Two coordinators at a time would need a voter that is bound to both. A daemon that starts
+//! A vote binds its voter for a time by the voter's clock, and counts for the candidate for a slightly shorter time
+//! from its request. Two coordinators at a time would need a voter that is bound to both. A daemon that starts
 //! does not know the votes of its former incarnation, so its votes are not granted until those have expired. The
 //! exception is a round in which every member is bound to the candidate.
 
@@ -12,8 +12,8 @@
 
 use model::Name;
 
-/// The share of the members whose votes make a coordinator. Above one half, since daemons may know slightly different
-/// sets of members while some join or leave, and two quorums must still have a voter in common.
+/// The share of the members whose votes make a coordinator. Above one half, since daemons may have slightly different
+/// member lists while hosts join or leave, and two quorums must still have a voter in common.
 const QUORUM_SHARE: f64 = 0.55;
 /// The share of the votes from which a coordinator grants the whole rate. With fewer votes it grants its share of the
 /// rate, and other candidates may grant theirs. A candidate with no more than the remaining share of the votes grants
@@ -66,11 +66,11 @@
 #[derive(Clone, Debug)]
 pub struct Voter {
     times: ElectionTimes,
-    /// Until when votes of a former incarnation may be in force.
+    /// Until when votes of the voter's former incarnation may bind it.
     unknown_votes_until: Instant,
     bound: Option<Bound>,
     supported_at: Option<Instant>,
-    /// The daemon that last announced to be the coordinator, and when, regardless of the vote.
+    /// The daemon that was last announced as the coordinator, and when, regardless of this voter's vote.
     announced: Option<(Name, Instant)>,
 }
 
@@ -131,8 +131,9 @@
 
     /// Releases this voter from a coordinator that has stopped granting quota.
     fn release(&mut self, request: &VoteRequest) -> Vote {
-        let is_same =
-            |it: &VoteRequest| it.host == request.host && it.incarnation == request.incarnation;
+        let is_same = |vote: &VoteRequest| {
+            vote.host == request.host && vote.incarnation == request.incarnation
+        };
         self.bound.take_if(|bound| is_same(&bound.request));
         self.announced.take_if(|(host, _)| *host == request.host);
         Vote::default()
@@ -195,9 +196,9 @@
 
 /// The latest ballot of a voter.
 #[derive(Clone, Debug)]
-struct Counted {
+struct CountedBallot {
     ballot: Ballot,
-    /// Since when the voter's votes have counted without a gap, as of the last tally.
+    /// Since when the voter's granted votes have been valid without a gap; set by the tally.
     since: Option<Instant>,
 }
 
@@ -205,7 +206,7 @@
 #[derive(Clone, Debug)]
 pub struct Candidacy {
     times: ElectionTimes,
-    ballots: HashMap<Name, Counted>,
+    ballots: HashMap<Name, CountedBallot>,
     term: u64,
     /// Since when the candidate has a quorum.
     since: Option<Instant>,
@@ -235,23 +236,27 @@
                 && ballot.requested_at < before.ballot.requested_at + counted_for
         });
         let since = before.and_then(|before| before.since);
-        self.ballots.insert(ballot.host.clone(), Counted { ballot, since });
+        self.ballots.insert(ballot.host.clone(), CountedBallot { ballot, since });
     }
 
     /// Computes until when the votes of these members are valid.
     pub fn tally(&mut self, members: &[Name], now: Instant) {
-        for counted in self.ballots.values_mut().filter(|it| it.ballot.vote.is_granted) {
+        for counted in self.ballots.values_mut().filter(|counted| counted.ballot.vote.is_granted) {
             counted.since.get_or_insert(now);
         }
-        let counted = |ballot: &&Ballot| now < ballot.requested_at + self.times.counted_for;
+        let is_valid = |ballot: &&Ballot| now < ballot.requested_at + self.times.counted_for;
         let ballots = || {
             let answers = members.iter().filter_map(|host| self.ballots.get(host));
-            answers.map(|it| &it.ballot).filter(counted)
+            answers.map(|counted| &counted.ballot).filter(is_valid)
         };
-        let mut granted: Vec<Instant> =
-            ballots().filter(|it| it.vote.is_granted).map(|it| it.requested_at).collect();
-        let bound: Vec<Instant> =
-            ballots().filter(|it| it.vote.is_bound).map(|it| it.requested_at).collect();
+        let mut granted: Vec<Instant> = ballots()
+            .filter(|ballot| ballot.vote.is_granted)
+            .map(|ballot| ballot.requested_at)
+            .collect();
+        let bound: Vec<Instant> = ballots()
+            .filter(|ballot| ballot.vote.is_bound)
+            .map(|ballot| ballot.requested_at)
+            .collect();
         let quorum = (members.len() as f64 * QUORUM_SHARE) as usize + 1;
         granted.sort_unstable();
         let by_quorum = granted.len().checked_sub(quorum).map(|place| granted[place]);
@@ -274,11 +279,13 @@
 
     /// Returns the daemon's current role.
     pub fn state(&self, members: usize, now: Instant) -> ElectionState {
-        let is_valid = |it: &&Counted| now < it.ballot.requested_at + self.times.counted_for;
+        let is_valid =
+            |counted: &&CountedBallot| now < counted.ballot.requested_at + self.times.counted_for;
         let votes = || self.ballots.values().filter(is_valid);
-        let is_granted = |it: &&Counted| it.ballot.vote.is_granted && it.since.is_some();
+        let is_granted =
+            |counted: &&CountedBallot| counted.ballot.vote.is_granted && counted.since.is_some();
         let granted = votes().filter(is_granted).count();
-        let bound = votes().filter(|it| it.ballot.vote.is_bound).count();
+        let bound = votes().filter(|counted| counted.ballot.vote.is_bound).count();
         let has_full_rate = bound >= members || has_full_rate(granted, members);
         if let Some(since) =
             self.full_rate_since.filter(|_| has_full_rate && self.is_coordinator(now))
@@ -286,23 +293,24 @@
             return ElectionState::Coordinator { term: self.term, since };
         }
         let share = granted as f64 / members.max(1) as f64;
-        let since = votes().filter(is_granted).filter_map(|it| it.since).max();
+        let since = votes().filter(is_granted).filter_map(|counted| counted.since).max();
         if let Some(since) = since.filter(|_| share > 1.0 - FULL_RATE_SHARE) {
             return ElectionState::Partial { term: self.term, since, share: share.min(1.0) };
         }
         if self.since.is_some() {
             return ElectionState::None;
         }
-        let supports = votes().filter(|it| it.ballot.vote.is_provisional).count() as f64;
+        let supports = votes().filter(|counted| counted.ballot.vote.is_provisional).count() as f64;
         let parts = supports / members.max(1) as f64;
         ElectionState::Candidate { term: self.term, share: parts.min(1.0) / MAX_USES_PER_WINDOW }
     }
 
     /// Whether many of the members have a valid vote for this candidate. It should not yield then, since the next
-    /// round may reach a quorum, and its voters would stay bound after it yielded.
+    /// round may reach a quorum, and its voters would stay bound after counted yielded.
     pub fn has_many_votes(&self, members: usize, now: Instant) -> bool {
-        let is_bound = |it: &&Counted| {
-            it.ballot.vote.is_bound && now < it.ballot.requested_at + self.times.counted_for
+        let is_bound = |counted: &&CountedBallot| {
+            counted.ballot.vote.is_bound
+                && now < counted.ballot.requested_at + self.times.counted_for
         };
         self.ballots.values().filter(is_bound).count() * MANY_VOTES_DIVISOR > members
     }
@@ -332,9 +340,9 @@
 
 /// Whether a candidate without a quorum yields to another one, given their positions among the voters. The first
 /// position wins.
-pub fn should_yield(own: Option<usize>, other: Option<usize>) -> bool {
-    match (own, other) {
-        (Some(own), Some(other)) => other < own,
+pub fn should_yield(own_position: Option<usize>, other_position: Option<usize>) -> bool {
+    match (own_position, other_position) {
+        (Some(own_position), Some(other_position)) => other_position < own_position,
         // A daemon that is not among the voters can't win.
         (None, Some(_)) => true,
         (_, None) => false,
