--- a/crates/limits/src/held_quota.rs
+++ b/crates/limits/src/held_quota.rs
@@ -5,14 +5,15 @@
     time::{Duration, Instant},
 };
 
-/// The time for which a daemon requests operations ahead, at the current rate. Limits the request rate, and what is
-/// lost when the callers move to other daemons.
+/// A daemon requests quota for this time ahead, at the current rate. The longer it is, the fewer requests are sent, but
+/// the more quota expires unused when the callers move to other daemons.
 const REQUEST_AHEAD: Duration = Duration::from_millis(200);
 /// The next request is sent when this share of the last grant is left.
 const LOW_SHARE: f64 = 0.4;
-/// How long an account must have been at its limit before its operations are refused at once. Covers the start of a
-/// new coordinator, which has no saved tokens.
+/// How long an account must have been at its limit before its operations are refused at once. Longer than a new
+/// coordinator, which has no saved tokens, needs to grant quota.
 const SUSTAINED_AFTER: Duration = Duration::from_millis(250);
+/// Time constant of the moving average of the rate of operations.
 const RATE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Whether an operation may run.
@@ -110,12 +111,12 @@
 
     /// Records that a caller requests an operation.
     pub fn record_demand(&mut self, now: Instant) {
-        let over = RATE_WINDOW.as_secs_f64();
+        let window_s = RATE_WINDOW.as_secs_f64();
         if let Some(last_at) = self.last_at {
             let gap = now.saturating_duration_since(last_at).as_secs_f64();
-            self.rate_per_s *= (-gap / over).exp();
+            self.rate_per_s *= (-gap / window_s).exp();
         }
-        self.rate_per_s += 1.0 / over;
+        self.rate_per_s += 1.0 / window_s;
         self.last_at = Some(now);
     }
 }
