--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -96,7 +96,7 @@
 }
 
 impl AccountLedger {
-    /// Drops the tokens and grants, which belong to another coordinator's term. Provisional grants still count.
+    /// Drops the tokens and grants of the previous term. Provisional grants still count.
     fn begin_term(&mut self) {
         self.tokens = 0.0;
         self.outstanding.clear();
@@ -111,22 +111,22 @@
         now: Instant,
     ) -> Grant {
         let from = self.refilled_at.max(since);
-        let saved = now.saturating_duration_since(from).as_secs_f64() * budget.rate_per_s;
+        let refilled = now.saturating_duration_since(from).as_secs_f64() * budget.rate_per_s;
         self.refilled_at = now.max(from);
         self.outstanding.retain(|_, (_, until)| *until > now);
         // The daemon can't hold more than it was granted.
         let granted = self.outstanding.remove(&request.host).map_or(0, |(count, _)| count);
         let kept = request.unused.min(granted);
-        self.tokens = (self.tokens + saved).min(budget.burst.max(1.0));
+        self.tokens = (self.tokens + refilled).min(budget.burst.max(1.0));
         let outstanding = kept + self.outstanding.values().map(|(count, _)| *count).sum::<u32>();
-        let room = (budget.outstanding - f64::from(outstanding)).max(0.0);
-        let count = self.tokens.min(room).min(f64::from(request.wanted)).floor();
+        let grantable = (budget.outstanding - f64::from(outstanding)).max(0.0);
+        let count = self.tokens.min(grantable).min(f64::from(request.wanted)).floor();
         let count = if count < 1.0 { 0 } else { count as u32 };
         if kept + count > 0 {
             self.outstanding.insert(request.host.clone(), (kept + count, now + lifetime));
         }
         if count == 0 {
-            return Grant::Exhausted(self.time_until_one(budget, outstanding));
+            return Grant::Exhausted(self.expected_wait(budget, outstanding));
         }
         self.tokens -= f64::from(count);
         Grant::Granted(count)
@@ -139,12 +139,12 @@
         share: f64,
         now: Instant,
     ) -> Grant {
-        let most = budget.provisional * share;
-        let passed = now.saturating_duration_since(self.provisional_at).as_secs_f64();
-        let forgotten = most * passed / budget.window.as_secs_f64();
-        self.provisional = (self.provisional - forgotten).max(0.0);
+        let max_provisional = budget.provisional * share;
+        let elapsed = now.saturating_duration_since(self.provisional_at).as_secs_f64();
+        let expired = max_provisional * elapsed / budget.window.as_secs_f64();
+        self.provisional = (self.provisional - expired).max(0.0);
         self.provisional_at = now;
-        let left = most - self.provisional;
+        let left = max_provisional - self.provisional;
         let count = left.min(f64::from(request.wanted)).floor();
         if count < 1.0 {
             return Grant::Exhausted(MIN_WAIT * 4);
@@ -153,12 +153,12 @@
         Grant::Granted(count as u32)
     }
 
-    /// Returns the expected time until another daemon can be granted an operation, after those that request again
-    /// soon.
-    fn time_until_one(&self, budget: &Budget, outstanding: u32) -> Duration {
+    /// Returns the expected time until the requesting daemon can be granted an operation, if the daemons that hold
+    /// quota request more first.
+    fn expected_wait(&self, budget: &Budget, outstanding: u32) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         let seconds = missing / budget.rate_per_s.max(0.001);
-        // Daemons that hold quota are about to request again.
+        // Daemons that hold quota request more before it is used up.
         let others = f64::from(outstanding.min(8)) / budget.rate_per_s.max(0.001);
         let seconds = (seconds + others).min(MAX_WAIT.as_secs_f64());
         Duration::from_secs_f64(seconds).max(MIN_WAIT)
