--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -31,7 +31,7 @@
     Ballot { host: host.clone(), requested_at, vote }
 }
 
-/// A restarted daemon does not know the votes of its former incarnation.
+/// A restarted daemon does not know the votes of its former incarnation, which may still bind it.
 #[test]
 fn a_voter_is_bound_to_one_candidate_at_a_time_across_restarts() {
     let start = Instant::now();
@@ -45,7 +45,7 @@
     assert!(!voter.vote(&request("b", 1), true, start + ms(1_050)).is_bound);
     let later = voter.vote(&request("b", 1), true, start + ms(1_150));
     assert!(later.is_bound && later.is_granted);
-    // Other daemons don't count a daemon that is not a member by its own clock.
+    // A daemon whose membership lease has expired by its own clock does not vote.
     assert_eq!(voter.vote(&request("b", 1), false, start + ms(1_200)), Vote::default());
 }
 
@@ -109,9 +109,9 @@
         assert_eq!(granted, share_of_rate, "{old} {new}");
         assert!(!candidacy.is_coordinator(now + ms(570)), "{old} {new}");
         let late = candidacy.state(9, now + ms(570));
-        let lends_late =
+        let grants_late =
             matches!(late, ElectionState::Coordinator { .. } | ElectionState::Partial { .. });
-        assert!(!lends_late, "{old} {new}: {late:?}");
+        assert!(!grants_late, "{old} {new}: {late:?}");
     }
 }
 
