--- a/crates/overload/src/account_retry_budget.rs
+++ b/crates/overload/src/account_retry_budget.rs
@@ -8,7 +8,7 @@
 
 use crate::rank::{RANKS, Rank};
 
-/// Tokens earned by a success: under sustained overload one of ten operations may be retried.
+/// Tokens earned by a success. Under sustained overload, this allows one retry for ten operations.
 const TOKENS_PER_SUCCESS: u32 = 10;
 const TOKENS_PER_RETRY: u32 = 100;
 /// Maximum number of tokens of an account at a rank.
@@ -50,7 +50,7 @@
         *tokens = (*tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
-    /// Whether an operation that has been sent `sent` times may be sent again. Spends the tokens for it.
+    /// Whether an operation that has been sent `sent` times may be sent again. Spends the tokens for the retry.
     pub fn may_retry(
         &mut self,
         account: &Arc<str>,
