--- a/crates/overload/src/circuit.rs
+++ b/crates/overload/src/circuit.rs
@@ -7,7 +7,8 @@
 
 /// How long the circuit stays open the first time.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
-/// Maximum time that the circuit stays open. A path that works again is used before callers run out of retries.
+/// Maximum time that the circuit stays open. Short enough that a path that works again is used before callers run
+/// out of retries.
 const MAX_OPEN_TIME: Duration = Duration::from_millis(800);
 /// A circuit that was closed for this long starts again with the minimum open time; otherwise the open time doubles.
 const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(5);
@@ -17,7 +18,7 @@
 const MIN_FAILURES: u32 = 4;
 /// Minimum share of failures that opens the circuit, in percent.
 const FAILURE_PERCENT: u32 = 40;
-/// The outcomes are dropped after this time without another one.
+/// The recorded outcomes are discarded if no further outcome is recorded for this time.
 const WINDOW_EXPIRES_AFTER: Duration = Duration::from_secs(2);
 /// Interval between the first two probes of a half-open circuit. It halves with each successful probe.
 const FIRST_PROBE_INTERVAL: Duration = Duration::from_millis(80);
@@ -31,7 +32,7 @@
     Answered,
     /// There was no answer, or one that says that the server failed.
     Failed,
-    /// The end of the hop can't reach the next one. Opens the circuit at once.
+    /// The receiving end of the hop reports that it can't reach the next hop. Opens the circuit at once.
     Refused,
 }
 
@@ -47,11 +48,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Closed,
-    /// No request passes before this time.
+    /// No request is sent on the path before this time.
     Open {
         until: Instant,
     },
-    /// The next probe passes at this time, even if the last one has no outcome yet, so that a lost probe does not
+    /// The next probe is sent at this time, even if the last one has no outcome yet, so that a lost probe does not
     /// block the path.
     HalfOpen {
         next_at: Instant,
@@ -120,8 +121,8 @@
                 self.record(outcome == PathOutcome::Failed, now);
                 self.exceeds_threshold().then(|| self.open(now))
             }
-            // The request was sent before the circuit opened. An outcome that arrives after the next probe has passed
-            // counts as that probe's.
+            // The request was sent before the circuit opened, so its outcome is ignored. After a probe was sent, a late
+            // outcome can't be distinguished from the probe's and counts as such.
             (State::Open { .. }, _) => None,
             (State::HalfOpen { next_at, succeeded }, PathOutcome::Answered) => {
                 let succeeded = succeeded + 1;
