--- a/crates/overload/src/concurrency.rs
+++ b/crates/overload/src/concurrency.rs
@@ -4,9 +4,9 @@
 
 use crate::rank::{RANKS, Rank};
 
-/// Slots per extra statement beyond the slots: without extra statements, a slot is idle for the round trip between an
-/// answer and the next statement.
-const SLOTS_PER_SPARE: u32 = 4;
+/// One statement beyond the slots is admitted for this many slots. It waits inside the server, so that a slot is not
+/// idle for the round trip between an answer and the next statement.
+const SLOTS_PER_EXTRA_STATEMENT: u32 = 4;
 /// Weight of a new sample in the moving average of service times.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
 /// Relative increase of the minimum average with each finished statement, so that it follows a server whose
@@ -24,8 +24,8 @@
     min_us: f64,
 }
 
-/// A gradient limit that follows the service time. Statements that queue inside the server would not be ordered by
-/// priority.
+/// A gradient limit on the statements inside a server: it falls when the service time rises, since statements that
+/// queue inside the server are not ordered by priority.
 ///
 /// The limit never falls below the daemon's share of the server's slots, since a slow statement looks the same as a
 /// queued one.
@@ -71,12 +71,12 @@
 
     /// Returns the average service time of a rank, or the mean of the other ranks if it has no samples.
     pub(crate) fn expected_us(&self, rank: Rank) -> u64 {
-        let own = self.times[rank.index()].average_us;
-        if own > 0.0 {
-            return own as u64;
+        let average_us_of_rank = self.times[rank.index()].average_us;
+        if average_us_of_rank > 0.0 {
+            return average_us_of_rank as u64;
         }
-        let known = self.times.iter().map(|times| times.average_us).filter(|us| *us > 0.0);
-        let (sum, count) = known.fold((0.0, 0), |(sum, count), us| (sum + us, count + 1));
+        let measured = self.times.iter().map(|times| times.average_us).filter(|us| *us > 0.0);
+        let (sum, count) = measured.fold((0.0, 0), |(sum, count), us| (sum + us, count + 1));
         if count == 0 { 0 } else { (sum / f64::from(count)) as u64 }
     }
 
@@ -105,6 +105,6 @@
     }
 
     fn max_limit(&self) -> u32 {
-        self.slots + self.slots.div_ceil(SLOTS_PER_SPARE)
+        self.slots + self.slots.div_ceil(SLOTS_PER_EXTRA_STATEMENT)
     }
 }
