--- a/crates/overload/src/demand.rs
+++ b/crates/overload/src/demand.rs
@@ -6,12 +6,12 @@
 
 use crate::decaying::DecayingSums;
 
-/// Half-life of recorded demand: covers many statements of a busy account, and forgets a burst soon after its end.
+/// Half-life of recorded demand: covers many statements of a busy account, and discounts a burst soon after its end.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 /// An account is heavy only if it requests more than this fraction (1/n) of the server.
 const HEAVY_SLOTS_DIVISOR: f64 = 4.0;
-/// An account is heavy only if it also requests more than this multiple of the mean, so that no account is heavy if
-/// all of them request much.
+/// An account is heavy only if it also requests more than this multiple of the mean, so that no account is heavy
+/// while all of them request equally much.
 const HEAVY_MEAN_FACTOR: f64 = 3.0;
 /// Accounts with less recent work than this, in microseconds, don't count in the mean.
 const NEGLIGIBLE_US: f64 = 1_000.0;
