--- a/crates/overload/src/hold.rs
+++ b/crates/overload/src/hold.rs
@@ -1,8 +1,8 @@
 //! Decides whether a statement is held until the end of an outage, such as a change of primary.
 //!
 //! A statement that is refused shortly before the end of an outage wastes one of its caller's few retries; one that
-//! is held in vain loses time in which another daemon could answer it. So a statement is held only if the outage is
-//! expected, by the lengths of earlier ones, to end within the statement's limits.
+//! is held and then refused loses time in which another daemon could answer it. So a statement is held only if the
+//! outage is expected, by the lengths of earlier ones, to end within the statement's limits.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -25,13 +25,13 @@
 const MAX_UNOBSERVED: Duration = Duration::from_millis(250);
 /// Time without observations after which a further outage of the same kind counts as a new one.
 const SAME_OUTAGE_WITHIN: Duration = Duration::from_secs(2);
-/// Minimum wait before the estimate is checked again.
+/// Minimum wait before the remaining time is estimated again.
 const MIN_WAIT: Duration = Duration::from_millis(20);
 /// The release of held statements is spread over this share of the latency target; the rest is left for the servers
 /// to answer.
 const RELEASE_TARGET_SHARE: f64 = 0.25;
 
-/// Why a statement can't run now.
+/// The kind of an outage, which is why a statement can't run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
     /// A working primary is being replaced.
@@ -92,9 +92,9 @@
     /// Returns the expected remaining time of an outage: the median of the past ones that lasted longer than it has
     /// so far, or its elapsed time if there are none.
     pub fn remaining(&self, outage: Outage, elapsed: Duration) -> Duration {
-        let seen = self.lengths[outage as usize].iter().copied();
+        let recorded = self.lengths[outage as usize].iter().copied();
         let mut longer: Vec<Duration> =
-            seen.chain([outage.typical_length()]).filter(|length| *length > elapsed).collect();
+            recorded.chain([outage.typical_length()]).filter(|length| *length > elapsed).collect();
         longer.sort_unstable();
         match longer.get(longer.len() / 2) {
             Some(length) => *length - elapsed,
