--- a/crates/overload/src/load_report.rs
+++ b/crates/overload/src/load_report.rs
@@ -30,7 +30,8 @@
 }
 
 impl AgedReport {
-    /// Returns the expected wait of a statement: the reported wait, halved for each [`HALF_LIFE`] since.
+    /// Returns the expected wait of a statement: the reported wait, halved for each [`HALF_LIFE`] since the report was
+    /// received.
     pub fn expected_wait(&self, rank: Rank, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.received_at);
         let halvings = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
