--- a/crates/overload/src/retry_delay.rs
+++ b/crates/overload/src/retry_delay.rs
@@ -26,8 +26,8 @@
 }
 
 impl RetryDelay {
-    /// Returns the delay before a retry if the wait is expected to take `expected`. `draw` is a random number in [0,
-    /// 1).
+    /// Returns the delay before a retry if the wait is expected to take `expected`. `draw` is a random number in
+    /// [0, 1).
     pub fn for_wait(&self, expected: Duration, draw: f64) -> Duration {
         let max_delay = self.timeout.mul_f64(MAX_DELAY_SHARE);
         add_jitter(expected.min(max_delay), draw)
