--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -42,11 +42,11 @@
 /// What a statement needs in addition to a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// A connection, which is released together with the slot.
+    /// A connection, which the statement releases together with its slot.
     SingleStatement,
-    /// A connection, which is kept until the end of the transaction.
+    /// A connection, which is kept until the end of the transaction that the statement begins.
     OpensTransaction,
-    /// Nothing, since its transaction has a connection.
+    /// Nothing, since its open transaction holds a connection.
     InTransaction,
 }
 
@@ -83,12 +83,12 @@
     },
     /// The statement is refused because it would not start in time. It was not run.
     Refused {
-        /// Expected time until a slot is free. Does not consider when a connection is released.
+        /// Expected time until a slot is free. The wait for a free connection is not included.
         retry_after: Duration,
     },
 }
 
-/// The next event after a slot or a connection has been released.
+/// The next change of the queue after a slot or a connection has been released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// This statement starts. Call again.
@@ -113,8 +113,9 @@
 /// The order in which statements start, the smallest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Order {
-    step: usize,
-    /// Whether the statement does not belong to an open transaction. Those of open transactions go first.
+    /// The index of the statement's rank, adjusted by [`WorkQueue::order_of`].
+    effective_rank: usize,
+    /// Whether the statement is not part of an open transaction. Statements of open transactions start first.
     is_new: bool,
     start_tag: u64,
     until: Instant,
@@ -142,7 +143,7 @@
     waiters: Vec<Waiter>,
     next_ticket: u64,
     started: u32,
-    /// Recently started work in microseconds, by [`Order::step`].
+    /// Recently started work in microseconds, by [`Order::effective_rank`].
     started_us: [f64; RANKS],
     /// When a statement last started or finished.
     last_progress_at: Option<Instant>,
@@ -173,7 +174,7 @@
         self.connections = capacity.connections.max(1);
     }
 
-    /// Adds a statement. A statement never waits while what it needs is free.
+    /// Adds a statement. It starts at once if its slot and connection are free and no waiting statement can start.
     pub fn offer(&mut self, request: Request, now: Instant) -> OfferResult {
         let cost_us = self.limit.expected_us(request.rank);
         let order = self.order_of(&request, cost_us, now);
@@ -184,12 +185,12 @@
         }
         let ahead = self.waiters.iter().filter(|other| other.order < waiter.order);
         let ahead_us: u64 = ahead.map(|other| other.cost_us).sum();
-        let share_left = 1.0 - self.overtaken_share(waiter.order.step);
+        let share_left = 1.0 - self.overtaken_share(waiter.order.effective_rank);
         let wait = self.drain_time((ahead_us as f64 / share_left) as u64, now);
         if now + wait >= waiter.request.until {
             return self.refuse(&waiter, now);
         }
-        let last = self.last_behind(&waiter);
+        let last = self.displaceable(&waiter);
         if self.waiters.len() >= MAX_WAITING && last.is_none() {
             return self.refuse(&waiter, now);
         }
@@ -212,10 +213,10 @@
         Next::Begin(waiter.order.ticket, waiter.request)
     }
 
-    /// Removes a waiting statement; `false` if it does not wait here.
+    /// Removes a waiting statement; `false` if it is not in the queue.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
-        let place = self.waiters.iter().position(|waiter| waiter.order.ticket == ticket);
-        place.map(|index| self.remove(index)).is_some()
+        let index = self.waiters.iter().position(|waiter| waiter.order.ticket == ticket);
+        index.map(|index| self.remove(index)).is_some()
     }
 
     /// Records that a statement has released its slot. `took` is its service time if it was answered.
@@ -253,7 +254,8 @@
         if self.waiters.is_empty() && self.running < self.limit.get() {
             return Duration::ZERO;
         }
-        let ahead = self.waiters.iter().filter(|waiter| waiter.order.step <= rank.index());
+        let ahead =
+            self.waiters.iter().filter(|waiter| waiter.order.effective_rank <= rank.index());
         self.drain_time(ahead.map(|waiter| waiter.cost_us).sum(), now)
     }
 
@@ -286,9 +288,9 @@
         self.limit.get()
     }
 
-    /// Computes the position of a statement. Statements of an open transaction count as one step more urgent, since
-    /// they free what the transaction occupies. Those of a heavy account count as one step less urgent, so
-    /// that they don't displace less urgent statements of others.
+    /// Computes the order of a statement. Statements of an open transaction count as one rank more urgent, since they
+    /// lead to the release of its connection. Those of a heavy account count as one rank less urgent, so that they
+    /// don't displace less urgent statements of other accounts.
     fn order_of(&mut self, request: &Request, cost_us: u64, now: Instant) -> Order {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -296,9 +298,9 @@
         let slots = self.limit.slots();
         let is_heavy =
             request.has_account() && self.demand.add(&request.account, cost_us, slots, now);
-        let step = request.rank.index() + usize::from(is_heavy);
+        let effective_rank = request.rank.index() + usize::from(is_heavy);
         Order {
-            step: step.saturating_sub(usize::from(continues)).min(RANKS - 1),
+            effective_rank: effective_rank.saturating_sub(usize::from(continues)).min(RANKS - 1),
             is_new: !continues,
             start_tag: self.fair_queues[request.rank.index()].start_tag(&request.account, cost_us),
             until: request.until,
@@ -322,10 +324,11 @@
     /// Whether another transaction leaves enough connections to others.
     fn may_open_transaction(&self, request: &Request) -> bool {
         let open: u32 = self.transactions.values().sum();
-        let own = self.transactions.get(&request.account).copied().unwrap_or(0);
+        let of_account = self.transactions.get(&request.account).copied().unwrap_or(0);
         let reserved = self.connections / RESERVED_DIVISOR;
         let max_per_account = self.connections.div_ceil(ACCOUNT_TRANSACTIONS_DIVISOR);
-        open < self.connections - reserved && (!request.has_account() || own < max_per_account)
+        open < self.connections - reserved
+            && (!request.has_account() || of_account < max_per_account)
     }
 
     fn can_any_waiter_begin(&self) -> bool {
@@ -333,19 +336,21 @@
     }
 
     fn choose(&self) -> Option<usize> {
-        let able = self.waiters.iter().enumerate();
-        let able = able.filter(|(_, waiter)| self.may_begin(&waiter.request));
+        let waiters = self.waiters.iter().enumerate();
+        let startable = waiters.filter(|(_, waiter)| self.may_begin(&waiter.request));
         if self.started % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1 {
-            return able.min_by_key(|(_, waiter)| waiter.order.ticket).map(|(index, _)| index);
+            return startable.min_by_key(|(_, waiter)| waiter.order.ticket).map(|(index, _)| index);
         }
-        let (_, first) = able.clone().min_by_key(|(_, waiter)| waiter.order)?;
+        let (_, first) = startable.clone().min_by_key(|(_, waiter)| waiter.order)?;
         // Fair queueing selects the account; of its statements, the one with the earliest deadline goes first.
-        let own = able.filter(|(_, waiter)| {
+        let of_account = startable.filter(|(_, waiter)| {
             waiter.request.account == first.request.account
-                && (waiter.order.step, waiter.order.is_new)
-                    == (first.order.step, first.order.is_new)
+                && (waiter.order.effective_rank, waiter.order.is_new)
+                    == (first.order.effective_rank, first.order.is_new)
         });
-        own.min_by_key(|(_, waiter)| (waiter.request.until, waiter.order)).map(|(index, _)| index)
+        of_account
+            .min_by_key(|(_, waiter)| (waiter.request.until, waiter.order))
+            .map(|(index, _)| index)
     }
 
     fn begin(&mut self, waiter: &Waiter, now: Instant) {
@@ -355,7 +360,7 @@
         for started_us in &mut self.started_us {
             *started_us *= 1.0 - 1.0 / STARTED_WINDOW;
         }
-        self.started_us[waiter.order.step] += waiter.cost_us as f64;
+        self.started_us[waiter.order.effective_rank] += waiter.cost_us as f64;
         self.fair_queues[waiter.request.rank.index()].on_begin(waiter.order.start_tag);
         match waiter.request.stage {
             Stage::InTransaction => {}
@@ -373,14 +378,16 @@
         OfferResult::Refused { retry_after: wait.max(Duration::from_millis(1)) }
     }
 
-    /// Returns the last waiting statement if it goes after the new one and does not belong to an open transaction.
-    fn last_behind(&self, newcomer: &Waiter) -> Option<usize> {
-        let places = self.waiters.iter().enumerate();
-        let (index, last) = places.max_by_key(|(_, waiter)| waiter.order)?;
-        (last.order.is_new && last.order > newcomer.order).then_some(index)
+    /// Returns the index of the last waiting statement if it starts after the new one and is not part of an open
+    /// transaction, so that the new one may displace it.
+    fn displaceable(&self, new: &Waiter) -> Option<usize> {
+        let waiters = self.waiters.iter().enumerate();
+        let (index, last) = waiters.max_by_key(|(_, waiter)| waiter.order)?;
+        (last.order.is_new && last.order > new.order).then_some(index)
     }
 
-    /// Whether the last statement is to be removed: there are too many, or it would not start in time any more.
+    /// Whether the last statement is to be removed: the queue is too long, or the statement would no longer start in
+    /// time.
     fn must_be_displaced(&self, last: usize, now: Instant) -> bool {
         let all_us: u64 = self.waiters.iter().map(|waiter| waiter.cost_us).sum();
         let last = &self.waiters[last];
@@ -394,10 +401,10 @@
         waiter
     }
 
-    /// Returns the share of recently started work that went before a step.
-    fn overtaken_share(&self, step: usize) -> f64 {
+    /// Returns the share of recently started work that was more urgent than an effective rank.
+    fn overtaken_share(&self, effective_rank: usize) -> f64 {
         let all: f64 = self.started_us.iter().sum();
-        let before: f64 = self.started_us[..step].iter().sum();
+        let before: f64 = self.started_us[..effective_rank].iter().sum();
         if all > 0.0 { (before / all).min(MAX_OVERTAKEN_SHARE) } else { 0.0 }
     }
 
