--- a/crates/overload/tests/account_retry_budget.rs
+++ b/crates/overload/tests/account_retry_budget.rs
@@ -7,7 +7,7 @@
     account_retry_budget::{AccountRetryBudget, RetryCause},
 };
 
-/// Sustained demand at twice the capacity: every second attempt is refused.
+/// At twice the capacity, where every second attempt is refused, retries must not multiply the load.
 #[test]
 fn under_double_load_at_most_a_tenth_is_retried() {
     let mut budget = AccountRetryBudget::default();
