--- a/crates/overload/tests/connection_grant.rs
+++ b/crates/overload/tests/connection_grant.rs
@@ -4,7 +4,7 @@
 
 use overload::{AfterRefusal, ConnectionGrant};
 
-/// A server that still counts the connections of a daemon's former incarnation must not be asked again in vain.
+/// While a server still counts the connections of a daemon's former incarnation, further attempts would be refused too.
 #[test]
 fn no_connection_beyond_the_refused_number_is_opened_for_a_second() {
     let now = Instant::now();
