--- a/crates/overload/tests/hold.rs
+++ b/crates/overload/tests/hold.rs
@@ -65,7 +65,7 @@
     (0..600).map(arrive).collect()
 }
 
-/// 1,000 statements per second during a change of primary that takes 0.6 s.
+/// During a planned change, statements with enough time are held; urgent ones must be released first.
 #[test]
 fn statements_with_enough_time_are_held_and_released_by_rank() {
     let t0 = Instant::now();
@@ -92,7 +92,7 @@
     assert!(at_once <= 1, "{at_once} are released at once");
 }
 
-/// The statements of the same load whose limits don't allow waiting.
+/// Refused statements must not be retried during the change or all at the same time.
 #[test]
 fn refused_statements_are_retried_after_the_end_and_not_all_at_once() {
     let t0 = Instant::now();
@@ -102,7 +102,7 @@
     let mut retries: Vec<Duration> = Vec::new();
     for arrival in &arrivals {
         let Some(at) = arrival.retries_at else { continue };
-        assert!(at >= over_at, "told to retry before the end");
+        assert!(at >= over_at, "the retry is scheduled before the end of the outage");
         retries.push(at - over_at);
     }
     assert!(retries.len() >= 100, "only {} were refused", retries.len());
