--- a/crates/overload/tests/retry_delay.rs
+++ b/crates/overload/tests/retry_delay.rs
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-/// 500 callers are refused at once, 0.5 s before they can be served.
+/// Callers that are refused at the same time must not retry at the same time.
 #[test]
 fn retries_of_callers_refused_together_are_spread() {
     let mut rng = StdRng::seed_from_u64(11);
