--- a/crates/overload/tests/work_queue.rs
+++ b/crates/overload/tests/work_queue.rs
@@ -1,7 +1,7 @@
 //! Tests of the queue in front of a server: which statements start, and what each rank and account gets under load.
 //!
-//! Loads run against a simulated server with random arrivals from fixed seeds. Required are nine tenths of the
-//! possible throughput under any load, and no effect on accounts that did not cause the load.
+//! Loads run against a simulated server with random arrivals from fixed seeds. Under any load the server must reach
+//! nine tenths of its possible throughput, and accounts that did not cause the overload must not be affected.
 
 use std::{
     collections::{BTreeMap, BinaryHeap, HashMap},
@@ -204,9 +204,9 @@
         self.by_rank.values().map(|served| served.work).sum()
     }
 
-    fn note(&mut self, request: &Request, note: impl Fn(&mut Served)) {
-        note(self.by_rank.entry(request.rank.index()).or_default());
-        note(self.by_account.entry(request.account.clone()).or_default());
+    fn record(&mut self, request: &Request, record: impl Fn(&mut Served)) {
+        record(self.by_rank.entry(request.rank.index()).or_default());
+        record(self.by_account.entry(request.account.clone()).or_default());
     }
 }
 
@@ -275,7 +275,7 @@
     }
 
     fn arrive(&mut self, request: Request, work: Duration, now: Instant) {
-        self.outcome.note(&request, |served| served.offered += 1);
+        self.outcome.record(&request, |served| served.offered += 1);
         match self.queue.offer(request.clone(), now) {
             OfferResult::Begin => self.begin(request, work, now, now),
             OfferResult::Queued { ticket, displaced } => {
@@ -291,7 +291,7 @@
         let begins = (*slot).max(now);
         *slot = begins + work;
         self.ends.push(std::cmp::Reverse((*slot, self.inside.len())));
-        self.outcome.note(&request, |served| {
+        self.outcome.record(&request, |served| {
             served.started += 1;
             served.work += work;
             served.longest_wait = served.longest_wait.max(begins - since);
@@ -317,7 +317,7 @@
                 Next::Nothing => return,
                 Next::Expired(ticket) => {
                     let (request, ..) = self.waiting.remove(&ticket).expect("it waited");
-                    self.outcome.note(&request, |served| served.expired += 1);
+                    self.outcome.record(&request, |served| served.expired += 1);
                 }
                 Next::Begin(ticket, _) => {
                     let (request, work, since) = self.waiting.remove(&ticket).expect("it waited");
