--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -37,7 +37,7 @@
 /// The receivers of answers, by request id.
 type PendingRequests = Arc<Mutex<HashMap<u64, flume::Sender<Body>>>>;
 
-/// A connection on which this daemon sends requests and another answers them.
+/// A connection on which this daemon sends requests and another daemon answers them.
 #[derive(Debug)]
 pub struct PeerClient {
     outgoing: flume::Sender<Envelope>,
@@ -171,7 +171,7 @@
     }
 }
 
-/// The size of the buffer at which encoded frames are written before more are encoded.
+/// No further frames are encoded into a batch once it has this size.
 const WRITE_BATCH_BYTES: usize = 256 * 1024;
 
 /// Writes queued frames until the queue or the socket closes, in batches if several are waiting.
@@ -197,6 +197,6 @@
     let length = envelope.encoded_len();
     buffer.reserve(length + size_of::<u32>());
     buffer.extend_from_slice(&(length as u32).to_be_bytes());
-    // Encoding into a growing buffer can't run out of room.
+    // Encoding can't fail, since the buffer grows as needed.
     let _ = envelope.encode(buffer);
 }
