--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between wardtiller daemons.
 //!
 //! A daemon sends its requests to another daemon over one connection that it opened. Frames are length delimited by
-//! `tokio-util` and hold one `prost` [`Envelope`]. Requests carry ids, so late and reordered answers are matched to their
-//! request or dropped. `docs/PEERS.md` lists the messages.
+//! `tokio-util` and hold one `prost` [`Envelope`]. Requests carry ids, so late and reordered answers are matched to
+//! their request or dropped. `docs/PEERS.md` lists the messages.
 
 mod client;
 mod messages;
