--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -44,7 +44,7 @@
     /// The view of a group's primary.
     #[prost(message, tag = "9")]
     ViewAnswer(ViewAnswer),
-    /// The sender's versions and state; answered by those of the receiver.
+    /// The sender's versions and state; the receiver answers with its own.
     #[prost(message, tag = "10")]
     Gossip(GossipMessage),
     /// Asks for the head of the configuration in force.
@@ -155,7 +155,7 @@
     /// The group.
     #[prost(string, tag = "3")]
     pub group: String,
-    /// The user, between whom capacity is shared fairly.
+    /// The user; capacity is shared fairly among users.
     #[prost(string, tag = "4")]
     pub user: String,
     /// The log point that the session must see in this group.
