--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -69,7 +69,7 @@
     connection_id: u64,
     handler: Arc<H>,
 ) {
-    // Avoids that small answers wait for acknowledgements. A failure only costs latency.
+    // Without this, small answers are delayed until earlier ones are acknowledged. A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let (outgoing, queue) = flume::bounded(OUTGOING_QUEUE_FRAMES);
