--- a/crates/routing/src/connection_share.rs
+++ b/crates/routing/src/connection_share.rs
@@ -11,9 +11,9 @@
 
 /// Returns how many of a server's `limit` connections the owner `own` may hold.
 ///
-/// Each owner is guaranteed an equal part of the limit. What an owner does not want of its part is
-/// divided evenly among owners that want more, and the remainder goes to the first ones in order. Owners
-/// that know the same demands compute shares whose sum is at most the limit. While their copies differ,
+/// Each owner is guaranteed an equal part of the limit. Connections that an owner does not want of its
+/// part are divided evenly among owners that want more; the remainder goes to the first owners in order.
+/// Owners with the same demands compute shares whose sum is at most the limit. While their demands differ,
 /// the server enforces its limit; a request whose connection it refuses has not run.
 pub fn connection_share(limit: u32, own: Demand, others: &[Demand]) -> u32 {
     let mut demands = Vec::with_capacity(others.len() + 1);
