--- a/crates/routing/src/ownership.rs
+++ b/crates/routing/src/ownership.rs
@@ -6,13 +6,13 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Owners of one server in each zone: the first one is used, the second one while the first does not answer.
+/// Number of owners of one server in each zone. The second owner is used while the first one does not answer.
 pub const OWNERS_PER_ZONE: usize = 2;
-/// Owners use the connections that a server grants divided by this. The rest is for connections of stopped daemons that
-/// the server still counts, and for the commands of a promoter.
+/// All owners together use this fraction (1/n) of the connections that a server grants. The rest is for connections of
+/// stopped daemons that the server still counts, and for the commands of a promoter.
 const OWNED_DIVISOR: u32 = 2;
-/// The most connections to one server that an owner keeps. It exceeds the number of statements that a server runs at a
-/// time, so that idle open transactions don't block other statements.
+/// Maximum number of connections to one server that an owner keeps. Above the number of statements that a server runs
+/// at a time, so that idle open transactions don't block other statements.
 const MAX_OWNED: u32 = 8;
 
 /// Chooses the owners of a server among the hosts of a zone by rendezvous hashing, best first.
