--- a/crates/routing/src/read_route.rs
+++ b/crates/routing/src/read_route.rs
@@ -11,7 +11,7 @@
 pub struct Candidate {
     /// The server.
     pub server: ServerId,
-    /// Whether the server may get new work: it answers and is not leaving.
+    /// Whether the server may get new work, because it answers and is not leaving.
     pub usable: bool,
     /// Whether the server is the group's last known primary.
     pub primary: bool,
@@ -49,7 +49,7 @@
     Replica(ServerId),
     /// The primary, by policy or because no eligible replica is known to be fresh enough.
     Primary(ServerId),
-    /// No server: none that may get work is known to be fresh enough.
+    /// No server that may get new work is known to be fresh enough.
     NoServer,
 }
 
