--- a/crates/routing/src/write_route.rs
+++ b/crates/routing/src/write_route.rs
@@ -48,7 +48,7 @@
 
 /// Decides whether a write runs now.
 ///
-/// A write that runs but can't be acknowledged leaves the caller without knowledge of its effect. So it
+/// If a write runs but can't be acknowledged, its caller does not know whether it took effect. So a write
 /// does not run while too few servers answer to confirm it or, if operators configure this, while the
 /// replicas are behind.
 pub fn route_write(rules: WriteRules, view: &PrimaryView) -> WriteRoute {
