--- a/crates/session/src/requirement.rs
+++ b/crates/session/src/requirement.rs
@@ -26,29 +26,29 @@
 
 /// Checks the status that a server sent before a read's answer, on the same connection.
 ///
-/// `known` is the daemon's copy of the term history. The server's own history is checked as well, since
-/// either can be newer. A server with a log of an older term never satisfies a point of a newer term,
+/// `daemon_history` is the daemon's copy of the term history. The history in the status is checked as well,
+/// since either can be newer. A server with a log of an older term never satisfies a point of a newer term,
 /// whatever its position.
 pub fn check_read(
     requirement: ReadRequirement,
     status: &ServerStatus,
-    known: &TermHistory,
+    daemon_history: &TermHistory,
 ) -> ReadCheck {
-    let history = TermHistory::new(status.term_starts.clone());
+    let server_history = TermHistory::new(status.term_starts.clone());
     if let Some(point) = requirement.session {
-        if known.write_status(point) == WriteStatus::Lost
-            || history.write_status(point) == WriteStatus::Lost
+        if daemon_history.write_status(point) == WriteStatus::Lost
+            || server_history.write_status(point) == WriteStatus::Lost
         {
             return ReadCheck::Lost;
         }
-        if !reaches(point, status, &history) {
+        if !reaches(point, status, &server_history) {
             return ReadCheck::Behind;
         }
     }
-    // A sample may include unacknowledged writes that a promotion dropped, which no server will ever
-    // have. The start of the later term is the end of what was kept.
-    match requirement.freshness.map(|point| history.clamp(point)) {
-        Some(point) if !reaches(point, status, &history) => ReadCheck::Behind,
+    // A sample may include unacknowledged writes that a later promotion dropped. No server will ever have
+    // them, so the point is limited to the position at which the later term began.
+    match requirement.freshness.map(|point| server_history.clamp(point)) {
+        Some(point) if !reaches(point, status, &server_history) => ReadCheck::Behind,
         _ => ReadCheck::Sufficient,
     }
 }
