--- a/crates/session/src/staleness.rs
+++ b/crates/session/src/staleness.rs
@@ -61,11 +61,11 @@
         if self.samples.len() <= self.capacity {
             return;
         }
-        let recent = self.samples.len() / 2;
+        let older_half = self.samples.len() / 2;
         let mut index = 0;
         self.samples.retain(|_| {
             index += 1;
-            index > recent || index % 2 == 0
+            index > older_half || index % 2 == 0
         });
     }
 
