--- a/crates/store/src/consul_client.rs
+++ b/crates/store/src/consul_client.rs
@@ -33,7 +33,7 @@
     pub waiting_watches: AtomicU64,
 }
 
-/// A client of the platform over HTTP.
+/// A client of Consul's HTTP API, with counts of its calls.
 #[derive(Debug)]
 pub struct ConsulClient {
     base: String,
@@ -67,7 +67,7 @@
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.agent.get(format!("{}/{path}", self.base));
         let request = request.config().timeout_global(Some(timeout)).build();
-        // A failed read has changed nothing, whatever the cause.
+        // A read changes nothing, so every failure counts as unreachable.
         let mut response =
             request.call().map_err(|error| StoreError::Unreachable(error.to_string()))?;
         if response.status() == 404 {
@@ -230,7 +230,7 @@
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// Classifies the failure of a write: it surely had no effect only if no connection was made.
+/// Classifies the failure of a write. Only if no connection was made is it certain that the write had no effect.
 fn classify_write_error(error: &ureq::Error) -> StoreError {
     match error {
         ureq::Error::ConnectionFailed
