--- a/crates/store/src/key_value.rs
+++ b/crates/store/src/key_value.rs
@@ -11,7 +11,7 @@
     pub value: Vec<u8>,
 }
 
-/// How a compare-and-swap ended.
+/// The result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CasOutcome {
     /// The value was written.
