--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -6,38 +6,38 @@
 
 use crate::{Endpoint, EndpointOptions, replication::Peers};
 
-/// The runtime that all stand-ins share.
+/// The Tokio runtime that all stand-ins share.
 #[derive(Clone)]
-pub struct Network {
+pub struct StandinRuntime {
     runtime: Arc<Runtime>,
 }
 
 /// The number of worker threads of the runtime.
 const WORKER_THREADS: usize = 4;
 
-impl Network {
-    /// Starts the runtime.
+impl StandinRuntime {
+    /// Starts the worker threads.
     ///
     /// # Panics
-    /// Panics if the threads of the runtime can't be started.
-    pub fn new() -> Network {
+    /// Panics if the threads can't be started.
+    pub fn new() -> StandinRuntime {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(WORKER_THREADS)
             .thread_name("standin")
             .enable_all()
             .build()
             .expect("the runtime starts");
-        Network { runtime: Arc::new(runtime) }
+        StandinRuntime { runtime: Arc::new(runtime) }
     }
 
-    pub(crate) fn runtime(&self) -> &Runtime {
+    pub(crate) fn get(&self) -> &Runtime {
         &self.runtime
     }
 }
 
-impl Default for Network {
-    fn default() -> Network {
-        Network::new()
+impl Default for StandinRuntime {
+    fn default() -> StandinRuntime {
+        StandinRuntime::new()
     }
 }
 
@@ -46,17 +46,17 @@
 pub struct GroupStandin {
     /// The servers, in the order of the requested addresses.
     pub servers: Vec<Endpoint>,
-    _network: Network,
+    _runtime: StandinRuntime,
 }
 
 impl GroupStandin {
     /// Starts a server at each address, where port 0 selects any free port. The first server is the primary.
     pub fn start(
-        network: &Network,
+        runtime: &StandinRuntime,
         addresses: &[SocketAddr],
         options: &EndpointOptions,
     ) -> std::io::Result<GroupStandin> {
-        let servers = network.runtime().block_on(async {
+        let servers = runtime.get().block_on(async {
             let mut listeners = Vec::new();
             for address in addresses {
                 listeners.push(TcpListener::bind(address).await?);
@@ -69,7 +69,7 @@
             }
             std::io::Result::Ok(servers)
         })?;
-        Ok(GroupStandin { servers, _network: network.clone() })
+        Ok(GroupStandin { servers, _runtime: runtime.clone() })
     }
 
     /// Returns the leading server with the highest term.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -21,7 +21,7 @@
 use store::{CatalogNode, KeyValuePair, SessionCreated, SessionRequest};
 use tokio::{net::TcpListener, sync::watch};
 
-use crate::Network;
+use crate::StandinRuntime;
 
 /// The maximum size of a value.
 const MAX_VALUE_BYTES: usize = 1024 * 1024;
@@ -58,7 +58,7 @@
 pub struct PlatformStandin {
     address: SocketAddr,
     shared: Arc<Shared>,
-    _network: Network,
+    _runtime: StandinRuntime,
 }
 
 struct Shared {
@@ -68,7 +68,10 @@
 
 impl PlatformStandin {
     /// Starts the platform at an address, where port 0 selects any free port.
-    pub fn start(network: &Network, address: SocketAddr) -> std::io::Result<PlatformStandin> {
+    pub fn start(
+        runtime: &StandinRuntime,
+        address: SocketAddr,
+    ) -> std::io::Result<PlatformStandin> {
         let shared =
             Arc::new(Shared { contents: Mutex::default(), changed: watch::Sender::new(0) });
         let router = Router::new()
@@ -77,10 +80,10 @@
             .route("/v1/session/renew/{id}", put(renew_session))
             .route("/v1/catalog/nodes", get(list_nodes))
             .with_state(shared.clone());
-        let listener = network.runtime().block_on(TcpListener::bind(address))?;
+        let listener = runtime.get().block_on(TcpListener::bind(address))?;
         let address = listener.local_addr()?;
-        network.runtime().spawn(async move { axum::serve(listener, router).await });
-        Ok(PlatformStandin { address, shared, _network: network.clone() })
+        runtime.get().spawn(async move { axum::serve(listener, router).await });
+        Ok(PlatformStandin { address, shared, _runtime: runtime.clone() })
     }
 
     /// Returns the address of the HTTP listener.
--- a/crates/standin/src/server_session.rs
+++ b/crates/standin/src/server_session.rs
@@ -16,15 +16,15 @@
 use wire::{CallerStream, StreamEnd};
 
 use crate::{
-    answers::{TEXT_OID, tag_only, text_column, text_value},
     database::{Parameter, StatementResult, first_word},
     endpoint::Shared,
+    responses::{TEXT_OID, tag_only, text_column, text_value},
     server_core::ServerError,
     sql_text::{is_control_call, runs_in_database, sleep_seconds, split_statements, strip_casts},
     value_codec::ValueType,
 };
 
-/// The time limit to wait for the write lock.
+/// How long a transaction waits for the write lock.
 const WRITE_LOCK_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct PreparedStatement {
@@ -189,14 +189,14 @@
     }
 
     fn describe(&mut self, target: u8, name: &str) -> Result<(), ServerError> {
-        let missing = || ServerError::new("26000", format!("nothing is called `{name}`"));
+        let unknown_name = || ServerError::new("26000", format!("nothing is called `{name}`"));
         let (sql, formats) = if target == b'S' {
-            let statement = self.prepared.get(name).ok_or_else(missing)?;
+            let statement = self.prepared.get(name).ok_or_else(unknown_name)?;
             let types = ParameterDescription::new(statement.types.clone());
             self.stream.add(&PgWireBackendMessage::ParameterDescription(types));
             (statement.sql.clone(), Vec::new())
         } else {
-            let portal = self.portals.get(name).ok_or_else(missing)?;
+            let portal = self.portals.get(name).ok_or_else(unknown_name)?;
             (portal.statement.sql.clone(), portal.formats.clone())
         };
         let description = self.describe_sql(&sql, &formats)?;
@@ -312,12 +312,12 @@
         }
         let is_read = matches!(keyword, "SELECT" | "WITH" | "VALUES" | "EXPLAIN" | "TABLE");
         let core = self.shared.core.clone();
-        let writing =
+        let is_writing =
             self.transaction.as_ref().is_some_and(|transaction| transaction.write_guard.is_some());
-        if is_read && !writing {
+        if is_read && !is_writing {
             return core.read(sql, parameters, formats);
         }
-        if !writing {
+        if !is_writing {
             self.begin_write().await?;
         }
         let result = core.write(sql, parameters, formats)?;
@@ -343,8 +343,8 @@
 
     /// Occupies one of the server's slots for the execution time of a statement.
     async fn simulate_execution(&self) -> Result<(), ServerError> {
-        let service = self.shared.service_time();
-        if service.is_zero() {
+        let service_time = self.shared.service_time();
+        if service_time.is_zero() {
             return Ok(());
         }
         let _slot = self
@@ -353,7 +353,7 @@
             .acquire()
             .await
             .map_err(|_| ServerError::new("57P01", "the server is shutting down"))?;
-        tokio::time::sleep(service).await;
+        tokio::time::sleep(service_time).await;
         Ok(())
     }
 
--- a/crates/wardtiller/src/local_system.rs
+++ b/crates/wardtiller/src/local_system.rs
@@ -12,7 +12,7 @@
 use daemon::{Daemon, apply_configuration};
 use eyre::{OptionExt, bail, ensure};
 use model::{GroupId, Name};
-use standin::{EndpointOptions, GroupStandin, Network, PlatformStandin};
+use standin::{EndpointOptions, GroupStandin, PlatformStandin, StandinRuntime};
 use store::{CatalogNode, ConsulClient};
 
 /// The options of a local system.
@@ -70,7 +70,7 @@
 /// The key prefix of the local system in the store.
 const PREFIX: &str = "wardtiller";
 
-/// The time limit for the daemons to become ready.
+/// How long the daemons may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The timeout of one call to the platform stand-in.
@@ -97,13 +97,13 @@
     /// Starts stand-ins for the platform and for all endpoints of the configuration, then the daemons. Returns when the
     /// daemons are ready.
     pub fn start(text: &str, options: &LocalSystemOptions) -> eyre::Result<LocalSystem> {
-        let network = Network::new();
+        let runtime = StandinRuntime::new();
         let requested = check_configuration("the configuration", text)?;
-        let platform = PlatformStandin::start(&network, unused_port())?;
+        let platform = PlatformStandin::start(&runtime, unused_port())?;
         let mut text = text.to_owned();
         let mut groups = BTreeMap::new();
         for (id, group) in &requested.groups {
-            let standin = start_group(&network, group, options)?;
+            let standin = start_group(&runtime, group, options)?;
             for (server, running) in primary_first(group).zip(&standin.servers) {
                 let (old, new) = (server.address, running.address());
                 text = replace_address(&text, old, new);
@@ -169,7 +169,7 @@
         zones
     }
 
-    /// Lists every daemon and endpoint as live in the platform's host list.
+    /// Publishes a host list in which every daemon and endpoint is live.
     fn publish_host_list(&mut self) {
         let daemons = self.settings.iter().map(|settings| {
             let address = settings.daemon.peer_listen.unwrap_or_else(unused_port);
@@ -187,7 +187,7 @@
         self.platform.set_nodes(self.nodes.clone());
     }
 
-    /// Sets the state in the host list of the hosts that use the port of this address.
+    /// Sets the state of the hosts with the port of this address in the host list.
     pub fn set_host_state(&mut self, address: SocketAddr, state: &str) {
         for node in &mut self.nodes {
             let port = node.meta.get("port").map(String::as_str);
@@ -281,6 +281,7 @@
     }
 }
 
+/// Returns a loopback address for which the operating system selects a free port.
 fn unused_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
@@ -307,7 +308,7 @@
 }
 
 fn start_group(
-    network: &Network,
+    runtime: &StandinRuntime,
     group: &config::Group,
     options: &LocalSystemOptions,
 ) -> eyre::Result<GroupStandin> {
@@ -317,7 +318,7 @@
         ..options.endpoint.clone()
     };
     let addresses = vec![unused_port(); group.servers.len()];
-    Ok(GroupStandin::start(network, &addresses, &endpoint)?)
+    Ok(GroupStandin::start(runtime, &addresses, &endpoint)?)
 }
 
 fn replace_address(text: &str, old: SocketAddr, new: SocketAddr) -> String {
