--- a/crates/standin/src/replication.rs
+++ b/crates/standin/src/replication.rs
@@ -51,14 +51,16 @@
     faults.crashed || faults.paused || faults.replication_disconnected
 }
 
-/// A batch of log records and the terms of the primary.
+/// Log records of the primary and its terms.
 struct LogBatch {
     log_term: model::Term,
     log: Vec<Arc<LogRecord>>,
     term_starts: Vec<model::TermStart>,
-    from: usize,
+    /// The index of the first record in the primary's log.
+    first_index: usize,
 }
 
+/// Copies new log records from the leader.
 fn pull(core: &ServerCore, peers: &Peers) {
     let (leader, held, last_term) = {
         let state = core.state.lock();
@@ -76,7 +78,8 @@
     append_batch(core, batch);
 }
 
-/// Returns the records of the leader after the first `held` ones, or the whole log if the logs differ.
+/// Returns the leader's records after the first `held` ones, or its whole log if the last held record has another term
+/// there.
 fn read_batch(
     leader: &ServerCore,
     held: usize,
@@ -86,16 +89,16 @@
     if state.role != ServerRole::Primary {
         return None;
     }
-    let same = match (held, last_term) {
+    let is_same = match (held, last_term) {
         (0, _) => true,
         (held, term) => state.log.get(held - 1).map(|record| record.term) == term,
     };
-    let from = if same { held } else { 0 };
+    let first_index = if is_same { held } else { 0 };
     Some(LogBatch {
         log_term: state.log_term,
-        log: state.log[from..].to_vec(),
+        log: state.log[first_index..].to_vec(),
         term_starts: state.term_starts.clone(),
-        from,
+        first_index,
     })
 }
 
@@ -110,13 +113,13 @@
     let common = batch
         .log
         .iter()
-        .zip(&state.log[batch.from.min(state.log.len())..])
+        .zip(&state.log[batch.first_index.min(state.log.len())..])
         .take_while(|(theirs, ours)| theirs.term == ours.term)
         .count();
-    if batch.from > state.log.len() {
+    if batch.first_index > state.log.len() {
         return;
     }
-    state.truncate(batch.from + common);
+    state.truncate(batch.first_index + common);
     for record in &batch.log[common..] {
         if record.committed_at.elapsed() < delay {
             break;
@@ -128,6 +131,7 @@
     state.term_starts = batch.term_starts;
 }
 
+/// Applies the records that are older than the apply lag.
 fn apply(core: &ServerCore) {
     let lag = *core.apply_lag.lock();
     let mut state = core.state.lock();
