--- a/crates/standin/src/server_core.rs
+++ b/crates/standin/src/server_core.rs
@@ -70,9 +70,12 @@
 }
 
 pub(crate) struct State {
+    /// The effects of the applied log records.
     pub(crate) committed_data: Database,
+    /// The database in which the primary runs write transactions; `None` on a replica.
     pub(crate) working_copy: Option<Database>,
     pub(crate) log: Vec<Arc<LogRecord>>,
+    /// The number of applied log records.
     pub(crate) applied: usize,
     pub(crate) promised_term: Term,
     pub(crate) log_term: Term,
@@ -88,7 +91,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) state: Mutex<State>,
     pub(crate) faults: RwLock<ServerFaults>,
-    /// Held by the only transaction that may write.
+    /// Held by the transaction that may write.
     pub(crate) write_lock: Arc<tokio::sync::Mutex<()>>,
     pub(crate) receive_delay: Mutex<Duration>,
     pub(crate) apply_lag: Mutex<Duration>,
@@ -125,6 +128,7 @@
         state.status()
     }
 
+    /// Promises a term: writes and log records of earlier terms are refused from then on.
     pub(crate) fn seal(&self, term: Term) -> Result<ServerStatus, ServerError> {
         let mut state = self.state.lock();
         if term < state.promised_term {
@@ -244,15 +248,15 @@
 
 impl State {
     pub(crate) fn status(&self) -> ServerStatus {
-        let replica = self.role == ServerRole::Replica;
-        let silence = self.last_leader_contact.elapsed().as_millis();
+        let is_replica = self.role == ServerRole::Replica;
+        let silence_ms = self.last_leader_contact.elapsed().as_millis();
         ServerStatus {
             promised_term: self.promised_term,
             log_term: self.log_term,
             held_position: Position(self.log.len() as u64),
             applied_position: Position(self.applied as u64),
             role: self.role,
-            leader_silence_ms: replica.then(|| u64::try_from(silence).unwrap_or(u64::MAX)),
+            leader_silence_ms: is_replica.then(|| u64::try_from(silence_ms).unwrap_or(u64::MAX)),
             term_starts: self.term_starts.clone(),
         }
     }
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Removes the log records from `length` on, which the new leader doesn't have.
+    /// Truncates the log to `length` records, since the new leader doesn't have the others.
     pub(crate) fn truncate(&mut self, length: usize) {
         if length >= self.log.len() {
             return;
