--- a/crates/standin/src/value_codec.rs
+++ b/crates/standin/src/value_codec.rs
@@ -155,11 +155,11 @@
 
     /// Decodes a parameter.
     pub(crate) fn decode(self, value: &[u8], format: i16) -> Result<Parameter, CodecError> {
-        let decoded = match format {
+        let parameter = match format {
             BINARY => self.decode_binary(value),
             _ => std::str::from_utf8(value).ok().and_then(|text| self.decode_text(text)),
         };
-        decoded.ok_or(CodecError::Invalid(self.name()))
+        parameter.ok_or(CodecError::Invalid(self.name()))
     }
 
     fn decode_binary(self, value: &[u8]) -> Option<Parameter> {
@@ -211,11 +211,11 @@
             return Ok(());
         }
         let mut encoded = BytesMut::new();
-        let done = match format {
+        let result = match format {
             BINARY => self.encode_binary(value, &mut encoded),
             _ => self.encode_text(value, &mut encoded),
         };
-        done.ok_or(CodecError::Mismatch(self.name()))?;
+        result.ok_or(CodecError::Mismatch(self.name()))?;
         data.put_i32(encoded.len() as i32);
         data.put_slice(&encoded);
         Ok(())
