--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -92,8 +92,8 @@
         self.options.service_time + self.core.faults.read().extra_service_time
     }
 
-    pub(crate) fn roll_back(&self, wrote: bool) {
-        if wrote {
+    pub(crate) fn roll_back(&self, has_written: bool) {
+        if has_written {
             self.core.rollback_write();
         }
     }
