--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: a session that reconnects to random daemons.
+//! A simulated caller: a session that reconnects to random daemons.
 
 use std::{
     net::SocketAddr,
@@ -19,10 +19,10 @@
     report::{Measurements, RequestClass},
 };
 
-/// After each of so many requests, a session may reconnect to another daemon.
+/// Number of requests after which a session may reconnect to another daemon.
 const REQUESTS_BEFORE_RECONNECT: u64 = 20;
 
-/// One of this many reads is followed by a query for the server that served it.
+/// On average, one in this many reads is followed by a query for the server that served it.
 const SERVED_BY_SAMPLE_INTERVAL: u64 = 4;
 
 /// The average number of a poller's requests for each write.
@@ -54,12 +54,12 @@
     /// The number of own reads that were compared with the session's writes.
     pub own_reads_checked: AtomicU64,
     /// The number of sessions that got a `write_lost` error.
-    pub lost_writes_reported: AtomicU64,
+    pub sessions_with_lost_writes: AtomicU64,
 }
 
-/// One caller.
+/// A simulated caller.
 pub struct Caller {
-    shared: Arc<LoadContext>,
+    context: Arc<LoadContext>,
     number: usize,
     role: Role,
     group: String,
@@ -70,7 +70,7 @@
     /// The sequence number of the last acknowledged write.
     acknowledged: u64,
     /// Whether a write with an unknown effect is newer than `acknowledged`.
-    uncertain: bool,
+    has_uncertain_write: bool,
     token: String,
 }
 
@@ -81,13 +81,13 @@
 }
 
 impl Caller {
-    /// Creates a caller. The seed and the number determine all its random choices.
-    pub fn new(shared: Arc<LoadContext>, number: usize, seed: u64) -> Caller {
-        let role = shared.mix.role(number);
-        let group = shared.groups[number % shared.groups.len()].clone();
+    /// Creates a caller. The seed and the number determine all of its random choices.
+    pub fn new(context: Arc<LoadContext>, number: usize, seed: u64) -> Caller {
+        let role = context.mix.role(number);
+        let group = context.groups[number % context.groups.len()].clone();
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(number as u64));
         Caller {
-            shared,
+            context,
             number,
             role,
             group,
@@ -96,14 +96,14 @@
             requests: 0,
             sequence: 0,
             acknowledged: 0,
-            uncertain: false,
+            has_uncertain_write: false,
             token: String::new(),
         }
     }
 
     /// Sends requests until the end of the run.
     pub async fn run(mut self) {
-        while Instant::now() < self.shared.deadline {
+        while Instant::now() < self.context.deadline {
             if !self.is_connected() && !self.connect().await {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
@@ -119,8 +119,8 @@
             {
                 self.client = None;
             }
-            if !self.shared.pace.is_zero() {
-                tokio::time::sleep(self.shared.pace).await;
+            if !self.context.pace.is_zero() {
+                tokio::time::sleep(self.context.pace).await;
             }
         }
     }
@@ -131,7 +131,7 @@
 
     /// Connects to a random daemon, half of the time with the session token.
     async fn connect(&mut self) -> bool {
-        let target = self.shared.targets[self.rng.random_range(0..self.shared.targets.len())];
+        let target = self.context.targets[self.rng.random_range(0..self.context.targets.len())];
         let send_token = !self.token.is_empty() && self.rng.random_bool(0.5);
         let token = if send_token {
             format!(" -c wardtiller.session={}", self.token)
@@ -142,8 +142,8 @@
             "host={} port={} user={} dbname={} connect_timeout=3 options='-c wardtiller.group={}{token}'",
             target.ip(),
             target.port(),
-            self.shared.user,
-            self.shared.service,
+            self.context.user,
+            self.context.service,
             self.group,
         );
         match tokio_postgres::connect(&parameters, NoTls).await {
@@ -154,8 +154,8 @@
             }
             Err(error) => {
                 let failure = read_failure(&error);
-                // Nothing runs without a connection.
-                self.shared
+                // No request was sent on the failed connection.
+                self.context
                     .measurements
                     .add_refusal("not_run", &format!("connect {}", failure.reason));
                 false
@@ -182,11 +182,11 @@
         match &outcome {
             Ok(_) => {
                 let elapsed = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
-                self.shared.measurements.add_latency(class, elapsed);
+                self.context.measurements.add_latency(class, elapsed);
             }
             Err(failure) => {
                 let verdict = failure.verdict.as_str();
-                self.shared.measurements.add_refusal(verdict, &failure.reason);
+                self.context.measurements.add_refusal(verdict, &failure.reason);
             }
         }
         outcome
@@ -198,7 +198,7 @@
         }
         if let Ok(served) = self.query("SHOW wardtiller.served_by").await {
             let by_replica = served.first().is_some_and(|served| served.ends_with("replica"));
-            self.shared.measurements.add_served(kind, by_replica);
+            self.context.measurements.add_sampled_read(kind, by_replica);
         }
     }
 
@@ -207,7 +207,7 @@
         if self.rng.random_range(0..POLLS_PER_WRITE) == 0 {
             return self.update().await;
         }
-        let kind = self.shared.mix.read_kind();
+        let kind = self.context.mix.read_kind();
         let item = self.rng.random_range(0..MENU_ITEMS);
         let sql =
             format!("SELECT name FROM menu WHERE id = {item} /* wardtiller.read_kind='{kind}' */");
@@ -236,7 +236,7 @@
         let outcome = self.transaction(caller, sequence).await;
         let elapsed = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         if outcome.is_ok() {
-            self.shared.measurements.add_latency(RequestClass::Transaction, elapsed);
+            self.context.measurements.add_latency(RequestClass::Transaction, elapsed);
         }
         self.record_outcome(sequence, outcome).await;
         self.read_back().await;
@@ -278,9 +278,9 @@
         match outcome {
             Ok(()) => {
                 let at = Instant::now();
-                self.shared.ledger.record_write(id, WriteOutcome::Acknowledged);
+                self.context.ledger.record_write(id, WriteOutcome::Acknowledged);
                 self.acknowledged = sequence;
-                self.uncertain = false;
+                self.has_uncertain_write = false;
                 if let Ok(token) = self.query("SHOW wardtiller.session").await {
                     self.store_token(token.first().map_or("", String::as_str), at);
                 }
@@ -288,10 +288,10 @@
             Err(failure) => {
                 if self.role == Role::Writer {
                     let verdict = failure.verdict.as_str();
-                    self.shared.measurements.add_refusal(verdict, &failure.reason);
+                    self.context.measurements.add_refusal(verdict, &failure.reason);
                 }
-                self.uncertain |= failure.verdict != Verdict::NotRun;
-                self.shared.ledger.record_write(id, WriteOutcome::Failed(failure.verdict));
+                self.has_uncertain_write |= failure.verdict != Verdict::NotRun;
+                self.context.ledger.record_write(id, WriteOutcome::Failed(failure.verdict));
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
@@ -302,11 +302,11 @@
         let parsed: Result<session::SessionToken, _> = token.parse();
         let point = parsed.ok().and_then(|token| token.point(&self.group));
         if let Some(point) = point {
-            self.shared.ledger.record_term(&self.group, point.term.0, at);
+            self.context.ledger.record_term(&self.group, point.term.0, at);
         }
     }
 
-    /// Reads the last write of this session and records a violation if the result doesn't match.
+    /// Reads the last write of this session back and records a violation if the result doesn't match.
     async fn read_back(&mut self) {
         if self.acknowledged == 0 {
             return;
@@ -316,7 +316,7 @@
         let found = match self.run_measured(RequestClass::OwnRead, &sql).await {
             Ok(found) => found,
             Err(failure) if failure.reason == "write_lost" => {
-                self.shared.lost_writes_reported.fetch_add(1, Ordering::Relaxed);
+                self.context.sessions_with_lost_writes.fetch_add(1, Ordering::Relaxed);
                 self.token.clear();
                 self.client = None;
                 return;
@@ -325,25 +325,25 @@
         };
         self.sample_served_by("own").await;
         let found: u64 = found.first().and_then(|found| found.parse().ok()).unwrap_or(0);
-        self.shared.own_reads_checked.fetch_add(1, Ordering::Relaxed);
+        self.context.own_reads_checked.fetch_add(1, Ordering::Relaxed);
         if found < self.acknowledged {
             let observation = format!(
                 "caller {} was acknowledged {} and read {found}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.record_violation("a session reads its own writes", observation);
+            self.context.ledger.record_violation("a session reads its own writes", observation);
         }
-        if found > self.acknowledged && !self.uncertain {
+        if found > self.acknowledged && !self.has_uncertain_write {
             let observation = format!(
                 "caller {} read {found} beyond its last write {}",
                 self.number, self.acknowledged
             );
-            self.shared.ledger.record_violation("\"not run\" is true", observation);
+            self.context.ledger.record_violation("\"not run\" is true", observation);
         }
     }
 }
 
-/// Rows in the table that pollers read.
+/// Rows in the table that the read-only requests query.
 pub const MENU_ITEMS: u32 = 100;
 
 /// Parses the verdict and the reason in an error.
--- a/crates/wardtiller/src/load/ledger.rs
+++ b/crates/wardtiller/src/load/ledger.rs
@@ -16,7 +16,7 @@
     pub group: String,
     /// The caller.
     pub caller: usize,
-    /// The caller's own counter, incremented for each write.
+    /// The caller's counter, which increases by one with each write.
     pub sequence: u64,
 }
 
@@ -33,15 +33,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// The guarantee.
-    pub promise: &'static str,
-    /// The observation that violates it.
-    pub seen: String,
+    #[serde(rename = "promise")]
+    pub guarantee: &'static str,
+    /// The observation that violates the guarantee.
+    #[serde(rename = "seen")]
+    pub observation: String,
 }
 
 #[derive(Default)]
 struct GroupTerms {
     /// The times of the first and the last acknowledged write, by term.
-    acknowledged: BTreeMap<u64, (Instant, Instant)>,
+    write_times: BTreeMap<u64, (Instant, Instant)>,
 }
 
 /// The write outcomes and the violations of one run.
@@ -52,7 +54,7 @@
     terms: Mutex<BTreeMap<String, GroupTerms>>,
 }
 
-/// Further violations are dropped.
+/// Limit on the recorded violations; further ones are dropped.
 const MAX_VIOLATIONS: usize = 100;
 
 impl Ledger {
@@ -65,16 +67,16 @@
     pub fn record_term(&self, group: &str, term: u64, at: Instant) {
         let mut groups = self.terms.lock();
         let terms = groups.entry(group.to_owned()).or_default();
-        let span = terms.acknowledged.entry(term).or_insert((at, at));
+        let span = terms.write_times.entry(term).or_insert((at, at));
         span.0 = span.0.min(at);
         span.1 = span.1.max(at);
     }
 
     /// Records a violation.
-    pub fn record_violation(&self, promise: &'static str, seen: String) {
+    pub fn record_violation(&self, guarantee: &'static str, observation: String) {
         let mut violations = self.violations.lock();
         if violations.len() < MAX_VIOLATIONS {
-            violations.push(Violation { promise, seen });
+            violations.push(Violation { guarantee, observation });
         }
     }
 
@@ -83,7 +85,7 @@
         let groups = self.terms.lock();
         let mut gaps = Vec::new();
         for (group, terms) in groups.iter() {
-            let spans: Vec<&(Instant, Instant)> = terms.acknowledged.values().collect();
+            let spans: Vec<&(Instant, Instant)> = terms.write_times.values().collect();
             for pair in spans.windows(2) {
                 gaps.push((group.clone(), pair[1].0.saturating_duration_since(pair[0].1)));
             }
@@ -112,8 +114,8 @@
         for (id, outcome) in writes.iter().filter(|(id, _)| id.group == group) {
             let (orders, holds) = row_counts.get(id).copied().unwrap_or_default();
             if orders != holds {
-                let seen = format!("{id:?}: {orders} orders but {holds} holds");
-                self.record_violation("transactions never mix", seen);
+                let observation = format!("{id:?}: {orders} orders but {holds} holds");
+                self.record_violation("transactions never mix", observation);
             }
             match outcome {
                 WriteOutcome::Acknowledged if orders == 0 => {
@@ -125,8 +127,8 @@
                 _ => {}
             }
             if orders > 1 {
-                let seen = format!("{id:?}: {orders} times");
-                self.record_violation("what may not be repeated runs at most once", seen);
+                let observation = format!("{id:?}: {orders} times");
+                self.record_violation("what may not be repeated runs at most once", observation);
             }
         }
         for id in row_counts.keys().filter(|id| !writes.contains_key(id)) {
@@ -147,8 +149,8 @@
     pub acknowledged: u64,
     /// Refused with the verdict "not run".
     pub not_run: u64,
-    /// Executed, but answered with an error.
+    /// Failed with the verdict "ran".
     pub ran: u64,
-    /// Failed with an unknown effect.
+    /// Failed with the verdict "may have run".
     pub may_have_run: u64,
 }
--- a/crates/wardtiller/src/load/report.rs
+++ b/crates/wardtiller/src/load/report.rs
@@ -45,7 +45,8 @@
 struct Counts {
     latencies: BTreeMap<RequestClass, Option<Histogram<u64>>>,
     refusals: BTreeMap<String, u64>,
-    by_replica: BTreeMap<String, (u64, u64)>,
+    /// The number of sampled reads that a replica served and of all sampled reads, by read kind.
+    sampled_reads: BTreeMap<String, (u64, u64)>,
 }
 
 /// Collects the measurements of all callers.
@@ -70,10 +71,10 @@
         *self.counts.lock().refusals.entry(format!("{verdict} {reason}")).or_default() += 1;
     }
 
-    /// Adds a sampled read by whether a replica served it.
-    pub fn add_served(&self, kind: &str, by_replica: bool) {
+    /// Adds a sampled read of this kind and whether a replica served it.
+    pub fn add_sampled_read(&self, kind: &str, by_replica: bool) {
         let mut counts = self.counts.lock();
-        let (replica, all) = counts.by_replica.entry(kind.to_owned()).or_default();
+        let (replica, all) = counts.sampled_reads.entry(kind.to_owned()).or_default();
         *replica += u64::from(by_replica);
         *all += 1;
     }
@@ -104,7 +105,7 @@
     /// Returns the share of sampled reads that replicas served, by read kind.
     pub fn replica_share(&self) -> BTreeMap<String, f64> {
         let counts = self.counts.lock();
-        let shares = counts.by_replica.iter().filter(|(_, (_, all))| *all > 0);
+        let shares = counts.sampled_reads.iter().filter(|(_, (_, all))| *all > 0);
         shares.map(|(kind, (replica, all))| (kind.clone(), *replica as f64 / *all as f64)).collect()
     }
 }
@@ -148,7 +149,7 @@
     pub failover_gaps_ms: Vec<(String, u64)>,
     /// The number of own reads that were compared with the session's writes.
     pub own_reads_checked: u64,
-    /// Sessions that got a `write_lost` error because a write of theirs did not survive a failover.
+    /// The number of sessions that got a `write_lost` error because one of their writes was lost in a failover.
     #[serde(rename = "told_of_lost_writes")]
     pub sessions_with_lost_writes: u64,
     /// Violated consistency guarantees; empty in a correct run.
@@ -205,7 +206,7 @@
             let _ = write!(text, "every promise held");
         }
         for violation in &self.violations {
-            let _ = writeln!(text, "BROKEN: {}: {}", violation.promise, violation.seen);
+            let _ = writeln!(text, "BROKEN: {}: {}", violation.guarantee, violation.observation);
         }
         text
     }
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -88,7 +88,7 @@
 /// The number of consecutive successful reads from replicas before a run starts. Each read may reach another replica.
 const REQUIRED_CONSECUTIVE_READS: usize = 16;
 
-/// The time limit for the tables to appear on the replicas.
+/// How long the new tables may take to appear on the replicas.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The system under load.
@@ -122,9 +122,9 @@
     let run = Run { service, user, targets, options };
     runtime.block_on(run.prepare())?;
     let started_at = Instant::now();
-    let shared = run.shared(started_at);
+    let context = run.context(started_at);
     let callers: Vec<_> = (0..options.callers)
-        .map(|number| runtime.spawn(Caller::new(shared.clone(), number, options.seed).run()))
+        .map(|number| runtime.spawn(Caller::new(context.clone(), number, options.seed).run()))
         .collect();
     if let Target::Local(system) = &mut target {
         inject_faults(system, &options.faults, started_at)?;
@@ -139,8 +139,8 @@
     if let Target::Local(system) = &target {
         system.wait_until_ready()?;
     }
-    runtime.block_on(run.verify(&shared))?;
-    Ok(run.report(&shared, seconds))
+    runtime.block_on(run.verify(&context))?;
+    Ok(run.report(&context, seconds))
 }
 
 struct Run<'a> {
@@ -156,7 +156,7 @@
         self.options.mix.unwrap_or_else(|| Mix::for_read_kinds(&kinds))
     }
 
-    fn shared(&self, started_at: Instant) -> Arc<LoadContext> {
+    fn context(&self, started_at: Instant) -> Arc<LoadContext> {
         Arc::new(LoadContext {
             targets: self.targets.clone(),
             service: self.service.name.to_string(),
@@ -168,7 +168,7 @@
             ledger: Ledger::default(),
             measurements: Measurements::default(),
             own_reads_checked: AtomicU64::new(0),
-            lost_writes_reported: AtomicU64::new(0),
+            sessions_with_lost_writes: AtomicU64::new(0),
         })
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// Compares the contents of each group with the outcomes that the callers recorded.
-    async fn verify(&self, shared: &LoadContext) -> eyre::Result<()> {
+    async fn verify(&self, context: &LoadContext) -> eyre::Result<()> {
         for group in &self.service.groups {
             let client = self.connect(group).await?;
             let mut row_counts: HashMap<WriteId, (u64, u64)> = HashMap::new();
@@ -238,26 +238,26 @@
             for id in read_writes(&client, group, "holds").await? {
                 row_counts.entry(id).or_default().1 += 1;
             }
-            shared.ledger.verify_group(group, &row_counts);
+            context.ledger.verify_group(group, &row_counts);
         }
         Ok(())
     }
 
-    fn report(&self, shared: &LoadContext, seconds: f64) -> LoadReport {
-        let gaps = shared.ledger.failover_gaps().into_iter();
+    fn report(&self, context: &LoadContext, seconds: f64) -> LoadReport {
+        let gaps = context.ledger.failover_gaps().into_iter();
         LoadReport {
             seconds,
             seed: self.options.seed,
-            classes: shared.measurements.report(seconds),
-            refusals: shared.measurements.refusals(),
-            replica_share: shared.measurements.replica_share(),
-            writes: shared.ledger.counts(),
+            classes: context.measurements.report(seconds),
+            refusals: context.measurements.refusals(),
+            replica_share: context.measurements.replica_share(),
+            writes: context.ledger.counts(),
             failover_gaps_ms: gaps
                 .map(|(group, gap)| (group, u64::try_from(gap.as_millis()).unwrap_or(u64::MAX)))
                 .collect(),
-            own_reads_checked: shared.own_reads_checked.load(Ordering::Relaxed),
-            sessions_with_lost_writes: shared.lost_writes_reported.load(Ordering::Relaxed),
-            violations: shared.ledger.violations(),
+            own_reads_checked: context.own_reads_checked.load(Ordering::Relaxed),
+            sessions_with_lost_writes: context.sessions_with_lost_writes.load(Ordering::Relaxed),
+            violations: context.ledger.violations(),
         }
     }
 }
