--- a/crates/wardtiller/src/load/compare.rs
+++ b/crates/wardtiller/src/load/compare.rs
@@ -58,7 +58,7 @@
     for _ in 0..slices {
         for (index, clients) in clients.iter().enumerate() {
             let started_at = Instant::now();
-            let latencies = runtime.block_on(drive(clients, statement, started_at + slice))?;
+            let latencies = runtime.block_on(run_until(clients, statement, started_at + slice))?;
             elapsed_s[index] += started_at.elapsed().as_secs_f64();
             for latency in latencies {
                 histograms[index].saturating_record(latency);
@@ -91,8 +91,12 @@
 
 /// Runs the statement on every client until the deadline, one request at a time per client, and returns the latencies
 /// in microseconds.
-async fn drive(clients: &[Client], statement: &str, deadline: Instant) -> eyre::Result<Vec<u64>> {
-    let driving = clients.iter().map(|client| async move {
+async fn run_until(
+    clients: &[Client],
+    statement: &str,
+    deadline: Instant,
+) -> eyre::Result<Vec<u64>> {
+    let tasks = clients.iter().map(|client| async move {
         let mut latencies = Vec::new();
         while Instant::now() < deadline {
             let started_at = Instant::now();
@@ -101,6 +105,6 @@
         }
         eyre::Ok(latencies)
     });
-    let all = futures::future::try_join_all(driving).await?;
+    let all = futures::future::try_join_all(tasks).await?;
     Ok(all.into_iter().flatten().collect())
 }
