--- a/crates/wardtiller/src/load/mix.rs
+++ b/crates/wardtiller/src/load/mix.rs
@@ -1,13 +1,13 @@
-//! The mixes of requests that callers send, one for each modelled user of the proxy.
+//! The mixes of requests that callers send, one for each modelled workload.
 
 use std::{fmt, str::FromStr};
 
-/// A user's mix of requests.
+/// The mix of requests of a workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mix {
-    /// Takeaway orders: mostly polling tablets, few orders and updates.
+    /// Takeaway orders: tablets that poll for most of the requests, and few orders and updates.
     Skyndibiti,
-    /// A balancing market: participants that update offers, and staff that reads.
+    /// A balancing market: participants that update offers, and staff who only read.
     Authority,
 }
 
