--- a/crates/wardtiller/src/load/faults.rs
+++ b/crates/wardtiller/src/load/faults.rs
@@ -55,7 +55,7 @@
     /// The kind of fault.
     pub kind: FaultKind,
     /// The start of the fault, measured from the start of the run.
-    pub at: Duration,
+    pub start: Duration,
     /// The duration of the fault.
     pub duration: Duration,
 }
@@ -87,12 +87,12 @@
     fn from_str(text: &str) -> Result<Fault, UnknownFault> {
         let unknown = || UnknownFault { text: text.to_owned() };
         let (name, times) = text.split_once('@').ok_or_else(unknown)?;
-        let (at, duration) = times.split_once('+').ok_or_else(unknown)?;
+        let (start, duration) = times.split_once('+').ok_or_else(unknown)?;
         let kind = FAULT_NAMES.iter().find(|(known, _)| *known == name).ok_or_else(unknown)?.1;
         let milliseconds = |text: &str| text.parse().map(Duration::from_millis);
-        let at = milliseconds(at).map_err(|_| unknown())?;
+        let start = milliseconds(start).map_err(|_| unknown())?;
         let duration = milliseconds(duration).map_err(|_| unknown())?;
-        Ok(Fault { kind, at, duration })
+        Ok(Fault { kind, start, duration })
     }
 }
 
@@ -104,14 +104,14 @@
 ) -> eyre::Result<()> {
     let mut events: Vec<(Duration, Fault, bool)> = Vec::new();
     for fault in faults {
-        events.push((fault.at, *fault, true));
-        events.push((fault.at + fault.duration, *fault, false));
+        events.push((fault.start, *fault, true));
+        events.push((fault.start + fault.duration, *fault, false));
     }
     events.sort_by_key(|(at, _, _)| *at);
     let mut faulted = FaultedServers::default();
-    for (at, fault, begins) in events {
+    for (at, fault, is_start) in events {
         std::thread::sleep(at.saturating_sub(started_at.elapsed()));
-        if begins {
+        if is_start {
             faulted.start_fault(system, fault.kind)?
         } else {
             faulted.end_fault(system, fault.kind)?
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// The servers with an active fault, so that a fault ends on the server where it began.
+/// The servers with an active fault, so that each fault ends on the server on which it started.
 #[derive(Default)]
 struct FaultedServers {
     primary: Option<standin::Endpoint>,
@@ -196,17 +196,17 @@
 /// The additional time per statement on a slow replica.
 const SLOW_REPLICA_DELAY: Duration = Duration::from_millis(20);
 
-fn set_fault(server: &standin::Endpoint, kind: FaultKind, on: bool) {
+fn set_fault(server: &standin::Endpoint, kind: FaultKind, is_active: bool) {
     server.change_faults(|faults| match kind {
-        FaultKind::CrashPrimary | FaultKind::CrashReplica => faults.crashed = on,
-        FaultKind::PausePrimary => faults.paused = on,
+        FaultKind::CrashPrimary | FaultKind::CrashReplica => faults.crashed = is_active,
+        FaultKind::PausePrimary => faults.paused = is_active,
         FaultKind::CutPrimary => {
-            faults.unreachable_from = if on { vec![String::new()] } else { Vec::new() };
-            faults.replication_disconnected = on;
+            faults.unreachable_from = if is_active { vec![String::new()] } else { Vec::new() };
+            faults.replication_disconnected = is_active;
         }
-        FaultKind::CutReplication => faults.replication_disconnected = on,
+        FaultKind::CutReplication => faults.replication_disconnected = is_active,
         FaultKind::SlowReplica => {
-            faults.extra_service_time = if on { SLOW_REPLICA_DELAY } else { Duration::ZERO };
+            faults.extra_service_time = if is_active { SLOW_REPLICA_DELAY } else { Duration::ZERO };
         }
         _ => {}
     });
