--- a/crates/wardtiller/src/sizing.rs
+++ b/crates/wardtiller/src/sizing.rs
@@ -67,7 +67,7 @@
     pub status_bytes: f64,
     /// CPU time of a status request on the watch thread, in microseconds.
     pub status_cpu_us: f64,
-    /// Bytes of a gossip message without demands.
+    /// Bytes of a gossip message that lists no group.
     pub gossip_bytes: f64,
     /// Bytes that each shared group adds to a gossip message.
     pub gossip_bytes_per_group: f64,
@@ -75,7 +75,7 @@
     pub gossip_cpu_us: f64,
     /// Memory of a daemon in the member list, in bytes.
     pub member_bytes: f64,
-    /// Memory of a group and its servers in the configuration in force, in bytes.
+    /// Memory of a group and its servers in the active configuration, in bytes.
     pub configured_group_bytes: f64,
     /// Memory of the state of an owned group without its connections, in bytes.
     pub owned_group_bytes: f64,
@@ -137,7 +137,7 @@
     let changes_per_s = size.changes_per_day / SECONDS_PER_DAY;
     let head_bytes = chunks(size, unit_costs) * CHUNK_NAME_BYTES;
     let regional_groups = size.groups / size.regions;
-    let members_change_per_s = 2.0 * size.restarts_per_day / size.regions / SECONDS_PER_DAY;
+    let member_changes_per_s = 2.0 * size.restarts_per_day / size.regions / SECONDS_PER_DAY;
     let regional_members = size.daemons / size.regions;
     vec![
         RoleCost {
@@ -152,7 +152,7 @@
             messages_per_s: 2.0 * exchanges_per_s,
             bytes_per_s: exchanges_per_s * 2.0 * message_bytes,
             core_share: exchanges_per_s * unit_costs.gossip_cpu_us / 1e6
-                + members_change_per_s
+                + member_changes_per_s
                     * regional_groups
                     * regional_members
                     * unit_costs.owners_cpu_ns_per_member
