--- a/crates/wardtiller/src/commands/load.rs
+++ b/crates/wardtiller/src/commands/load.rs
@@ -26,7 +26,7 @@
 const DEFAULT_SEED: u64 = 1;
 const DEFAULT_CALLERS: usize = 48;
 
-/// Runs a load with the options in the flags.
+/// Runs a load with the options of the command line.
 pub(crate) fn run(flags: &Load) -> eyre::Result<u8> {
     telemetry::init_logging(if flags.verbose { LevelFilter::Info } else { LevelFilter::Error });
     let text = match &flags.config {
@@ -81,7 +81,7 @@
     Ok(if report.violations.is_empty() { EXIT_DONE } else { EXIT_FAILED })
 }
 
-/// The duration of one slice of an interleaved comparison.
+/// How long the comparison measures one access path before it switches to the other.
 const SLICE_DURATION: Duration = Duration::from_millis(500);
 
 /// Compares a daemon with a direct connection to an endpoint, and prints the result.
