--- a/crates/wire/src/log_in.rs
+++ b/crates/wire/src/log_in.rs
@@ -54,7 +54,7 @@
             STANDARD.encode(stored_key),
             STANDARD.encode(server_key)
         ),
-        ScramSecret::SaltedPassword { .. } => unreachable!("a verifier was asked for"),
+        ScramSecret::SaltedPassword { .. } => unreachable!("the function returns a verifier"),
     }
 }
 
@@ -73,15 +73,15 @@
 
 /// Authenticates a caller by SCRAM-SHA-256.
 ///
-/// Without a usable verifier the whole exchange runs with a random one and is denied at its end, so
-/// that a caller can't find out which users exist.
+/// Without a valid verifier, the whole exchange runs with random keys and fails at the end, so that a
+/// caller can't find out which users exist.
 pub async fn scram_log_in(
     stream: &mut CallerStream,
     verifier: Option<&str>,
 ) -> Result<(), LogInError> {
-    let known = verifier.and_then(parse_verifier);
-    let denied = known.is_none();
-    let secret = match known {
+    let parsed = verifier.and_then(parse_verifier);
+    let is_denied = parsed.is_none();
+    let secret = match parsed {
         Some(secret) => secret,
         None => {
             let random: [u8; 32] = rand::rng().random();
@@ -113,7 +113,7 @@
     let response = last.into_sasl_response().map_err(|_| LogInError::Denied)?;
     let server_final =
         exchange.on_client_final_message(&response.data).map_err(|_| LogInError::Denied)?;
-    if denied {
+    if is_denied {
         return Err(LogInError::Denied);
     }
     let proof = Authentication::SASLFinal(server_final.into_bytes().into());
