--- a/crates/wire/src/caller_stream.rs
+++ b/crates/wire/src/caller_stream.rs
@@ -18,7 +18,7 @@
 /// Free space in the receive buffer before each read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Limit on what is buffered from the caller while a request runs.
+/// Limit on the bytes that are buffered from the caller while a request runs.
 const MAX_READ_AHEAD_BYTES: usize = 1024 * 1024;
 
 /// Why a connection ended.
@@ -137,8 +137,8 @@
             return Err(StreamEnd::Protocol(format!("protocol version {major}.{minor}")));
         }
         if minor > 0 {
-            let answer = NegotiateProtocolVersion::new(0, Vec::new());
-            self.add(&PgWireBackendMessage::NegotiateProtocolVersion(answer));
+            let response = NegotiateProtocolVersion::new(0, Vec::new());
+            self.add(&PgWireBackendMessage::NegotiateProtocolVersion(response));
         }
         Ok(())
     }
@@ -180,7 +180,9 @@
             .map_err(|error| StreamEnd::Protocol(error.to_string()))
     }
 
-    /// Waits until the connection ends and buffers what arrives meanwhile. This method is cancel safe.
+    /// Waits until the connection ends, and buffers the bytes that arrive in the meantime.
+    ///
+    /// If the buffer is full, it stops reading and never returns. This method is cancel safe.
     pub async fn closed(&mut self) -> StreamEnd {
         loop {
             if self.incoming.len() >= MAX_READ_AHEAD_BYTES {
@@ -203,7 +205,7 @@
 
     /// Appends a message to the send buffer.
     pub fn add(&mut self, message: &PgWireBackendMessage) {
-        // Encoding fails only for messages beyond the protocol's size limits, and none is built here.
+        // Encoding fails only for messages beyond the protocol's size limits, which the daemon doesn't build.
         let _ = message.encode(&mut self.outgoing);
     }
 
