--- a/crates/wire/src/endpoint_stream.rs
+++ b/crates/wire/src/endpoint_stream.rs
@@ -24,16 +24,16 @@
 /// Free space in the receive buffer before each read.
 const READ_BYTES: usize = 32 * 1024;
 
-/// The address of an endpoint and the parameters of the log-in there.
+/// The address of an endpoint and the parameters to log in to it.
 #[derive(Clone, Debug)]
 pub struct EndpointAddress {
     /// The socket address.
     pub address: SocketAddr,
-    /// The user.
+    /// The user to log in as.
     pub user: String,
     /// The database.
     pub database: String,
-    /// The password, if the endpoint asks for one.
+    /// The password, for an endpoint that requires one.
     pub password: Option<String>,
     /// The `application_name` start-up parameter.
     pub application_name: String,
@@ -42,7 +42,7 @@
 /// Why a connection to an endpoint failed.
 #[derive(Debug)]
 pub enum EndpointError {
-    /// The socket failed or the endpoint closed it.
+    /// The socket failed, or the endpoint closed the connection.
     Io(io::Error),
     /// Connecting and logging in took longer than the timeout.
     TimedOut,
@@ -268,7 +268,7 @@
         (self.address, self.process, self.secret.clone())
     }
 
-    /// Sends a cancel request for the statement that another connection runs.
+    /// Sends a cancel request for the statement that runs on the connection with this key.
     pub async fn cancel(address: SocketAddr, process: i32, secret: SecretKey) -> io::Result<()> {
         let mut buffer = BytesMut::new();
         CancelRequest::new(process, secret)
