--- a/crates/wire/src/comment.rs
+++ b/crates/wire/src/comment.rs
@@ -39,6 +39,7 @@
     tags
 }
 
+/// Removes the quotes and decodes percent-encoded hyphens.
 fn unquote(value: &str) -> Cow<'_, str> {
     let inner = value.strip_prefix('\'').and_then(|value| value.strip_suffix('\''));
     match inner {
