--- a/crates/wire/src/read_check.rs
+++ b/crates/wire/src/read_check.rs
@@ -4,7 +4,7 @@
 
 use sqlparser::ast::{Expr, Query, Select, Statement, TableFactor, Visit, Visitor};
 
-/// Functions that neither change data nor depend on the session.
+/// Functions that change no data and depend on no session state other than the replayed settings.
 ///
 /// A query that calls any other function counts as a write and runs on the primary. Operators extend
 /// the list with `read_functions`.
@@ -137,7 +137,7 @@
     type Break = ();
 
     fn pre_visit_statement(&mut self, _: &Statement) -> ControlFlow<()> {
-        // A nested statement is a data-modifying common table expression.
+        // The only nested statements are data-modifying common table expressions.
         self.statements += 1;
         if self.statements > 1 { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
     }
@@ -172,9 +172,9 @@
 impl ReadVisitor<'_> {
     fn check_function(&self, name: &str) -> ControlFlow<()> {
         let name = normalize_function_name(name);
-        let known = READ_FUNCTIONS.contains(&name.as_str())
+        let is_read_function = READ_FUNCTIONS.contains(&name.as_str())
             || self.read_functions.iter().any(|known| known.eq_ignore_ascii_case(&name));
-        if known { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
+        if is_read_function { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
     }
 }
 
