--- a/crates/wire/src/classify.rs
+++ b/crates/wire/src/classify.rs
@@ -98,8 +98,8 @@
             Effect::Unsupported { feature } => Some(*feature),
             _ => None,
         });
-        let mixed = self.effects.iter().any(is_local) && !self.is_local();
-        unsupported.or(mixed.then_some("SET, SHOW or DISCARD together with other statements"))
+        let is_mixed = self.effects.iter().any(is_local) && !self.is_local();
+        unsupported.or(is_mixed.then_some("SET, SHOW or DISCARD together with other statements"))
     }
 }
 
@@ -230,7 +230,7 @@
     }
 }
 
-/// First keywords of statements that have no effect on session state, except with `TEMP`.
+/// First keywords of statements that have no effect on session state, unless they create a temporary object.
 const WRITE_KEYWORDS: [&str; 27] = [
     "INSERT", "UPDATE", "DELETE", "MERGE", "SELECT", "WITH", "CREATE", "ALTER", "DROP", "TRUNCATE",
     "GRANT", "REVOKE", "COMMENT", "VACUUM", "ANALYZE", "REINDEX", "CALL", "DO", "EXPLAIN",
@@ -273,19 +273,19 @@
         Some(Token::Word(word)) => word.value.to_uppercase(),
         _ => return invalid(),
     };
-    let known =
+    let is_keyword =
         WRITE_KEYWORDS.contains(&first.as_str()) || SESSION_KEYWORDS.contains(&first.as_str());
-    if !known {
+    if !is_keyword {
         return invalid();
     }
     let separators = tokens.iter().filter(|token| **token == Token::SemiColon).count();
     let ends_with_separator = words.next_back() == Some(&Token::SemiColon);
-    let single = separators <= usize::from(ends_with_separator);
-    let temporary = tokens.iter().any(|token| {
+    let is_single = separators <= usize::from(ends_with_separator);
+    let is_temporary = tokens.iter().any(|token| {
         matches!(token, Token::Word(word) if ["TEMP", "TEMPORARY"]
             .contains(&word.value.to_uppercase().as_str()))
     });
-    if single && !temporary && WRITE_KEYWORDS.contains(&first.as_str()) {
+    if is_single && !is_temporary && WRITE_KEYWORDS.contains(&first.as_str()) {
         Effect::Write
     } else {
         Effect::Unsupported { feature: UNKNOWN_STATEMENT }
