--- a/crates/wire/src/classifier.rs
+++ b/crates/wire/src/classifier.rs
@@ -8,13 +8,13 @@
 
 use crate::{Classification, classify};
 
-/// Cached classifications per shard.
+/// Capacity of a shard.
 const ENTRIES_PER_SHARD: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
 
-/// Shards of the cache, each with its own lock, to limit contention.
+/// Number of shards of the cache. Each has its own lock, which limits contention.
 const SHARDS: usize = 16;
 
-/// Longer texts are not cached.
+/// Maximum size of a text whose classification is cached.
 const MAX_CACHED_TEXT_BYTES: usize = 64 * 1024;
 
 /// A bounded cache of classifications, shared by all threads.
