--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -64,14 +64,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionSettings {
     values: BTreeMap<String, String>,
-    at_startup: BTreeMap<String, String>,
+    startup_values: BTreeMap<String, String>,
 }
 
 impl SessionSettings {
     /// Stores a setting from the caller's start-up message, which becomes the value for `RESET`.
     pub fn set_at_startup(&mut self, name: &str, value: &str) -> Result<(), SettingError> {
         self.set(name, Some(value))?;
-        self.at_startup.clone_from(&self.values);
+        self.startup_values.clone_from(&self.values);
         Ok(())
     }
 
@@ -84,7 +84,7 @@
         if value.is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
             return Err(SettingError::TooLong { name });
         }
-        match value.or(self.at_startup.get(&name).map(String::as_str)) {
+        match value.or(self.startup_values.get(&name).map(String::as_str)) {
             Some(value) => self.values.insert(name, value.to_owned()),
             None => self.values.remove(&name),
         };
@@ -93,7 +93,7 @@
 
     /// Resets every setting to its value at start-up.
     pub fn reset_all(&mut self) {
-        self.values.clone_from(&self.at_startup);
+        self.values.clone_from(&self.startup_values);
     }
 
     /// Returns the changed settings, by name.
