--- a/crates/telemetry/src/explain.rs
+++ b/crates/telemetry/src/explain.rs
@@ -17,7 +17,7 @@
     "record_confirmed",
 ];
 
-/// A log record. `source` is the word before the JSON, such as a host, or else the log's name.
+/// A log record. `source` is the last word before the JSON, such as a host, or the log's name if there is none.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     time_unix_ms: u64,
@@ -64,8 +64,8 @@
     let start = line.find('{')?;
     let fields: Value = serde_json::from_str(&line[start..]).ok()?;
     let time_unix_ms = fields.get("time_unix_ms")?.as_u64()?;
-    let prefix = line[..start].split_whitespace().next_back();
-    let source = prefix.map_or_else(|| source.to_owned(), str::to_owned);
+    let last_word = line[..start].split_whitespace().next_back();
+    let source = last_word.map_or_else(|| source.to_owned(), str::to_owned);
     Some(Entry { time_unix_ms, source, fields })
 }
 
@@ -76,7 +76,7 @@
 fn render(entry: &Entry) -> String {
     let hidden = ["event", "message", "target", "level", "time_unix_ms", "id"];
     let fields = entry.fields.as_object().into_iter().flatten();
-    let shown: Vec<String> = fields
+    let pairs: Vec<String> = fields
         .filter(|(key, _)| !hidden.contains(&key.as_str()))
         .map(|(key, value)| match value {
             Value::String(text) => format!("{key}={text}"),
@@ -89,6 +89,6 @@
         entry.source,
         text_of(&entry.fields, "event"),
         text_of(&entry.fields, "message"),
-        shown.join(" ")
+        pairs.join(" ")
     )
 }
