--- a/crates/telemetry/src/bounded_log.rs
+++ b/crates/telemetry/src/bounded_log.rs
@@ -1,7 +1,7 @@
 //! Non-blocking logging through a bounded queue to a thread that writes to standard output.
 //!
-//! Warnings and errors have their own rate limit, so that a burst of less severe records can't displace
-//! them. Dropped records are counted, and the count is logged as a `log_dropped` event.
+//! Warnings and errors have their own rate limit, so that a burst of less severe records doesn't exhaust
+//! it. Dropped records are counted, and the count is logged as a `log_dropped` event.
 
 use std::{
     io::Write,
@@ -89,10 +89,10 @@
 /// Waits until all records so far are written, for at most 200 ms.
 pub fn flush_logs() {
     let Some(bounded) = LOG.get() else { return };
-    let (done, is_done) = flume::bounded(1);
-    if bounded.queue.try_send(Entry::Flush(done)).is_ok() {
-        // A blocked standard output must not keep the process from ending.
-        let _ = is_done.recv_timeout(FLUSH_TIMEOUT);
+    let (flushed, flush_done) = flume::bounded(1);
+    if bounded.queue.try_send(Entry::Flush(flushed)).is_ok() {
+        // A blocked standard output must not prevent the process from exiting.
+        let _ = flush_done.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
@@ -120,7 +120,7 @@
                     text.push_str(&line);
                     text.push('\n');
                 }
-                Entry::Flush(done) => flushes.push(done),
+                Entry::Flush(flushed) => flushes.push(flushed),
             }
         }
         let dropped = LOG.get().map_or(0, |bounded| bounded.dropped.swap(0, Ordering::Relaxed));
@@ -130,8 +130,8 @@
         // A failure to write log records can't be logged.
         let _ = out.write_all(text.as_bytes());
         let _ = out.flush();
-        for done in flushes {
-            let _ = done.send(());
+        for flushed in flushes {
+            let _ = flushed.send(());
         }
     }
 }
