--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -23,7 +23,7 @@
     pub evidence_seconds: HistogramVec,
     /// Seconds of a promotion, by step.
     pub failover_seconds: HistogramVec,
-    /// Promotions by ending.
+    /// Promotions by result.
     pub promotions: IntCounterVec,
     /// Connected callers.
     pub callers: IntGauge,
