--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -33,7 +33,7 @@
     fields.insert("level".to_owned(), json!(record.level().as_str().to_lowercase()));
     fields.insert("target".to_owned(), json!(record.target()));
     fields.insert("message".to_owned(), json!(message));
-    // A failure to read the fields must not lose the record itself.
+    // If the fields can't be read, the record is logged without them.
     let _ = record.key_values().visit(&mut FieldCollector { fields: &mut fields });
     serde_json::Value::Object(fields)
 }
