--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -30,7 +30,7 @@
 
 /// Parses one chunk of an accepted configuration.
 ///
-/// References to other chunks, such as from a user to a service, are not checked again.
+/// References between sections of different chunks, such as from a user to a service, are not checked again.
 pub fn read_part(text: &str) -> Result<ConfigurationPart, Problems> {
     let mut problems = ProblemList::new("an accepted chunk");
     let mut reader = ConfigurationReader::default();
@@ -63,7 +63,8 @@
 /// Collects the parsed sections, keyed by the parts of their names.
 #[derive(Default)]
 struct ConfigurationReader {
-    seen: BTreeMap<(String, String), u32>,
+    /// The line of each section, by kind and name.
+    section_lines: BTreeMap<(String, String), u32>,
     services: BTreeMap<Name, ParsedSection<ServiceOptions>>,
     groups: BTreeMap<GroupId, ParsedSection<GroupOptions>>,
     servers: BTreeMap<(GroupId, Name), ParsedSection<ServerOptions>>,
@@ -78,9 +79,9 @@
 impl ConfigurationReader {
     fn read(&mut self, section: &RawSection, problems: &mut ProblemList<'_>) {
         let key = (section.kind.clone(), section.name.clone());
-        if let Some(first) = self.seen.insert(key, section.line) {
+        if let Some(first) = self.section_lines.insert(key, section.line) {
             let header = format!("{} {}", section.kind, section.name);
-            let message = format!("the section stands twice, first at line {first}");
+            let message = format!("duplicate section, first defined at line {first}");
             problems.add(section.line, header.trim(), message);
             return;
         }
@@ -254,13 +255,14 @@
             problems.add(line, "heartbeat_ms", "must be above 0");
         }
         if failover.suspect_after_ms < failover.heartbeat_ms {
-            let message = "must not be below heartbeat_ms, or every pause looks like a failure";
+            let message =
+                "must not be below heartbeat_ms, or every heartbeat interval looks like a failure";
             problems.add(line, "suspect_after_ms", message);
         }
     }
 
     fn line_of(&self, kind: &str, name: &str) -> u32 {
-        self.seen.get(&(kind.to_owned(), name.to_owned())).copied().unwrap_or(1)
+        self.section_lines.get(&(kind.to_owned(), name.to_owned())).copied().unwrap_or(1)
     }
 }
 
@@ -290,16 +292,16 @@
     let header = format!("{} {}", section.kind, section.name).trim().to_owned();
     let options = read_section(section, problems);
     let parts: Vec<Name> = section.name.split('/').map(Name::from).collect();
-    let well_formed = parts.iter().all(|part| is_name(part));
+    let is_well_formed = parts.iter().all(|part| is_name(part));
     match <[Name; N]>::try_from(parts) {
-        Ok(parts) if well_formed => {
+        Ok(parts) if is_well_formed => {
             Some((ParsedSection { line: section.line, header, options }, parts))
         }
         _ => {
             problems.add_with(
                 section.line,
                 &header,
-                "the section's name has the wrong shape",
+                "the section's name is malformed",
                 Some(format!(
                     "write [{} {}], with letters, digits, `-`, `_` and `.` in each part",
                     T::KIND,
@@ -316,7 +318,7 @@
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// Owners need at least one connection for statements and one for control on each server.
+/// Minimum connections of a group: an owner needs one for statements and one for control on each server.
 const MIN_CONNECTIONS: u32 = 2;
 
 fn assemble_group(
@@ -326,7 +328,8 @@
     problems: &mut ProblemList<'_>,
 ) -> Option<Group> {
     if section.options.connections < MIN_CONNECTIONS {
-        let message = format!("must be at least {MIN_CONNECTIONS}: one for work, one for control");
+        let message =
+            format!("must be at least {MIN_CONNECTIONS}: one for statements, one for control");
         problems.add(section.line, "connections", message);
     }
     if section.options.slots == 0 {
@@ -356,16 +359,16 @@
 }
 
 fn check_group_name<T>(
-    wanted: Option<&Name>,
+    requested: Option<&Name>,
     section: &ParsedSection<T>,
     groups: &[Name],
     problems: &mut ProblemList<'_>,
 ) {
-    let Some(wanted) = wanted else { return };
-    if !groups.contains(wanted) {
+    let Some(requested) = requested else { return };
+    if !groups.contains(requested) {
         let known = groups.iter().map(|group| &**group);
-        let message = format!("the service has no group `{wanted}`");
-        problems.add_with(section.line, &section.header, message, suggest(wanted, known));
+        let message = format!("the service has no group `{requested}`");
+        problems.add_with(section.line, &section.header, message, suggest(requested, known));
     }
 }
 
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -73,12 +73,12 @@
             line,
             key,
             "a key without a value",
-            Some(format!("write `{key} = …`, with nothing after the sign to leave it unset")),
+            Some(format!("write `{key} = …`, with nothing after the `=` to leave the key unset")),
         );
         return;
     };
     let Some(section) = section else {
-        problems.add(line, key, "the key stands before the first section");
+        problems.add(line, key, "the key comes before the first section");
         return;
     };
     section.entries.push(RawEntry { line, key: key.to_owned(), value: value.to_owned() });
--- a/crates/config/src/host_settings.rs
+++ b/crates/config/src/host_settings.rs
@@ -135,10 +135,10 @@
     pub fn read(file: &str, text: &str) -> Result<HostSettings, Problems> {
         let mut problems = ProblemList::new(file);
         let mut settings = HostSettings::default();
-        let mut seen = Vec::new();
+        let mut seen_kinds = Vec::new();
         for section in read_document(text, &mut problems) {
-            if seen.contains(&section.kind) {
-                problems.add(section.line, &section.kind, "the section stands twice");
+            if seen_kinds.contains(&section.kind) {
+                problems.add(section.line, &section.kind, "duplicate section");
                 continue;
             }
             match section.kind.as_str() {
@@ -156,7 +156,7 @@
                     suggest(other, KINDS.iter().copied()),
                 ),
             }
-            seen.push(section.kind);
+            seen_kinds.push(section.kind);
         }
         settings.check(&mut problems);
         problems.finish(settings)
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -35,13 +35,13 @@
 /// Reads a section into its config struct and adds every mistake to `problems`.
 pub(crate) fn read_section<T: Section>(section: &RawSection, problems: &mut ProblemList<'_>) -> T {
     let mut options = T::default();
-    let mut seen: Vec<&str> = Vec::new();
+    let mut seen_keys: Vec<&str> = Vec::new();
     for entry in &section.entries {
-        if seen.contains(&entry.key.as_str()) {
-            problems.add(entry.line, &entry.key, "the key stands twice in this section");
+        if seen_keys.contains(&entry.key.as_str()) {
+            problems.add(entry.line, &entry.key, "duplicate key in this section");
             continue;
         }
-        seen.push(&entry.key);
+        seen_keys.push(&entry.key);
         match options.set(&entry.key, &entry.value) {
             Some(Ok(())) => {}
             Some(Err(message)) => problems.add(entry.line, &entry.key, message),
