--- a/crates/config/src/chunks.rs
+++ b/crates/config/src/chunks.rs
@@ -40,7 +40,8 @@
 pub struct Head {
     /// Increases by one with each accepted configuration; daemons ignore lower revisions.
     pub revision: u64,
-    /// A unique id chosen by the command that wrote the head, which reads it back if its answer was lost.
+    /// A unique id chosen by the command that wrote the head. If the response to the write was lost, the command reads
+    /// the head back and compares the id.
     pub change_id: String,
     /// The hashes of the chunks, in order.
     pub chunks: Vec<ChunkHash>,
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -69,10 +69,10 @@
     pub rules: Vec<RuleOptions>,
 }
 
-/// The properties of a caller that decide on its group.
+/// The properties of a caller that determine its group.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The group that the caller asks for.
+    /// The group that the caller requests, if any.
     pub group: Option<&'a str>,
     /// The user that the caller logged in as.
     pub user: &'a str,
@@ -81,25 +81,25 @@
 }
 
 impl Service {
-    /// Returns the group for a caller: the one it asks for, the one of the first matching rule, the default
+    /// Returns the group for a caller: the requested group, or else the group of the first matching rule, the default
     /// group, or the only group.
     ///
     /// Returns `None` if there is no such group or the choice is ambiguous.
     pub fn group_for(&self, caller: PlacementRequest<'_>) -> Option<&Name> {
-        let wanted = match caller.group {
+        let selected = match caller.group {
             Some(group) => Some(group),
             None => self.group_by_rule_or_default(caller),
         };
-        match wanted {
-            Some(wanted) => self.groups.iter().find(|group| &***group == wanted),
+        match selected {
+            Some(selected) => self.groups.iter().find(|group| &***group == selected),
             None if self.groups.len() == 1 => self.groups.first(),
             None => None,
         }
     }
 
     fn group_by_rule_or_default(&self, caller: PlacementRequest<'_>) -> Option<&str> {
-        let matches = |wanted: &Option<Name>, found: &str| {
-            wanted.as_ref().is_none_or(|wanted| &**wanted == found)
+        let matches = |pattern: &Option<Name>, value: &str| {
+            pattern.as_ref().is_none_or(|pattern| &**pattern == value)
         };
         let rule = self.rules.iter().find(|rule| {
             matches(&rule.user, caller.user)
@@ -146,10 +146,10 @@
     pub fn from_parts<'a>(parts: impl IntoIterator<Item = &'a ConfigurationPart>) -> Configuration {
         let mut whole = Configuration::default();
         for part in parts {
-            let shared = |(name, found): (&Name, &Arc<Service>)| (name.clone(), found.clone());
-            whole.services.extend(part.services.iter().map(shared));
-            let shared = |(id, found): (&GroupId, &Arc<Group>)| (id.clone(), found.clone());
-            whole.groups.extend(part.groups.iter().map(shared));
+            let share = |(name, service): (&Name, &Arc<Service>)| (name.clone(), service.clone());
+            whole.services.extend(part.services.iter().map(share));
+            let share = |(id, group): (&GroupId, &Arc<Group>)| (id.clone(), group.clone());
+            whole.groups.extend(part.groups.iter().map(share));
             whole.users.extend(part.users.clone());
             if let Some(leaving) = &part.leaving {
                 whole.leaving = leaving.clone();
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -92,7 +92,7 @@
 /// Minimum Jaro-Winkler similarity for suggesting a known word.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// Suggests the most similar known word, or lists all known words if none is similar.
+/// Suggests the most similar known word, or lists all of them if none is similar. Returns `None` if there are none.
 pub(crate) fn suggest<'a>(
     word: &str,
     known: impl IntoIterator<Item = &'a str> + Clone,
