--- a/crates/proxy/src/relay/lease.rs
+++ b/crates/proxy/src/relay/lease.rs
@@ -26,7 +26,7 @@
 
 /// The properties of a statement, besides its task, that are sent to the owner.
 #[derive(Clone, Debug)]
-pub struct LeaseOptions {
+pub struct ConnectionLeaseOptions {
     /// The service of the server.
     pub service: Name,
     /// The server that runs it.
@@ -48,18 +48,22 @@
 }
 
 /// Permission to run statements on an owner's connections. Dropping it ends an open transaction.
-pub struct Lease {
+pub struct ConnectionLease {
     links: Rc<RelayLinks>,
     link: Rc<RelayLink>,
-    options: LeaseOptions,
+    options: ConnectionLeaseOptions,
     /// The number of the transaction, once one is open.
     transaction: Option<u64>,
 }
 
-impl Lease {
+impl ConnectionLease {
     /// Creates a lease over a link.
-    pub fn new(links: Rc<RelayLinks>, link: Rc<RelayLink>, options: LeaseOptions) -> Lease {
-        Lease { links, link, options, transaction: None }
+    pub fn new(
+        links: Rc<RelayLinks>,
+        link: Rc<RelayLink>,
+        options: ConnectionLeaseOptions,
+    ) -> ConnectionLease {
+        ConnectionLease { links, link, options, transaction: None }
     }
 
     /// Returns the server's identity.
@@ -148,7 +152,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for ConnectionLease {
     fn drop(&mut self) {
         self.end(false);
     }
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -22,7 +22,7 @@
     control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
-        lease::{Lease, LeaseOptions},
+        lease::{ConnectionLease, ConnectionLeaseOptions},
         link::RelayLink,
         links::RelayLinks,
     },
@@ -202,7 +202,7 @@
         let link = self.owner_of(pooled, request, now)?;
         pooled.paths.on_forward(&link.owner(), now);
         pooled.in_use_remote += 1;
-        let options = LeaseOptions {
+        let options = ConnectionLeaseOptions {
             service: pooled.entry.service.clone(),
             server: pooled.entry.server.clone(),
             wait_until,
@@ -213,7 +213,7 @@
             last_resort,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
-        let lease = Lease::new(self.relays.clone(), link, options);
+        let lease = ConnectionLease::new(self.relays.clone(), link, options);
         let backing = Backing::Remote(lease);
         Some(PooledConnection {
             pool: self.clone(),
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -13,7 +13,7 @@
     accounts::Principal,
     catalog::ServerEntry,
     dialect::EndpointDialect,
-    relay::lease::Lease,
+    relay::lease::ConnectionLease,
     serve::{
         connection::{ConnectionLost, EndpointConnection, ServerRoute},
         connection_request::ConnectionRequest,
@@ -55,7 +55,7 @@
     /// A connection of this daemon.
     Local(Box<EndpointConnection<E>>),
     /// A lease on a connection of the daemon that owns them.
-    Remote(Lease),
+    Remote(ConnectionLease),
     /// Nothing; the connection was released.
     Released,
 }
