--- a/crates/proxy/src/serve/engine.rs
+++ b/crates/proxy/src/serve/engine.rs
@@ -342,7 +342,7 @@
                     self.metrics.connections_opened.with_label_values(&["opened"]).inc();
                     match connection.is_direct {
                         true => self.record_reachable(group, &permit.entry.service, &server),
-                        false => group.pool.on_tunnel(&server, true),
+                        false => group.pool.on_tunnel_result(&server, true),
                     }
                     return Ok(permit.opened(connection));
                 }
@@ -436,7 +436,7 @@
     ) {
         self.metrics.connections_opened.with_label_values(&["failed"]).inc();
         group.pool.on_tunnel_failed(server, peer);
-        group.pool.on_tunnel(server, false);
+        group.pool.on_tunnel_result(server, false);
         log::info!(
             event = "detour_failed", server = &**server, peer = peer.to_string().as_str(),
             why = lost.to_string().as_str();
--- a/crates/proxy/src/serve/paths.rs
+++ b/crates/proxy/src/serve/paths.rs
@@ -156,7 +156,7 @@
     }
 
     /// Records whether a connection to a server could be opened through a tunnel.
-    pub(crate) fn on_tunnel(&self, server: &str, is_open: bool) {
+    pub(crate) fn on_tunnel_result(&self, server: &str, is_open: bool) {
         self.with_server(server, |pooled| pooled.paths.has_working_tunnel = is_open);
     }
 
@@ -235,7 +235,7 @@
                 }
             }
             if is_open {
-                group.pool.on_tunnel(server, true);
+                group.pool.on_tunnel_result(server, true);
                 log::info!(
                     event = "detour_found", service = &**service, server = &**server;
                     "an unreachable server can be reached through another daemon"
--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -154,7 +154,7 @@
             pooled.overflow = share.overflow;
             let max = pooled.limit + share.overflow;
             pooled.set_queue(self.queue_capacity(pooled, &share));
-            pooled.set_competing(self.accounts_compete(&share));
+            pooled.set_accounts_compete(self.accounts_compete(&share));
             let surplus = (pooled.idle.len() as u32 + pooled.in_use).saturating_sub(max) as usize;
             let kept = pooled.idle.len().saturating_sub(surplus);
             pooled.idle.truncate(kept);
@@ -443,7 +443,8 @@
         });
     }
 
-    pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
+    /// Releases the place of a connection that was closed or could not be opened, and offers it to waiting statements.
+    pub(super) fn release_place(self: &Rc<Self>, server: &str, yields: bool) {
         self.with_server(server, |pooled| pooled.on_released(yields));
         self.serve_waiters();
     }
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -72,7 +72,7 @@
 impl<E: EndpointDialect> Drop for OpeningPermit<E> {
     fn drop(&mut self) {
         if !self.is_opened {
-            self.pool.forget_connection(&self.entry.server, self.yields);
+            self.pool.release_place(&self.entry.server, self.yields);
         }
     }
 }
@@ -241,7 +241,7 @@
             Backing::Local(connection) => {
                 let server = connection.server.clone();
                 drop(connection);
-                self.pool.forget_connection(&server, self.yields);
+                self.pool.release_place(&server, self.yields);
             }
             Backing::Remote(lease) => self.pool.release_remote(lease.server()),
             Backing::Released => {}
--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    pub(crate) fn set_competing(&mut self, is_competing: bool) {
-        match is_competing {
+    pub(crate) fn set_accounts_compete(&mut self, accounts_compete: bool) {
+        match accounts_compete {
             true => drop(self.reuse.get_or_insert_default()),
             false => self.reuse = None,
         }
