--- a/crates/proxy/src/relay/owner.rs
+++ b/crates/proxy/src/relay/owner.rs
@@ -155,14 +155,19 @@
             return Ok(());
         }
         Some(RelayTask::Begin(_)) if transaction != 0 => {
-            let (requests, taken) = flume::bounded(TRANSACTION_CAPACITY);
+            let (requests, incoming) = flume::bounded(TRANSACTION_CAPACITY);
             // The queue is empty, so there is room.
             let _ = requests.try_send(request);
             let cancellation = open.link.child_token();
             let opened = Transaction { requests, cancellation: cancellation.clone() };
             open.transactions.borrow_mut().insert(transaction, opened);
             let answers = answers.clone();
-            tokio::task::spawn_local(run_transaction(engine.clone(), taken, answers, cancellation));
+            tokio::task::spawn_local(run_transaction(
+                engine.clone(),
+                incoming,
+                answers,
+                cancellation,
+            ));
             return Ok(());
         }
         Some(RelayTask::Sample(max_age_ms)) => {
@@ -181,9 +186,10 @@
         }
         Some(_) if transaction != 0 => {
             let transactions = open.transactions.borrow();
-            let known = transactions.get(&transaction);
-            let taken = known.is_some_and(|it| it.requests.try_send(request).is_ok());
-            (!taken).then(|| RelayOutcome::Lost("the transaction has ended here".to_owned()))
+            let open_transaction = transactions.get(&transaction);
+            let is_queued =
+                open_transaction.is_some_and(|it| it.requests.try_send(request).is_ok());
+            (!is_queued).then(|| RelayOutcome::Lost("the transaction has ended here".to_owned()))
         }
         Some(_) => {
             let (engine, answers, open) = (engine.clone(), answers.clone(), open.clone());
