--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -46,10 +46,13 @@
 #[derive(Default)]
 pub(super) struct AccountQuota {
     held: RefCell<HeldQuota>,
+    /// Whether a quota request is in progress.
     is_requesting: Cell<bool>,
+    /// Number of operations that wait for the answer to a quota request.
     waiting: Cell<u32>,
+    /// Wakes the waiting operations.
     answered: Notify,
-    /// Operations refused since the last log record about it, and the time of that record.
+    /// Operations refused since the last log record about refusals, and the time of that record.
     refused: Cell<u32>,
     logged_at: Cell<Option<Instant>>,
 }
