--- a/crates/proxy/src/serve/pooled_server.rs
+++ b/crates/proxy/src/serve/pooled_server.rs
@@ -59,9 +59,11 @@
     pub(crate) entry: Arc<ServerEntry>,
     /// Idle connections and since when each is idle, the longest idle first.
     pub(crate) idle: Vec<(Instant, Box<EndpointConnection<E>>)>,
+    /// Connections of this daemon in use, including those that are being opened.
     pub(crate) in_use: u32,
     /// Connections in use by statements that yield to others.
     pub(crate) yielding: u32,
+    /// Number of connections that this daemon may have without overflow.
     pub(crate) limit: u32,
     /// Number of connections beyond the limit that may be opened, and until when none may.
     pub(crate) overflow: u32,
@@ -73,12 +75,17 @@
     /// Statements and transactions that run on connections of owners.
     pub(crate) in_use_remote: u32,
     pub(crate) latency: LatencyAverage,
+    /// When the latency was last measured.
     pub(crate) latency_at: Option<Instant>,
+    /// The last log point that the server returned.
     pub(crate) point: Option<LogPoint>,
+    /// Until when the server counts as lagging behind reads that require a later log point.
     pub(crate) lagging_until: Option<Instant>,
+    /// Failures since the last answer; they determine the backoff.
     pub(crate) failures: u32,
     /// Until when no connection is opened after a failure to open one.
     pub(crate) no_opening_until: Option<Instant>,
+    /// Until when the server gets no statements after a failure, if another server is available.
     pub(crate) avoid_until: Option<Instant>,
     /// Daemons that can tunnel to the server while this one has no path to it, the index of the next to try, and
     /// until when none is tried after all of them failed.
