--- a/crates/proxy/src/serve/pool_waiters.rs
+++ b/crates/proxy/src/serve/pool_waiters.rs
@@ -64,6 +64,7 @@
         })
     }
 
+    /// Removes and returns the most urgent waiting statement that may run on a server.
     pub(super) fn next_waiter(&self, server: &str) -> Option<Waiter<E>> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
