--- a/crates/proxy/src/serve/limits.rs
+++ b/crates/proxy/src/serve/limits.rs
@@ -81,8 +81,11 @@
     voter: RefCell<Voter>,
     candidacy: RefCell<Option<Candidacy>>,
     campaign_began_at: Cell<Instant>,
+    /// The term of this daemon's next candidacy; unrelated to the terms of primaries.
     next_term: Cell<u64>,
+    /// Until when this daemon does not campaign after a candidacy without a quorum.
     no_campaign_until: Cell<Option<Instant>>,
+    /// When this daemon last heard of a coordinator, or of a candidate that it voted for or yielded to.
     coordinator_seen_at: Cell<Option<Instant>>,
     member_since: Cell<Option<Instant>>,
     electorate: RefCell<Electorate>,
