--- a/crates/proxy/src/serve/choose.rs
+++ b/crates/proxy/src/serve/choose.rs
@@ -55,7 +55,7 @@
 /// `CROSS_ZONE_PENALTY`, so that reads prefer a replica in another zone over a primary in the same zone.
 const SCARCE_PRIMARY_PENALTY: Duration = Duration::from_millis(65);
 /// Cost added to a replica that is not the preferred one of the account. Higher than `CROSS_ZONE_PENALTY`,
-/// since a connection that is opened there takes a slot for longer.
+/// since opening a connection to such a replica takes one of its slots for longer.
 const NON_PREFERRED_PENALTY: Duration = Duration::from_millis(90);
 /// Cost of opening a connection, whose handshake takes a slot of the server.
 const OPEN_PENALTY: Duration = Duration::from_millis(15);
