--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -51,7 +51,7 @@
 
 pub(crate) fn framed(stream: TcpStream) -> Frames {
     detect_dead_peer(&stream);
-    // Without TCP_NODELAY messages are only sent a little later.
+    // If TCP_NODELAY can't be set, messages are only sent slightly later.
     let _ = stream.set_nodelay(true);
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Answers the requests on one connection in turn, until the peer closes it.
+/// Answers the requests on one connection one after the other, until the peer closes the connection.
 async fn serve_peer(
     stream: TcpStream,
     answer: impl AsyncFn(FollowRequest) -> SplitAnswer,
