--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -54,7 +54,7 @@
     pub changing: bool,
     /// Whether a planned change of primary is running, or its new primary is not used yet.
     pub planned: bool,
-    /// The log point at which each term began, which tells which writes of an ended term were kept.
+    /// The log point at which each term began, which shows which writes of an ended term were kept.
     pub history: Arc<TermHistory>,
 }
 
@@ -127,15 +127,15 @@
     /// The leaders by service.
     pub leaders: Arc<HashMap<Name, GroupLeader>>,
     /// The numbers of daemons that share the servers' connections.
-    pub sharers: DaemonCounts,
+    pub daemon_counts: DaemonCounts,
     /// Daemons that can open tunnels to servers which this one can't reach.
     pub tunnel_peers: Arc<TunnelPeers>,
     /// The members from which connection owners are chosen, for servers with too few connections for every daemon.
     pub owners: Arc<Owners>,
     /// The latest log samples of primaries, by service, from any daemon of the zone.
     pub samples: Arc<HashMap<Name, PrimarySample>>,
-    /// Whether the servers' entries have been read at least once.
-    pub servers_known: bool,
+    /// Whether the store has been loaded at least once.
+    pub store_loaded: bool,
     /// The request addresses of the members, by host.
     pub members: Arc<BTreeMap<Name, SocketAddr>>,
     /// When this daemon's membership ends by its own clock.
@@ -145,7 +145,7 @@
 impl ControlView {
     /// Whether callers can be served.
     pub fn is_ready(&self) -> bool {
-        self.catalog.version > 0 && self.servers_known
+        self.catalog.version > 0 && self.store_loaded
     }
 
     /// Whether this daemon is a member, so that other daemons count it.
@@ -185,7 +185,7 @@
         server: Name,
         /// Whether the server answers.
         reachable: bool,
-        /// When the request was sent that showed it.
+        /// When the request whose outcome showed this was sent.
         asked_at: Instant,
     },
     /// The log position of a primary that this daemon was allowed to use.
@@ -209,7 +209,7 @@
         /// The term.
         term: Term,
     },
-    /// A primary refuses reads because every replica is too far behind to serve them.
+    /// Reads keep being refused, because every replica is too far behind and the primary can't run all of them.
     ReplicasBehind {
         /// The service.
         service: Name,
--- a/crates/proxy/src/control/shared_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -1,4 +1,5 @@
-//! Applies changes of the keys that the daemons share through the store.
+//! Applies changes of the daemon keys: the keys below this installation's prefix, through which the daemons share
+//! state.
 
 use std::{
     sync::Arc,
@@ -27,22 +28,22 @@
 const MEMBER_RETENTION: Duration = Duration::from_secs(20);
 
 impl<P: Adapter> Control<P> {
-    /// Notes when each member was last seen.
-    pub(crate) fn note_members(&self, now: Instant) {
+    /// Updates when each member was last seen.
+    pub(crate) fn update_seen_members(&self, now: Instant) {
         let own_zone = &*self.settings.availability_zone;
         let mut state = self.state.borrow_mut();
         state.drop_lost_members(&self.key("members/"), now);
         let State { members, members_seen, .. } = &mut *state;
         for (host, member) in members {
-            let is_near = member.availability_zone == own_zone;
-            members_seen.insert(host.clone(), SeenMember { seen_at: now, is_near });
+            let is_in_own_zone = member.availability_zone == own_zone;
+            members_seen.insert(host.clone(), SeenMember { seen_at: now, is_in_own_zone });
         }
         members_seen.retain(|_, member| now.duration_since(member.seen_at) < MEMBER_RETENTION);
     }
 
-    /// Applies a change of a shared key. Returns the service if it is a leadership record, which
+    /// Applies a change of a daemon key. Returns the service if it is a leadership record, which
     /// [`Control::apply_records`] applies together with the others that changed at the same time.
-    pub(crate) fn on_shared_key(&self, key: &str) -> Option<Name> {
+    pub(crate) fn on_daemon_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
         if let Some(service) = rest.strip_prefix("groups/") {
             return Some(Name::from(service));
@@ -52,7 +53,7 @@
         } else if rest == RETAINED_CONFIGURATION_KEY {
             self.on_retained_configuration(key);
         } else if let Some(suspicion) = rest.strip_prefix("suspicions/") {
-            self.note_own_suspicion(key);
+            self.on_own_suspicion(key);
             self.probe_suspected_server(key, suspicion);
         }
         None
@@ -103,7 +104,7 @@
                 None => is_settled = true,
             }
         }
-        // A daemon with an upstream receives the read of that one within milliseconds.
+        // A daemon with an upstream receives the upstream's next read within milliseconds.
         if is_settled && self.upstream().is_none() {
             self.refresh_now.notify_one();
         }
@@ -131,7 +132,7 @@
                 VersionedRecord { record: known?.record.clone(), revision }
             }
         };
-        state.note_edition(service, &authoritative.record);
+        state.update_edition(service, &authoritative.record);
         let authoritative = Arc::new(authoritative);
         state.records.insert(service.clone(), authoritative.clone());
         Some(authoritative)
--- a/crates/proxy/src/control/mirror.rs
+++ b/crates/proxy/src/control/mirror.rs
@@ -75,8 +75,8 @@
         changes
     }
 
-    /// Notes that every change up to a revision has been applied.
-    pub fn note_applied(&mut self, revision: Revision) {
+    /// Records that every change up to a revision has been applied.
+    pub fn on_applied(&mut self, revision: Revision) {
         self.applied_revision = self.applied_revision.max(revision);
     }
 
--- a/crates/proxy/src/control/record.rs
+++ b/crates/proxy/src/control/record.rs
@@ -18,7 +18,7 @@
     pub term: u64,
     /// The server that leads in this term.
     pub primary: String,
-    /// The incarnation in which that server became primary, if servers report one; in a later one it is no primary.
+    /// The incarnation in which that server became primary, if servers report one; in a later one it is not.
     #[serde(rename = "primary_life", default, skip_serializing_if = "Option::is_none")]
     pub primary_incarnation: Option<ServerIncarnation>,
     /// The starts of the terms that promotions of this system began, oldest first.
@@ -201,7 +201,7 @@
     pub synchronous_replicas: u32,
     /// Whether the old primary may remain primary if it holds the most entries.
     pub may_keep_primary: bool,
-    /// Whether the old primary is still listed; an unlisted one does not come back.
+    /// Whether the old primary is still listed; an unlisted server is assumed not to return.
     pub is_primary_listed: bool,
 }
 
@@ -231,8 +231,8 @@
         })
     }
 
-    /// Whether no server can hold the history of the current term any more: its primary is gone and every remaining
-    /// server has answered. Continuing from an earlier history is then better than having no primary.
+    /// Whether the history of the current term is lost: its primary is no longer listed, and every listed server has
+    /// answered. Continuing from an earlier history is then better than having no primary.
     fn is_history_lost(&self, stopped: &[StoppedServer]) -> bool {
         !self.is_primary_listed && stopped.len() >= self.servers
     }
@@ -255,7 +255,7 @@
 /// The progress of fencing a primary. It is complete once a majority of the servers has been stopped for the evidence
 /// duration, and every daemon has acknowledged the stop or its primary lease has expired.
 #[derive(Clone, Copy, Debug)]
-pub struct StopProgress {
+pub struct FencingProgress {
     /// When the change was stored.
     pub recorded_at: Instant,
     /// When a majority of the servers had been stopped.
@@ -276,7 +276,7 @@
 /// The ratio by which the clock rates of two hosts may differ.
 const CLOCK_RATE_MARGIN: f64 = 1.05;
 
-impl StopProgress {
+impl FencingProgress {
     /// Returns when the stop is complete if no further answer arrives; `None` without a majority.
     pub fn complete_at(&self, bounds: PrimaryLeaseDurations) -> Option<Instant> {
         let fenced = self.fenced_at? + bounds.evidence.mul_f64(CLOCK_RATE_MARGIN);
@@ -289,8 +289,9 @@
 
 /// Whether enough witnesses report the primary as unreachable to replace it.
 ///
-/// A single daemon may itself be disconnected, so a third of the witnesses must agree, and at least two of them.
-pub fn is_primary_lost(suspecting: usize, members: usize) -> bool {
-    let needed = members.div_ceil(3).max(2).min(members.max(1));
+/// A single daemon may itself be disconnected, so a third of the witnesses must agree, and at least two of them if
+/// there are more than one.
+pub fn is_primary_lost(suspecting: usize, witnesses: usize) -> bool {
+    let needed = witnesses.div_ceil(3).max(2).min(witnesses.max(1));
     suspecting >= needed
 }
--- a/crates/proxy/src/control/servers.rs
+++ b/crates/proxy/src/control/servers.rs
@@ -61,15 +61,15 @@
         entries.iter().find(|entry| &*entry.server == server)?.incarnation
     }
 
-    /// Whether a server that was known in the incarnation `then` is now listed in another one.
+    /// Whether a server that was known in the incarnation `earlier` is now listed in another one.
     pub fn is_restarted(
         &mut self,
         service: &str,
         server: &str,
-        then: Option<ServerIncarnation>,
+        earlier: Option<ServerIncarnation>,
     ) -> bool {
-        let Some(then) = then else { return false };
-        self.incarnation_of(service, server).is_some_and(|now| now != then)
+        let Some(earlier) = earlier else { return false };
+        self.incarnation_of(service, server).is_some_and(|current| current != earlier)
     }
 
     /// Applies an entry; returns whether it changed the list.
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns the server whose entry has this key, or had it within the grace time.
-    pub fn at(&self, key: &str) -> Option<&ServerEntry> {
+    /// Returns the server entry with this key, or the one that was removed within the grace time.
+    pub fn entry_at(&self, key: &str) -> Option<&ServerEntry> {
         self.known.get(key).map(|known| &*known.entry)
     }
 
--- a/crates/proxy/src/control/starting.rs
+++ b/crates/proxy/src/control/starting.rs
@@ -35,7 +35,7 @@
 /// How much of the store's content was received from another daemon.
 enum LoadProgress {
     Nothing,
-    /// Everything, but its age is not known to be small.
+    /// Everything, but it is not known to be recent.
     Stale,
     /// Everything, and it is recent.
     Complete,
@@ -50,7 +50,7 @@
 impl<P: Adapter> Control<P> {
     /// Loads the store's content; the first time from another daemon if the fleet is large.
     pub(crate) async fn load_store(&self) -> Result<(), MetadataError> {
-        let is_first = !self.state.borrow().servers_known;
+        let is_first = !self.state.borrow().store_loaded;
         if is_first && self.load_from_peer().await? {
             return Ok(());
         }
@@ -76,7 +76,7 @@
                 LoadProgress::Nothing => {}
                 LoadProgress::Stale => self.read_own_key().await,
                 LoadProgress::Complete => {
-                    self.note_store_loaded();
+                    self.on_store_loaded();
                     log::info!(
                         event = "heard_everything", peer = upstream.to_string().as_str(),
                         took_ms = started_at.elapsed().as_millis() as u64;
@@ -104,11 +104,11 @@
         self.state.borrow().members.len() > MAX_DIRECT_READERS
     }
 
-    /// Notes that the configuration, the servers and the daemons' own keys have been loaded.
-    pub(crate) fn note_store_loaded(&self) {
+    /// Marks the configuration, the servers and the daemon keys as loaded.
+    pub(crate) fn on_store_loaded(&self) {
         let mut state = self.state.borrow_mut();
-        state.servers_known = true;
-        // Entries may have expired here during an outage of the store; their servers can renew them now.
+        state.store_loaded = true;
+        // Server entries may have expired during an outage of the store; the servers can renew them now.
         state.servers.restart_grace(Instant::now());
         drop(state);
         self.initial_load_done.notify_one();
--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -56,7 +56,7 @@
     }
 
     /// Reads the whole store in one call, because the watch has to begin at a revision at which the configuration,
-    /// the servers and the daemons' own keys were all read.
+    /// the servers and the daemon keys were all read.
     pub(crate) async fn load_from_store(&self) -> Result<(), MetadataError> {
         let asked_at = Instant::now();
         let timeouts =
@@ -65,15 +65,15 @@
         self.count_call("range", &read);
         let everything = read?;
         let revision = everything.revision;
-        let own_prefix = self.key("");
-        let own_items = everything.items.iter().filter(|item| item.key.starts_with(&own_prefix));
-        let own = Snapshot { items: own_items.cloned().collect(), revision };
+        let prefix = self.key("");
+        let daemon_items = everything.items.iter().filter(|item| item.key.starts_with(&prefix));
+        let daemon_keys = Snapshot { items: daemon_items.cloned().collect(), revision };
         self.enter_era(revision);
         let changes = self.state.borrow().mirror.changes_to("", everything);
         self.apply_changes(changes);
-        self.state.borrow_mut().note_applied(revision);
-        self.on_own_snapshot(own, asked_at);
-        self.note_store_loaded();
+        self.state.borrow_mut().on_applied(revision);
+        self.on_daemon_keys_snapshot(daemon_keys, asked_at);
+        self.on_store_loaded();
         Ok(())
     }
 
@@ -107,7 +107,7 @@
                 }
                 Err(error) => return error,
             }
-            self.note_members(Instant::now());
+            self.update_seen_members(Instant::now());
             self.publish();
             if asked_at.elapsed() < BURST_WITHIN {
                 tokio::time::sleep(BURST_PAUSE).await;
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Whether a failed watch is repeated from the same revision. No change is missed that way. In a large fleet,
-    /// loading the store instead would congest the link further.
+    /// Whether a failed watch is repeated from the same revision instead of loading the store again. No change is
+    /// missed that way. This is done only in a large fleet, where loading the store would congest the link further.
     fn can_resume_watch(&self, error: &MetadataError) -> bool {
         let must_reload = match error {
             MetadataError::NotDone(_)
@@ -138,8 +138,8 @@
         let Changes { changes, revision } = changes?;
         self.apply_changes(changes);
         let mut state = self.state.borrow_mut();
-        state.note_applied(revision);
-        state.own_applied_revision = state.own_applied_revision.max(revision);
+        state.on_applied(revision);
+        state.daemon_keys_revision = state.daemon_keys_revision.max(revision);
         Ok(())
     }
 
@@ -195,16 +195,16 @@
         catch_up_delay(before.filter(|(_, member)| member.availability_zone == **zone).count())
     }
 
-    /// Reads the missing changes, or the whole store if that brings none, because a watch may return late.
+    /// Requests the missing changes, or the whole store if changes are still missing, because a watch may return late.
     ///
-    /// If an answer has begun but did not end, the changes are requested again: the whole store is larger and would
-    /// use the same link.
+    /// If an answer was received only in part, the changes are requested again: the whole store is larger and would use
+    /// the same link.
     async fn catch_up(&self) -> Result<(), MetadataError> {
         let before = self.state.borrow().mirror.applied_revision();
         let outcome = self.watch_once(Duration::ZERO).await;
         let has_progressed = self.state.borrow().mirror.applied_revision() > before;
         match outcome {
-            // In a large fleet, store reads may advance while a long answer arrives; the next catch-up reads on.
+            // In a large fleet, the store may change while a long answer arrives; the next catch-up requests the rest.
             Ok(()) if !self.is_behind() || (has_progressed && self.is_fleet_large()) => {
                 self.publish();
                 Ok(())
@@ -220,7 +220,7 @@
 
     /// Applies changes from the store or another daemon, and wakes the tasks that wait for them.
     pub(crate) fn apply_changes(&self, changes: Vec<Change>) {
-        let mut own_changed = false;
+        let mut has_daemon_key_changed = false;
         let mut records = Vec::new();
         for change in changes {
             let key = change.key().to_owned();
@@ -234,21 +234,21 @@
                 }
             }
             if key.starts_with(&*self.settings.metadata.prefix) {
-                own_changed = true;
-                records.extend(self.on_shared_key(&key));
+                has_daemon_key_changed = true;
+                records.extend(self.on_daemon_key(&key));
             } else {
                 self.on_operator_or_server_change(change);
             }
         }
         self.apply_records(&records);
-        if own_changed {
+        if has_daemon_key_changed {
             self.mirror_changed.notify_waiters();
         }
         self.updates_available.notify_waiters();
     }
 
-    /// Whether followers are told of a change of this key at once. Keys that change in bulk, as when many daemons
-    /// start, are sent along with the next answer.
+    /// Whether a change of this key is sent to followers immediately. Changes that occur in bulk, as when many daemons
+    /// start, are sent with the next answer.
     fn is_urgent(&self, key: &str) -> bool {
         let bulk_prefixes = [self.key("members/"), self.key("stopped/")];
         !bulk_prefixes.iter().any(|prefix| key.starts_with(prefix))
@@ -288,7 +288,7 @@
         };
         let mut state = self.state.borrow_mut();
         let is_operators = self.is_operators_configuration(&item.key);
-        if state.configurations.note(catalog.version, &item.value, is_operators) {
+        if state.configurations.update(catalog.version, &item.value, is_operators) {
             self.republish.notify_one();
         }
         if catalog.version <= state.catalog.version {
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -13,7 +13,7 @@
     accounts::Principal,
     catalog::ServerEntry,
     dialect::EndpointDialect,
-    relay::lease::Lease,
+    relay::lease::ConnectionLease,
     serve::{
         connection::{ConnectionLost, EndpointConnection, ServerRoute},
         connection_request::ConnectionRequest,
@@ -44,8 +44,9 @@
     pub(super) backing: Backing<E>,
     pub(super) acquired_at: Instant,
     pub(super) yields: bool,
-    /// The queue permit that comes with the connection, and the one of the transaction's current statement.
+    /// The queue permit with which the connection was acquired.
     pub(super) permit: Option<QueuePermit>,
+    /// The queue permit of the transaction's current statement, after the slot of `permit` was released.
     pub(super) statement_permit: Option<QueuePermit>,
 }
 
@@ -54,7 +55,7 @@
     /// A connection of this daemon.
     Local(Box<EndpointConnection<E>>),
     /// A lease on a connection of the daemon that owns them.
-    Remote(Lease),
+    Remote(ConnectionLease),
     /// Nothing; the connection was released.
     Released,
 }
@@ -71,7 +72,7 @@
 impl<E: EndpointDialect> Drop for OpeningPermit<E> {
     fn drop(&mut self) {
         if !self.is_opened {
-            self.pool.forget_connection(&self.entry.server, self.yields);
+            self.pool.release_place(&self.entry.server, self.yields);
         }
     }
 }
@@ -136,7 +137,7 @@
         Ok(())
     }
 
-    /// Releases the server's slot to others. Only statements that ran to completion count for the service time.
+    /// Releases the server's slot to other statements. Only those that ran to completion count for the service time.
     fn release_slot(
         &mut self,
         task: &EndpointTask,
@@ -166,13 +167,13 @@
         }
     }
 
-    /// Passes the connection to a waiting request, or returns it to the idle ones.
+    /// Passes the connection to a waiting request, or adds it to the idle connections.
     fn pass_to_waiter(mut self) {
         if self.is_stale() {
             // Dropping it makes room for a connection to the server's current incarnation.
             return;
         }
-        // The next statement with a permit finds the connection idle: no other task runs before this function
+        // The statement that gets the permit next finds this connection idle: no other task runs before this function
         // returns.
         self.permit = None;
         self.acquired_at = Instant::now();
@@ -240,7 +241,7 @@
             Backing::Local(connection) => {
                 let server = connection.server.clone();
                 drop(connection);
-                self.pool.forget_connection(&server, self.yields);
+                self.pool.release_place(&server, self.yields);
             }
             Backing::Remote(lease) => self.pool.release_remote(lease.server()),
             Backing::Released => {}
