--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -50,9 +50,9 @@
 /// The state of a daemon in the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It accepts work.
+    /// The daemon accepts work.
     Live,
-    /// It is being taken out of service or is stopping; it gets no new work.
+    /// The daemon is being taken out of service or is stopping; it gets no new work.
     Leaving,
 }
 
