--- a/crates/membership/src/owners.rs
+++ b/crates/membership/src/owners.rs
@@ -6,10 +6,10 @@
 
 use crate::Member;
 
-/// The minimum number of owners, so that a group keeps one while another is replaced.
+/// The minimum number of owners with [`OwnerCount::Auto`], so that a group keeps an owner while another is replaced.
 const MIN_OWNERS: usize = 2;
 
-/// Connections to each server that an owner needs for work, in addition to one for control.
+/// Connections to each server that an owner needs for requests, in addition to one for control.
 const WORK_CONNECTIONS_PER_OWNER: u32 = 2;
 
 /// Returns the number of owners of a group with `connections` to each server.
