--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -12,7 +12,7 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Multiplies the backoff of a daemon with an upstream, which retries as well and shares what it reads.
 const FOLLOWER_FACTOR: u32 = 4;
-/// The same while the upstream answers and would report the store's recovery immediately.
+/// [`FOLLOWER_FACTOR`] while the upstream answers and would report the store's recovery immediately.
 const INFORMED_FOLLOWER_FACTOR: u32 = 8;
 /// How long after an answer the upstream counts as answering; slightly longer than it may hold a request.
 const UPSTREAM_ANSWER_TTL: Duration = Duration::from_secs(1);
