--- a/crates/proxy/src/control/control_view.rs
+++ b/crates/proxy/src/control/control_view.rs
@@ -163,7 +163,7 @@
         self.leaders.get(service).filter(|leader| leader.is_valid(now))
     }
 
-    /// Whether the service lacks a primary only because of a planned change, which takes less than a second.
+    /// Whether this daemon has no usable primary of the service only because of a planned change, and so only briefly.
     pub fn is_planned_gap(&self, service: &str, now: Instant) -> bool {
         self.leaders.get(service).is_some_and(|leader| leader.planned && !leader.is_valid(now))
     }
