--- a/crates/proxy/src/control/daemon_keys.rs
+++ b/crates/proxy/src/control/daemon_keys.rs
@@ -42,7 +42,7 @@
     }
 
     /// Applies a change of a daemon key. Returns the service if it is a leadership record, which
-    /// [`Control::apply_records`] applies together with the others that changed at the same time.
+    /// [`Control::apply_records`] applies together with the other records that changed at the same time.
     pub(crate) fn on_daemon_key(&self, key: &str) -> Option<Name> {
         let rest = key.strip_prefix(&*self.settings.metadata.prefix)?;
         if let Some(service) = rest.strip_prefix("groups/") {
