--- a/crates/proxy/src/control/freshness.rs
+++ b/crates/proxy/src/control/freshness.rs
@@ -12,8 +12,8 @@
 /// How long a change shown by a store read may be missing before it is read from the store; enough for it to pass
 /// through three levels of daemons together with the next read.
 pub(crate) const MAX_BEHIND: Duration = Duration::from_millis(900);
-/// The same for a daemon that follows another one. It is longer, so that the upstream reads first and passes the
-/// changes on.
+/// [`MAX_BEHIND`] for a daemon with an upstream. It is longer, so that the upstream reads first and passes the changes
+/// on.
 const FOLLOWER_MAX_BEHIND: Duration = Duration::from_millis(1_400);
 /// How long changes that the upstream is already sending are waited for, such as a large configuration over slow
 /// links.
@@ -23,8 +23,8 @@
 const CATCH_UP_STEP: Duration = Duration::from_millis(300);
 
 /// Returns how much later than the first daemon of its zone a daemon of a large fleet reads missing changes from the
-/// store. The first ones pass the changes on, so a zone that is behind as a whole reads them once or twice instead of
-/// once per daemon.
+/// store. The first daemons pass the changes on, so a zone that is behind as a whole reads them once or twice instead
+/// of once per daemon.
 pub fn catch_up_delay(daemons_before: usize) -> Duration {
     CATCH_UP_STEP * (daemons_before + 1).ilog2()
 }
