--- a/crates/proxy/src/control/peer_link.rs
+++ b/crates/proxy/src/control/peer_link.rs
@@ -32,7 +32,7 @@
 /// Time for a peer to accept a connection, and to answer beyond the time for which it may hold the request: a round
 /// trip within a zone plus scheduling delays of a busy host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
-/// The same for a daemon that is starting, whose answer queues behind those to the other daemons that start with it.
+/// [`ANSWER_TIMEOUT`] for a daemon that is starting, since other daemons that start with it request answers as well.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time to receive the changes after an answer: eight followers may share a link of 1 MB/s with other traffic.
 const CHANGES_TIMEOUT: Duration = Duration::from_secs(5);
