--- a/crates/proxy/src/control/peers.rs
+++ b/crates/proxy/src/control/peers.rs
@@ -475,9 +475,9 @@
 /// The effect of a store read on this daemon's primary leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadEffect {
-    /// It renews the primary leases of these services.
+    /// The read renews the primary leases of these services.
     Renews(Vec<Name>),
-    /// It renews no lease, since it is too old or this daemon lacks data that it showed.
+    /// The read renews no lease, since it is too old or this daemon lacks data that it showed.
     RenewsNothing,
 }
 
