--- a/crates/proxy/src/control/promoter.rs
+++ b/crates/proxy/src/control/promoter.rs
@@ -41,7 +41,7 @@
 /// The longest random delay before a daemon tries to become promoter, and the delay per member before it in the order
 /// of names. Without it all daemons of a fleet that starts would request a lease and collide.
 const ACQUIRE_JITTER: Duration = Duration::from_millis(60);
-/// The largest number of preceding members that delay a daemon, since failed ones stay listed for some seconds.
+/// The largest number of preceding members that delay a daemon, since failed members stay listed for some seconds.
 const MAX_MEMBERS_BEFORE: usize = 8;
 
 /// The promoter lease that this daemon holds.
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Whether one more change for this reason may start beside the running ones.
+    /// Whether another change for this reason may start while others are running.
     fn may_start_change(&self, reason: ChangeReason) -> bool {
         let queries_all_servers = |reason: &ChangeReason| {
             matches!(reason, ChangeReason::Unknown | ChangeReason::Restored)
