--- a/crates/proxy/src/control/republish.rs
+++ b/crates/proxy/src/control/republish.rs
@@ -1,5 +1,5 @@
 //! Republishes what the store lost in a restore: leadership records and the newest configuration, by any daemon that
-//! knows later ones than the store holds.
+//! knows later versions than the store holds.
 //!
 //! Each write is conditional on the revision that was read, so the latest known value remains, independent of the order
 //! of the writes. A daemon that was disconnected does the same after it reconnects. See
