--- a/crates/proxy/src/control/store_restore.rs
+++ b/crates/proxy/src/control/store_restore.rs
@@ -1,7 +1,7 @@
 //! Handles a store that was restored from a backup and therefore starts a new era.
 //!
-//! Leases are requested again, leadership records grant no primary lease until they are confirmed, and entries of the
-//! backup that contradict known ones are deferred until their writers had time to write again. See
+//! Leases are requested again, leadership records grant no primary lease until they are confirmed, and server
+//! entries of the backup that contradict known entries are deferred until the servers had time to write again. See
 //! `docs/design/store-restored.md`.
 
 use std::{
@@ -75,8 +75,8 @@
         LeadershipRecord { era: era.0, edition: *latest, ..record.clone() }
     }
 
-    /// Adds records that this daemon wrote, but that the watch did not return before the era ended, to the known ones,
-    /// so that they are republished. No other daemon may know them, and a promotion may have been ordered.
+    /// Keeps the leadership records that this daemon wrote but that the watch did not return before the era ended, so
+    /// that they are republished. Perhaps no other daemon knows them although a promotion was ordered.
     fn keep_unconfirmed_writes(&mut self, received_revision: Revision) {
         for (service, written) in std::mem::take(&mut self.written_records) {
             let known = self.records.get(&service);
