--- a/crates/proxy/src/control/tree.rs
+++ b/crates/proxy/src/control/tree.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// Followers per daemon. Each change is sent to every follower over the daemon's link; a wider tree has fewer levels.
+/// The largest number of followers per daemon in its zone. A wider tree has fewer levels, but each change is sent to
+/// every follower over the daemon's link.
 const MAX_FOLLOWERS: usize = 8;
 
 /// A daemon that accepts requests of other daemons.
