--- a/crates/proxy/src/control/watching.rs
+++ b/crates/proxy/src/control/watching.rs
@@ -145,7 +145,7 @@
 
     /// Reads missing changes from the store if neither the upstream nor the watch has delivered them in time.
     ///
-    /// This bounds the age of the configuration while the store answers: 0.7 of `right_ms` until a read is requested,
+    /// While the store answers, the configuration is at most this old: 0.7 of `right_ms` until a read is requested,
     /// plus [`FOLLOWER_MAX_BEHIND`](super::freshness), plus one check interval; 2.3 s by default. Primary leases are
     /// renewed independently. See `docs/CONFIGURATION-SPREAD.md`.
     pub(crate) async fn catch_up_loop(self: Rc<Self>) {
