--- a/crates/proxy/src/serve/pool.rs
+++ b/crates/proxy/src/serve/pool.rs
@@ -22,7 +22,7 @@
     control::control_view::{Owners, TunnelPeers},
     dialect::EndpointDialect,
     relay::{
-        lease::{Lease, LeaseOptions},
+        lease::{ConnectionLease, ConnectionLeaseOptions},
         link::RelayLink,
         links::RelayLinks,
     },
@@ -154,7 +154,7 @@
             pooled.overflow = share.overflow;
             let max = pooled.limit + share.overflow;
             pooled.set_queue(self.queue_capacity(pooled, &share));
-            pooled.set_competing(self.accounts_compete(&share));
+            pooled.set_accounts_compete(self.accounts_compete(&share));
             let surplus = (pooled.idle.len() as u32 + pooled.in_use).saturating_sub(max) as usize;
             let kept = pooled.idle.len().saturating_sub(surplus);
             pooled.idle.truncate(kept);
@@ -202,7 +202,7 @@
         let link = self.owner_of(pooled, request, now)?;
         pooled.paths.on_forward(&link.owner(), now);
         pooled.in_use_remote += 1;
-        let options = LeaseOptions {
+        let options = ConnectionLeaseOptions {
             service: pooled.entry.service.clone(),
             server: pooled.entry.server.clone(),
             wait_until,
@@ -213,7 +213,7 @@
             last_resort,
             principal: request.principal.clone().unwrap_or(Principal::Daemon),
         };
-        let lease = Lease::new(self.relays.clone(), link, options);
+        let lease = ConnectionLease::new(self.relays.clone(), link, options);
         let backing = Backing::Remote(lease);
         Some(PooledConnection {
             pool: self.clone(),
@@ -443,7 +443,8 @@
         });
     }
 
-    pub(super) fn forget_connection(self: &Rc<Self>, server: &str, yields: bool) {
+    /// Releases the place of a connection that was closed or could not be opened, and offers it to waiting statements.
+    pub(super) fn release_place(self: &Rc<Self>, server: &str, yields: bool) {
         self.with_server(server, |pooled| pooled.on_released(yields));
         self.serve_waiters();
     }
--- a/crates/proxy/src/serve/pooled_connection.rs
+++ b/crates/proxy/src/serve/pooled_connection.rs
@@ -13,7 +13,7 @@
     accounts::Principal,
     catalog::ServerEntry,
     dialect::EndpointDialect,
-    relay::lease::Lease,
+    relay::lease::ConnectionLease,
     serve::{
         connection::{ConnectionLost, EndpointConnection, ServerRoute},
         connection_request::ConnectionRequest,
@@ -55,7 +55,7 @@
     /// A connection of this daemon.
     Local(Box<EndpointConnection<E>>),
     /// A lease on a connection of the daemon that owns them.
-    Remote(Lease),
+    Remote(ConnectionLease),
     /// Nothing; the connection was released.
     Released,
 }
@@ -72,7 +72,7 @@
 impl<E: EndpointDialect> Drop for OpeningPermit<E> {
     fn drop(&mut self) {
         if !self.is_opened {
-            self.pool.forget_connection(&self.entry.server, self.yields);
+            self.pool.release_place(&self.entry.server, self.yields);
         }
     }
 }
@@ -241,7 +241,7 @@
             Backing::Local(connection) => {
                 let server = connection.server.clone();
                 drop(connection);
-                self.pool.forget_connection(&server, self.yields);
+                self.pool.release_place(&server, self.yields);
             }
             Backing::Remote(lease) => self.pool.release_remote(lease.server()),
             Backing::Released => {}
