--- a/crates/daemon/src/caller_log_in.rs
+++ b/crates/daemon/src/caller_log_in.rs
@@ -14,6 +14,7 @@
 /// Start-up parameters. Those in `options` are split into separate entries.
 pub(crate) type Parameters = BTreeMap<String, String>;
 
+/// Logs a caller in. Returns its parameters, or `None` if the connection is to be closed.
 pub(crate) async fn log_in(
     context: &Arc<Context>,
     stream: &mut CallerStream,
