--- a/crates/daemon/src/configuration_sync.rs
+++ b/crates/daemon/src/configuration_sync.rs
@@ -165,7 +165,7 @@
     if head.revision <= context.in_force.load().revision {
         return;
     }
-    let mut chunks = known_chunks(context, &head);
+    let mut chunks = chunks_in_force(context, &head);
     if missing_chunks(&head, &chunks).len() > MAX_CHUNKS_FROM_STORE
         && let Some(address) = random_member(context)
     {
@@ -192,12 +192,13 @@
 /// If more chunks than this are missing, they are requested from another daemon before the store.
 const MAX_CHUNKS_FROM_STORE: usize = 2;
 
-fn known_chunks(context: &Context, head: &Head) -> Chunks {
-    let known = head
+/// Returns the chunks of a head that the configuration in force contains.
+fn chunks_in_force(context: &Context, head: &Head) -> Chunks {
+    let chunks = head
         .chunks
         .iter()
         .filter_map(|hash| Some((hash.clone(), context.configuration_store.chunk(hash)?)));
-    known.collect()
+    chunks.collect()
 }
 
 fn missing_chunks(head: &Head, chunks: &Chunks) -> Vec<ChunkHash> {
@@ -262,7 +263,7 @@
     if head.revision <= context.in_force.load().revision {
         return;
     }
-    let mut chunks = known_chunks(context, &head);
+    let mut chunks = chunks_in_force(context, &head);
     fetch_chunks(context, peers, address, &head, &mut chunks).await;
     if missing_chunks(&head, &chunks).is_empty() {
         install(context, head, chunks);
@@ -304,8 +305,8 @@
 }
 
 fn replace_hosts(context: &Context, version: u64, members: Vec<Member>, leaving: Vec<SocketAddr>) {
-    let known = context.members.load();
-    if version > known.version() || known.all().is_empty() {
+    let current = context.members.load();
+    if version > current.version() || current.all().is_empty() {
         context.change_members(|list| {
             list.replace(version, members.clone());
         });
