--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -182,8 +182,8 @@
     pub(crate) fn owners_of(&self, group: &Group) -> Arc<Vec<Member>> {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
-        if let Some(known) = cache.sets.get(&group.id) {
-            return known.clone();
+        if let Some(cached) = cache.sets.get(&group.id) {
+            return cached.clone();
         }
         let members = self.members_for(group, &cache.members);
         let count = owner_count(group.options.owners, group.options.connections, members.len());
@@ -201,8 +201,8 @@
         let Some(region) = service.and_then(|service| service.options.region.as_ref()) else {
             return members.clone();
         };
-        let inside = members.iter().filter(|member| member.region == *region);
-        Arc::new(inside.cloned().collect())
+        let in_region = members.iter().filter(|member| member.region == *region);
+        Arc::new(in_region.cloned().collect())
     }
 
     fn refresh_owners(&self, cache: &mut OwnerCache) {
@@ -240,13 +240,13 @@
 
     /// Drops the cached owners of groups that a new configuration changes.
     fn invalidate_changed_owners(&self, before: &Configuration, after: &Configuration) {
-        let same = |id: &GroupId| {
+        let is_unchanged = |id: &GroupId| {
             let group = before.groups.get(id).zip(after.groups.get(id));
             let service = before.services.get(&id.service).zip(after.services.get(&id.service));
             group.is_some_and(|(old, new)| Arc::ptr_eq(old, new))
                 && service.is_some_and(|(old, new)| Arc::ptr_eq(old, new))
         };
-        self.owner_cache.lock().sets.retain(|id, _| same(id));
+        self.owner_cache.lock().sets.retain(|id, _| is_unchanged(id));
     }
 
     /// Whether this daemon owns a group. While no members are known, it owns every group.
