--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -459,8 +459,8 @@
 }
 
 fn find_parse(job: &Job, statement: u64) -> Result<Bytes, EndpointError> {
-    let found = job.statements.iter().find(|known| known.id == statement);
-    found.map(|known| known.parse.clone()).ok_or_else(|| {
+    let found = job.statements.iter().find(|prepared| prepared.id == statement);
+    found.map(|prepared| prepared.parse.clone()).ok_or_else(|| {
         EndpointError::Protocol("a job refers to a statement that it does not bring".to_owned())
     })
 }
