--- a/crates/daemon/src/failover_runner.rs
+++ b/crates/daemon/src/failover_runner.rs
@@ -260,7 +260,8 @@
         }
     }
 
-    /// Seals all servers that answer. Once a majority is sealed, the rest get only `SEAL_GRACE`.
+    /// Seals all servers that answer. Once a majority is sealed, the others have `SEAL_GRACE` left to
+    /// answer.
     async fn seal(&self, term: Term) -> Vec<(ServerId, ServerStatus)> {
         let step_timeout_ms = self.group.in_force.load().configuration.failover.step_timeout_ms;
         let mut until = tokio::time::Instant::now() + Duration::from_millis(step_timeout_ms);
@@ -283,7 +284,7 @@
         sealed
     }
 
-    /// Notifies the other owners of a new primary, so that they need not wait for a heartbeat.
+    /// Notifies the other owners of a new primary, so that they learn of it before their next heartbeat.
     fn notify_owners(&self, term: Term) {
         let notice = TermNotice {
             service: self.group.id.service.to_string(),
