--- a/crates/daemon/src/group_state.rs
+++ b/crates/daemon/src/group_state.rs
@@ -132,7 +132,7 @@
         group
     }
 
-    /// Records that the group is used, so that it stays held and watched.
+    /// Records that the group is used, so that its state is kept and its servers are watched.
     pub(crate) fn touch(&self) {
         *self.used_at.lock() = Instant::now();
     }
