--- a/crates/daemon/src/group_watch.rs
+++ b/crates/daemon/src/group_watch.rs
@@ -138,15 +138,15 @@
 }
 
 /// Queries one server whenever its last answer is older than half a heartbeat. Each server has a
-/// loop of its own, so that one that does not answer does not delay the others.
+/// separate loop, so that a server that does not answer does not delay the queries of others.
 async fn watch_server(context: Arc<Context>, group: Arc<GroupState>, server: ServerId) {
     while is_held(&context, &group) {
         let heartbeat = heartbeat_of(&group);
         let due = {
             let view = group.view.read();
-            let known = &view.servers[server.index()];
-            known.silent_since.is_some()
-                || known.requested_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
+            let observed = &view.servers[server.index()];
+            observed.silent_since.is_some()
+                || observed.requested_at.is_none_or(|at| at.elapsed() > heartbeat / 2)
         };
         if due && group.query_status(server).await.is_err_and(|error| error.is_shutting_down()) {
             // A server reports its shutdown earlier than the platform's host list does.
