--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -25,7 +25,7 @@
         .route("/show", get(show))
         .with_state(context);
     if let Err(error) = axum::serve(listener, router).await {
-        log::error!(error = error.to_string().as_str(); "serving the operators' address failed");
+        log::error!(error = error.to_string().as_str(); "the HTTP server for operators failed");
     }
 }
 
