--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -127,7 +127,7 @@
     }
 
     fn require_statement(&mut self, prepared: &PreparedStatement) {
-        if self.statements.iter().all(|known| known.id != prepared.id) {
+        if self.statements.iter().all(|required| required.id != prepared.id) {
             self.statements.push(Statement { id: prepared.id, parse: prepared.parse.clone() });
         }
     }
