--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -259,7 +259,7 @@
             .collect();
         let quorum = (members.len() as f64 * QUORUM_SHARE) as usize + 1;
         granted.sort_unstable();
-        let by_quorum = granted.len().checked_sub(quorum).map(|place| granted[place]);
+        let by_quorum = granted.len().checked_sub(quorum).map(|index| granted[index]);
         let is_unanimous = !members.is_empty() && bound.len() == members.len();
         let by_all = bound.iter().min().copied().filter(|_| is_unanimous);
         let has_full_rate = by_all.is_some() || has_full_rate(granted.len(), members.len());
@@ -305,8 +305,8 @@
         ElectionState::Candidate { term: self.term, share: parts.min(1.0) / MAX_USES_PER_WINDOW }
     }
 
-    /// Whether many of the members have a valid vote for this candidate. It should not yield then, since the next
-    /// round may reach a quorum, and its voters would stay bound after counted yielded.
+    /// Whether many of the members are bound to this candidate by a valid vote. Such a candidate should not yield: the
+    /// next round may reach a quorum, and its voters would stay bound after it yielded.
     pub fn has_many_votes(&self, members: usize, now: Instant) -> bool {
         let is_bound = |counted: &&CountedBallot| {
             counted.ballot.vote.is_bound
@@ -331,8 +331,8 @@
     members > 0 && votes as f64 >= members as f64 * FULL_RATE_SHARE
 }
 
-/// Returns how long a daemon waits for a sign of a coordinator before it campaigns. The delay grows with its position
-/// among the members, so that daemons campaign one after the other and don't split the votes.
+/// Returns how long a daemon waits for the announcement of a coordinator before it campaigns. The delay grows with the
+/// daemon's position among the members, so that daemons campaign one after the other and don't split the votes.
 pub fn campaign_delay(timeout: Duration, position: usize) -> Duration {
     const ROUND_DURATION: Duration = Duration::from_millis(60);
     timeout + ROUND_DURATION * position as u32
