--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -169,7 +169,7 @@
 
 #[test]
 fn later_positions_wait_longer() {
-    let waits: Vec<Duration> = (0..3).map(|place| campaign_delay(ms(400), place)).collect();
+    let waits: Vec<Duration> = (0..3).map(|position| campaign_delay(ms(400), position)).collect();
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
     // No two daemons campaign at once, even if all positions before them are silent.
     assert!(campaign_delay(ms(400), 70) < campaign_delay(ms(400), 71));
