--- a/crates/overload/src/connection_grant.rs
+++ b/crates/overload/src/connection_grant.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-/// How long a refusal is taken into account. A server counts the connections of a dead daemon for some seconds, and
+/// How long a refusal is taken into account. A server counts the connections of a failed daemon for some seconds, and
 /// each attempt to open another one delays a statement.
 const REFUSAL_TTL: Duration = Duration::from_millis(1_000);
 
