--- a/crates/overload/src/fair_queue.rs
+++ b/crates/overload/src/fair_queue.rs
@@ -10,8 +10,8 @@
 /// Start-time fair queueing (Goyal, Vin and Cheng, 1996): each statement is tagged with the work that its account has
 /// requested so far, and the smallest tag goes first.
 ///
-/// Like deficit round robin it shares work rather than statements, but it needs no quantum. An account that sends few
-/// statements is tagged with the virtual time and goes before accounts that requested much.
+/// Like deficit round robin, it shares work rather than statements, but it needs no quantum. A statement of an account
+/// that sends few statements is tagged with the virtual time, and starts before those of accounts that requested more.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     virtual_time_us: u64,
