--- a/crates/overload/src/reuse.rs
+++ b/crates/overload/src/reuse.rs
@@ -44,8 +44,8 @@
 
     /// Returns the index of the connection that is least likely to be used again; `None` if there is none.
     ///
-    /// Accounts with several connections lose theirs first, so that a busy account does not take the only connection
-    /// of a small one.
+    /// Connections of accounts with several idle ones are closed first, so that a busy account does not displace the
+    /// only connection of a small one.
     pub fn least_likely_reused(&self, idle: &[IdleConnection<'_>], now: Instant) -> Option<usize> {
         let mut held: HashMap<&str, u32> = HashMap::new();
         for connection in idle {
