--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -32,7 +32,7 @@
 
 /// Number of recently started statements from which the share of more urgent work is estimated.
 const STARTED_WINDOW: f64 = 64.0;
-/// Maximum share of the server that more urgent statements are assumed to take from a waiting one.
+/// Maximum share of the server's capacity that is assumed to go to statements that overtake a waiting one.
 const MAX_OVERTAKEN_SHARE: f64 = 0.9;
 
 /// Identifies a waiting statement.
@@ -408,6 +408,7 @@
         if all > 0.0 { (before / all).min(MAX_OVERTAKEN_SHARE) } else { 0.0 }
     }
 
+    /// Reverts the cost that was charged to the account of a statement that does not start.
     fn refund(&mut self, waiter: &Waiter) {
         let fair_queue = &mut self.fair_queues[waiter.request.rank.index()];
         fair_queue.settle(&waiter.request.account, waiter.cost_us, 0);
