--- a/crates/overload/tests/circuit.rs
+++ b/crates/overload/tests/circuit.rs
@@ -13,16 +13,16 @@
     steps: usize,
     mut outcome: impl FnMut(usize) -> PathOutcome,
 ) -> usize {
-    let mut passed = 0;
+    let mut sent = 0;
     for step in 0..steps {
         *now += STEP;
         if circuit.allows_request(*now) {
             circuit.on_request(*now);
             circuit.on_outcome(outcome(step), *now);
-            passed += 1;
+            sent += 1;
         }
     }
-    passed
+    sent
 }
 
 /// An owner that answers while its server is unreachable must not get every request.
@@ -30,8 +30,8 @@
 fn a_refusing_path_gets_few_requests() {
     let (mut circuit, mut now) = (CircuitBreaker::default(), Instant::now());
     assert_eq!(circuit.on_outcome(PathOutcome::Refused, now), Some(CircuitChange::Opened));
-    let passed = send_requests(&mut circuit, &mut now, 1_400, |_| PathOutcome::Refused);
-    assert!((5..=15).contains(&passed), "{passed} of 1,400 were tried");
+    let sent = send_requests(&mut circuit, &mut now, 1_400, |_| PathOutcome::Refused);
+    assert!((5..=15).contains(&sent), "{sent} of 1,400 were tried");
 }
 
 /// A server that hangs on half of its requests, although its status check succeeds, must be avoided.
@@ -46,10 +46,10 @@
         before += 1;
         assert!(before <= 30, "it is still used after {before} requests");
     }
-    let passed = send_requests(&mut circuit, &mut now, 400, |step| {
+    let sent = send_requests(&mut circuit, &mut now, 400, |step| {
         [PathOutcome::Answered, PathOutcome::Failed][step % 2]
     });
-    assert!(passed < 60, "{passed} of 400 passed");
+    assert!(sent < 60, "{sent} of 400 sent");
 }
 
 /// Single lost answers must not open the circuit.
@@ -83,16 +83,16 @@
         now += STEP;
     }
     let begun = now;
-    let mut passed = 0;
+    let mut sent = 0;
     while !circuit.is_closed() {
         if circuit.allows_request(now) {
             circuit.on_request(now);
             circuit.on_outcome(PathOutcome::Answered, now);
-            passed += 1;
+            sent += 1;
         }
         now += STEP;
     }
-    assert_eq!(passed, 4);
+    assert_eq!(sent, 4);
     assert!(now - begun < Duration::from_millis(500));
 }
 
