--- a/crates/overload/tests/hold.rs
+++ b/crates/overload/tests/hold.rs
@@ -72,24 +72,24 @@
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
     let mut queue = HoldQueue::default();
     let arrivals = arrive_during_change(&history, &mut queue, t0);
-    let over_at = t0 + ms(600);
+    let ended_at = t0 + ms(600);
 
     let held: Vec<&Arrival> = arrivals.iter().filter(|it| it.ticket.is_some()).collect();
     assert!(held.len() >= 100, "only {} waited", held.len());
     let mut releases: Vec<(Instant, Rank)> = Vec::new();
     for arrival in &held {
         let ticket = arrival.ticket.expect("it waits");
-        let latest = arrival.limits.release_deadline(Outage::PlannedChange, over_at);
-        let release_at = queue.release_time(ticket, SERVICE_INTERVAL, latest, over_at);
+        let latest = arrival.limits.release_deadline(Outage::PlannedChange, ended_at);
+        let release_at = queue.release_time(ticket, SERVICE_INTERVAL, latest, ended_at);
         assert!(release_at <= arrival.limits.arrived + arrival.limits.timeout / 2);
-        assert!(release_at >= over_at);
+        assert!(release_at >= ended_at);
         releases.push((release_at, arrival.rank));
     }
     let last_urgent = releases.iter().filter(|it| it.1 == Rank::ALL[0]).map(|it| it.0).max();
     let first_least = releases.iter().filter(|it| it.1 == Rank::ALL[2]).map(|it| it.0).min();
     assert!(last_urgent <= first_least, "a less urgent statement is released before an urgent one");
-    let at_once = releases.iter().filter(|it| it.0 == over_at).count();
-    assert!(at_once <= 1, "{at_once} are released at once");
+    let immediate = releases.iter().filter(|it| it.0 == ended_at).count();
+    assert!(immediate <= 1, "{immediate} are released at once");
 }
 
 /// Refused statements must not be retried during the change or all at the same time.
@@ -98,20 +98,20 @@
     let t0 = Instant::now();
     let history = history_of(Outage::PlannedChange, &[ms(600); 5]);
     let arrivals = arrive_during_change(&history, &mut HoldQueue::default(), t0);
-    let over_at = t0 + ms(600);
+    let ended_at = t0 + ms(600);
     let mut retries: Vec<Duration> = Vec::new();
     for arrival in &arrivals {
         let Some(at) = arrival.retries_at else { continue };
-        assert!(at >= over_at, "the retry is scheduled before the end of the outage");
-        retries.push(at - over_at);
+        assert!(at >= ended_at, "the retry is scheduled before the end of the outage");
+        retries.push(at - ended_at);
     }
     assert!(retries.len() >= 100, "only {} were refused", retries.len());
-    let most = (0..40).map(|tenth| {
+    let max_count = (0..40).map(|tenth| {
         let (from, to) = (ms(10 * tenth), ms(10 * (tenth + 1)));
         retries.iter().filter(|at| **at >= from && **at < to).count()
     });
-    let most = most.max().expect("there are spans");
-    assert!(most * 4 <= retries.len(), "{most} of {} retry within 10 ms", retries.len());
+    let max_count = max_count.max().expect("there are spans");
+    assert!(max_count * 4 <= retries.len(), "{max_count} of {} retry within 10 ms", retries.len());
 }
 
 /// An outage that lasts ten times as long as the earlier ones must not exceed the limits of held statements.
