--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -20,7 +20,7 @@
 /// The message within a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Asks to run a request for a caller of the sending daemon.
+    /// Requests the receiver to run a job for a caller of the sending daemon.
     #[prost(message, tag = "2")]
     Job(Job),
     /// A part of the answer to a job.
@@ -32,13 +32,13 @@
     /// The caller of a session has disconnected, so its transaction is to be rolled back.
     #[prost(message, tag = "5")]
     Abandon(RelayAbandon),
-    /// The caller of a session asked to cancel its running request.
+    /// The caller of a session requests to cancel its running request.
     #[prost(message, tag = "6")]
     Cancel(RelayCancel),
     /// Allows the sender of an answer to send more chunks.
     #[prost(message, tag = "7")]
     Credit(Credit),
-    /// Asks for the receiver's view of a group's primary.
+    /// Requests the receiver's view of a group's primary.
     #[prost(message, tag = "8")]
     ViewRequest(ViewRequest),
     /// The view of a group's primary.
@@ -47,25 +47,25 @@
     /// The sender's versions and state; the receiver answers with its own.
     #[prost(message, tag = "10")]
     Gossip(GossipMessage),
-    /// Asks for the head of the configuration in force.
+    /// Requests the head of the configuration in force.
     #[prost(message, tag = "11")]
     HeadRequest(HeadRequest),
     /// The head of the configuration.
     #[prost(message, tag = "12")]
     HeadAnswer(HeadAnswer),
-    /// Asks for a chunk of the configuration.
+    /// Requests a chunk of the configuration.
     #[prost(message, tag = "13")]
     ChunkRequest(ChunkRequest),
     /// A chunk of the configuration.
     #[prost(message, tag = "14")]
     ChunkAnswer(ChunkAnswer),
-    /// Asks to hold back new transactions of a group for a planned change of primary.
+    /// Requests to hold back new transactions of a group for a planned change of primary.
     #[prost(message, tag = "15")]
     HoldRequest(HoldRequest),
     /// The number of transactions of the group that still run.
     #[prost(message, tag = "16")]
     HoldAnswer(HoldAnswer),
-    /// Asks for the host list.
+    /// Requests the host list.
     #[prost(message, tag = "17")]
     HostListRequest(HostListRequest),
     /// The host list.
@@ -244,7 +244,7 @@
     pub session_id: u64,
 }
 
-/// The caller of a session asked to cancel its running request.
+/// The caller of a session requests to cancel its running request.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayCancel {
     /// The session.
@@ -260,7 +260,7 @@
     pub chunks: u32,
 }
 
-/// Asks for a view of a group's primary.
+/// Requests a view of a group's primary.
 #[derive(Clone, PartialEq, Message)]
 pub struct ViewRequest {
     /// The service.
@@ -330,7 +330,7 @@
     pub wanted: Vec<u32>,
 }
 
-/// Asks for the head of the configuration.
+/// Requests the head of the configuration.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeadRequest {}
 
@@ -342,7 +342,7 @@
     pub head: Bytes,
 }
 
-/// Asks for a chunk of the configuration by its hash.
+/// Requests a chunk of the configuration by its hash.
 #[derive(Clone, PartialEq, Message)]
 pub struct ChunkRequest {
     /// The chunk's hash.
@@ -358,7 +358,7 @@
     pub text: Option<String>,
 }
 
-/// Asks for a group's new transactions to be held back.
+/// Requests to hold back new transactions of a group.
 #[derive(Clone, PartialEq, Message)]
 pub struct HoldRequest {
     /// The service.
@@ -380,7 +380,7 @@
     pub running: u32,
 }
 
-/// Asks for the host list.
+/// Requests the host list.
 #[derive(Clone, PartialEq, Message)]
 pub struct HostListRequest {}
 
@@ -404,10 +404,10 @@
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub availability_zone: String,
-    /// The address of the daemon or endpoint that runs there.
+    /// The address of the daemon or endpoint on the host.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Whether an endpoint runs there rather than a daemon.
+    /// Whether an endpoint runs on the host rather than a daemon.
     #[prost(bool, tag = "4")]
     pub endpoint: bool,
     /// Whether it is leaving.
