--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -73,7 +73,7 @@
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let (outgoing, queue) = flume::bounded(OUTGOING_QUEUE_FRAMES);
-    let writing = tokio::spawn(write_frames(writer, queue));
+    let writer_task = tokio::spawn(write_frames(writer, queue));
     let windows = Windows::default();
     let mut frames = FramedRead::new(reader, frame_codec());
     while let Some(Ok(frame)) = frames.next().await {
@@ -98,6 +98,6 @@
     for window in windows.lock().values() {
         window.close();
     }
-    writing.abort();
+    writer_task.abort();
     handler.on_disconnect(connection_id);
 }
