--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -138,16 +138,16 @@
             ReadCheck::Behind,
         ),
     ];
-    for (name, point, status, known, expected) in rows {
+    for (name, point, status, daemon_history, expected) in rows {
         let requirement = ReadRequirement { session: Some(point), freshness: None };
-        assert_eq!(check_read(requirement, &status, &known), expected, "{name}");
+        assert_eq!(check_read(requirement, &status, &daemon_history), expected, "{name}");
     }
 }
 
 #[test]
 fn freshness_is_checked_without_a_session() {
     let status = server(&[(1, 0)], 50);
-    let known = history(&[(1, 0)]);
+    let daemon_history = history(&[(1, 0)]);
     let fresh = |position| Some(LogPoint::new(1, position));
     let rows = [
         (fresh(50), ReadCheck::Sufficient),
@@ -156,7 +156,7 @@
     ];
     for (freshness, expected) in rows {
         let requirement = ReadRequirement { session: None, freshness };
-        assert_eq!(check_read(requirement, &status, &known), expected, "{freshness:?}");
+        assert_eq!(check_read(requirement, &status, &daemon_history), expected, "{freshness:?}");
     }
 }
 
