--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-const GOOD: &str = "\
+const VALID_CONFIGURATION: &str = "\
 [service shop]
 default_group = one
 
@@ -70,7 +70,7 @@
 
 #[test]
 fn callers_are_placed_by_requested_group_rule_or_default() {
-    let configuration = check_configuration("shop.ini", GOOD).expect("no mistakes");
+    let configuration = check_configuration("shop.ini", VALID_CONFIGURATION).expect("no mistakes");
     let shop = &configuration.services["shop"];
     let rows = [
         (Some("two"), "anybody", Some("two")),
@@ -124,7 +124,7 @@
 
 #[test]
 fn assembled_chunks_give_the_same_configuration() {
-    for text in [GOOD.to_owned(), large_configuration(3_000, 5)] {
+    for text in [VALID_CONFIGURATION.to_owned(), large_configuration(3_000, 5)] {
         let before = check_configuration("before", &text).expect("no mistakes");
         let after = check_configuration("after", &split_and_assemble(&text)).expect("no mistakes");
         assert_eq!(before, after);
@@ -143,7 +143,7 @@
 
 #[test]
 fn damaged_and_missing_chunks_are_detected() {
-    let chunks = split(GOOD);
+    let chunks = split(VALID_CONFIGURATION);
     let hash = chunks[0].hash.clone();
     let head = Head { revision: 1, chunks: vec![hash.clone()], ..Head::default() };
     assert_eq!(assemble(&head, |_| Some("[service other]\n")), Err(hash.clone()));
