--- a/crates/telemetry/src/exporter.rs
+++ b/crates/telemetry/src/exporter.rs
@@ -15,7 +15,7 @@
 /// Maximum number of spans in one export request.
 const MAX_BATCH_SPANS: usize = 256;
 
-/// How long the first span of a batch waits for others.
+/// How long the first span of a batch waits for more spans.
 const BATCH_WAIT: Duration = Duration::from_millis(500);
 
 /// Timeout of one export request.
@@ -79,7 +79,7 @@
         let sent = agent.post(format!("http://{collector}/v1/traces")).send_json(&body);
         if let Err(error) = sent {
             let lost = batch.len();
-            log::warn!(lost, error = error.to_string().as_str(); "cannot export spans");
+            log::warn!(lost, error = error.to_string().as_str(); "can't export spans; they are dropped");
         }
     }
 }
