--- a/crates/wardtiller/examples/sizing.rs
+++ b/crates/wardtiller/examples/sizing.rs
@@ -119,14 +119,14 @@
     };
     for servers in [3, 5, 15] {
         let candidates: Vec<Candidate> = (0..servers).map(candidate).collect();
-        let mut turn = 0;
+        let mut sequence = 0;
         let ns = time_ns(|| {
-            turn += 1;
+            sequence += 1;
             let criteria = ReadCriteria {
                 point: LogPoint::new(1, 50),
                 has_written: true,
                 policy: ReadPolicy::Cost,
-                sequence: turn,
+                sequence,
                 avoid: None,
             };
             black_box(route_read(&criteria, black_box(&candidates)));
@@ -310,7 +310,7 @@
         .adjust(|settings| settings.control.gossip_ms = 20);
     let before_bytes = resident_bytes();
     let system = LocalSystem::start(&text, &options)?;
-    let grown_bytes = resident_bytes() - before_bytes;
+    let added_bytes = resident_bytes() - before_bytes;
     let before = thread_seconds();
     std::thread::sleep(MEASURED_PERIOD);
     let after = thread_seconds();
@@ -324,7 +324,7 @@
         status_cpu_us: cpu_seconds("watch") * 1e6 / status_requests,
         gossip_cpu_us: cpu_seconds("control") * 1e6 / exchanges,
         // An upper bound, since it includes the memory of the stand-ins.
-        owned_group_bytes: grown_bytes / (MEASURED_DAEMONS * MEASURED_GROUPS) as f64,
+        owned_group_bytes: added_bytes / (MEASURED_DAEMONS * MEASURED_GROUPS) as f64,
     };
     println!(
         "{MEASURED_DAEMONS} daemons, {MEASURED_GROUPS} groups of 3 servers each, {} s: watch threads \
@@ -376,7 +376,8 @@
     Ok(())
 }
 
-/// Measures the memory per idle caller. The callers are bare sockets, so that they use no memory of this process.
+/// Measures the memory per idle caller. The callers are plain sockets without buffers, so nearly all of the memory is the
+/// daemon's.
 fn measure_callers() -> eyre::Result<()> {
     const CALLERS: usize = 4_000;
     let system =
--- a/crates/wardtiller/src/commands/show.rs
+++ b/crates/wardtiller/src/commands/show.rs
@@ -91,9 +91,9 @@
         if group.held { ", held by a planned switch" } else { "" },
     )];
     for server in &group.servers {
-        let age = server.staleness_ms.map_or("unknown".to_owned(), |age| format!("{age} ms"));
+        let staleness = server.staleness_ms.map_or("unknown".to_owned(), |ms| format!("{ms} ms"));
         lines.push(format!(
-            "    {} {}: {}, shows {}, holds {}, at most {age} old, {} of {} connections, {} us{}",
+            "    {} {}: {}, shows {}, holds {}, at most {staleness} old, {} of {} connections, {} us{}",
             server.server,
             server.address,
             if server.answers { "answers" } else { "silent" },
--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -361,7 +361,7 @@
         Some("not_run") => Verdict::NotRun,
         Some("may_have_run") => Verdict::MayHaveRun,
         Some(_) => Verdict::Ran,
-        // An error of the endpoint itself: the statement was rolled back as a whole, or the session was closed between
+        // The error is the endpoint's own: the statement was rolled back completely, or the session was closed between
         // requests.
         None => Verdict::NotRun,
     };
--- a/crates/wardtiller/src/load/run.rs
+++ b/crates/wardtiller/src/load/run.rs
@@ -203,7 +203,7 @@
                 (0..MENU_ITEMS).map(|item| format!("({item}, 'dish {item}')")).collect();
             let sql = format!("INSERT INTO menu VALUES {}", items.join(", "));
             client.batch_execute(&sql).await?;
-            // A new connection, since the read policy may route a session that has written to the primary.
+            // Uses a new session, since the read policy may send all reads of a session that has written to the primary.
             self.wait_for_replicas(&self.connect(group).await?).await?;
         }
         Ok(())
--- a/crates/wardtiller/tests/callers.rs
+++ b/crates/wardtiller/tests/callers.rs
@@ -31,7 +31,9 @@
         let client = log_in("desk", "right horse").await.expect("the password is right");
         assert_eq!(query_value(&client, "SELECT 1").await, "1");
         for (user, password) in [("desk", "wrong horse"), ("nobody", "right horse")] {
-            let Err(error) = log_in(user, password).await else { panic!("{user} is logged in") };
+            let Err(error) = log_in(user, password).await else {
+                panic!("{user} logged in with {password}")
+            };
             assert_eq!(error.code().map(|code| code.code()), Some("28P01"), "{user}");
         }
     });
@@ -99,10 +101,10 @@
             };
             tokio::select! {
                 outcome = running => {
-                    let error = outcome.expect_err("it was cancelled");
+                    let error = outcome.expect_err("the statement was cancelled");
                     assert_eq!(error.code().map(|code| code.code()), Some("57014"));
                 }
-                () = cancelling => unreachable!("it never ends by itself"),
+                () = cancelling => unreachable!("the loop never ends"),
             }
         });
     }
--- a/crates/wardtiller/tests/failover.rs
+++ b/crates/wardtiller/tests/failover.rs
@@ -13,9 +13,9 @@
 use tokio_postgres::Client;
 use wardtiller::local_system::{LocalSystem, LocalSystemOptions};
 
-async fn make_table(system: &LocalSystem) {
+async fn create_table(system: &LocalSystem) {
     let client = connect(system.caller_addresses()[0], "").await;
-    query_column(&client, "CREATE TABLE orders (id INTEGER)").await.expect("the table is made");
+    query_column(&client, "CREATE TABLE orders (id INTEGER)").await.expect("the table is created");
 }
 
 /// Returns the verdict in an error from the daemon, or `None` for other errors.
@@ -61,7 +61,7 @@
         let group = system.group("shop", "one").unwrap();
         let old = group.primary().expect("a primary leads").clone();
         block_on(async {
-            make_table(&system).await;
+            create_table(&system).await;
             let mut client = connect(system.caller_addresses()[0], "").await;
             let mut acknowledged = Vec::new();
             for id in 0..20 {
@@ -102,7 +102,7 @@
     let group = system.group("shop", "one").unwrap();
     let old = group.primary().expect("a primary leads").clone();
     block_on(async {
-        make_table(&system).await;
+        create_table(&system).await;
         // The second daemon still reaches the old primary; the replicas don't.
         old.change_faults(|faults| {
             faults.unreachable_from = vec!["entry-1".to_owned()];
@@ -139,7 +139,7 @@
     let old = group.primary().expect("a primary leads").clone();
     system.platform.change_faults(|faults| faults.down = true);
     block_on(async {
-        make_table(&system).await;
+        create_table(&system).await;
         let client = connect(system.caller_addresses()[0], "").await;
         query_column(&client, "INSERT INTO orders VALUES (1)")
             .await
@@ -168,7 +168,7 @@
     let system = start(&text, LocalSystemOptions::default().daemons(1));
     let group = system.group("shop", "one").unwrap();
     block_on(async {
-        make_table(&system).await;
+        create_table(&system).await;
         for replica in group.servers.iter().filter(|server| !server.status().leads()) {
             replica.set_receive_delay(Duration::from_secs(3_600));
         }
@@ -187,7 +187,7 @@
     let group = system.group("shop", "one").unwrap();
     let old = group.primary().expect("a primary leads").clone();
     block_on(async {
-        make_table(&system).await;
+        create_table(&system).await;
         for replica in group.servers.iter().filter(|server| !server.status().leads()) {
             replica.set_receive_delay(Duration::from_secs(3_600));
         }
@@ -218,7 +218,7 @@
     let mut system = small_system(2);
     let addresses = system.caller_addresses();
     let client = block_on(async {
-        make_table(&system).await;
+        create_table(&system).await;
         let client = connect(addresses[0], "").await;
         query_column(&client, "BEGIN").await.unwrap();
         query_column(&client, "INSERT INTO orders VALUES (7)").await.unwrap();
@@ -237,7 +237,7 @@
 fn a_stopping_daemon_finishes_its_transactions() {
     let mut system = small_system(2);
     let addresses = system.caller_addresses();
-    block_on(make_table(&system));
+    block_on(create_table(&system));
     let (begun, has_begun) = std::sync::mpsc::channel();
     let working = std::thread::spawn(move || {
         block_on(async {
@@ -278,7 +278,7 @@
     let group = system.group("shop", "one").unwrap().clone();
     let old = group.primary().expect("a primary leads").clone();
     let addresses = system.caller_addresses();
-    block_on(make_table(&system));
+    block_on(create_table(&system));
     system.set_host_state(old.address(), "leaving");
     block_on(async {
         let client = connect(addresses[0], "").await;
