--- a/crates/daemon/src/control_messages.rs
+++ b/crates/daemon/src/control_messages.rs
@@ -1,4 +1,4 @@
-//! Answers to requests from other daemons, except jobs.
+//! Answers the requests of other daemons, except jobs.
 
 use std::time::{Duration, Instant};
 
@@ -6,20 +6,20 @@
 use config::ChunkHash;
 use model::{GroupId, ServerId};
 use peer::{
-    Body, ChunkAnswer, GossipNote, HeadAnswer, HoldAnswer, HoldRequest, HostListAnswer, HostNote,
-    TermNotice, ViewAnswer, ViewRequest,
+    Body, ChunkAnswer, GossipMessage, HeadAnswer, HoldAnswer, HoldRequest, HostListAnswer,
+    HostListEntry, TermNotice, ViewAnswer, ViewRequest,
 };
 
 use crate::{
     context::{Context, ReportedDemand},
-    gossip::{apply_note, build_note},
+    gossip::{apply_gossip_message, build_gossip_message},
     group_state::GroupState,
 };
 
 /// Answers a request. Returns `None` for messages without an answer.
 pub(crate) async fn answer_control(context: &Context, body: Body) -> Option<Body> {
     match body {
-        Body::Gossip(note) => Some(Body::Gossip(exchange_notes(context, &note))),
+        Body::Gossip(message) => Some(Body::Gossip(exchange_gossip(context, &message))),
         Body::HeadRequest(_) => Some(Body::HeadAnswer(head_answer(context))),
         Body::ChunkRequest(request) => {
             let chunk = context.configuration_store.chunk(&ChunkHash(request.hash));
@@ -36,9 +36,9 @@
     }
 }
 
-fn exchange_notes(context: &Context, note: &GossipNote) -> GossipNote {
-    apply_note(context, note);
-    build_note(context, &note.host)
+fn exchange_gossip(context: &Context, message: &GossipMessage) -> GossipMessage {
+    apply_gossip_message(context, message);
+    build_gossip_message(context, &message.host)
 }
 
 fn head_answer(context: &Context) -> HeadAnswer {
@@ -52,7 +52,7 @@
 
 fn host_list_answer(context: &Context) -> HostListAnswer {
     let members = context.members.load();
-    let daemons = members.all().iter().map(|member| HostNote {
+    let daemons = members.all().iter().map(|member| HostListEntry {
         host: member.host.to_string(),
         availability_zone: member.availability_zone.to_string(),
         region: member.region.to_string(),
@@ -61,11 +61,11 @@
         leaving: member.state == membership::MemberState::Leaving,
     });
     let leaving = context.listed_leaving.read();
-    let endpoints = leaving.iter().map(|address| HostNote {
+    let endpoints = leaving.iter().map(|address| HostListEntry {
         address: address.to_string(),
         endpoint: true,
         leaving: true,
-        ..HostNote::default()
+        ..HostListEntry::default()
     });
     HostListAnswer { version: members.version(), hosts: daemons.chain(endpoints).collect() }
 }
@@ -76,12 +76,12 @@
     let Some(group) = group else { return ViewAnswer { reachable: false, term: 0 } };
     let in_force = group.in_force.load();
     let rules = &in_force.configuration.failover;
-    // An older answer may be from before the primary failed.
+    // An older answer does not show that the primary is reachable now.
     let max_age = Duration::from_millis((rules.suspect_after_ms / 2).max(2 * rules.heartbeat_ms));
     let view = group.view.read();
     let reachable = view.primary.is_some_and(|primary| {
-        let asked_at = view.servers[primary.index()].asked_at;
-        view.is_responding(primary) && asked_at.is_some_and(|at| at.elapsed() < max_age)
+        let requested_at = view.servers[primary.index()].requested_at;
+        view.is_responding(primary) && requested_at.is_some_and(|at| at.elapsed() < max_age)
     });
     ViewAnswer { reachable, term: view.term.0 }
 }
@@ -99,8 +99,8 @@
 
 /// Holds back new transactions of a group, or releases them.
 ///
-/// The servers are queried before a release: a transaction would fail if it started at the old
-/// primary.
+/// The servers are queried before a release, so that no transaction starts at the former primary,
+/// where it would fail.
 pub(crate) async fn set_hold(context: &Context, request: &HoldRequest) -> HoldAnswer {
     let id = GroupId::new(request.service.as_str(), request.group.as_str());
     let group = context.groups.read().get(&id).cloned();
@@ -124,9 +124,9 @@
 }
 
 /// Records the demands of another owner for the groups that it shares with this daemon.
-pub(crate) fn record_demands(context: &Context, owner: u64, note: &GossipNote) {
+pub(crate) fn record_demands(context: &Context, owner: u64, message: &GossipMessage) {
     let mut demands = context.demands.lock();
-    for demand in &note.demands {
+    for demand in &message.demands {
         let id = GroupId::new(demand.service.as_str(), demand.group.as_str());
         let reported =
             ReportedDemand { wanted: demand.wanted.clone(), reported_at: Instant::now() };
--- a/crates/daemon/src/group_view.rs
+++ b/crates/daemon/src/group_view.rs
@@ -17,7 +17,7 @@
 pub(crate) struct ObservedServer {
     pub(crate) status: Option<Arc<ServerStatus>>,
     /// When the status was requested.
-    pub(crate) asked_at: Option<Instant>,
+    pub(crate) requested_at: Option<Instant>,
     /// Since when the server has not answered, or `None` while it answers.
     pub(crate) silent_since: Option<Instant>,
 }
@@ -30,7 +30,7 @@
     pub(crate) samples: StalenessSamples,
     pub(crate) primary: Option<ServerId>,
     pub(crate) term: Term,
-    /// Until when a planned switch holds new transactions back.
+    /// Until when a planned switch holds back new transactions.
     pub(crate) held_until: Option<Instant>,
     pub(crate) watched_since: Instant,
 }
@@ -53,20 +53,20 @@
         &mut self,
         server: ServerId,
         status: Arc<ServerStatus>,
-        asked_at: Instant,
+        requested_at: Instant,
     ) -> bool {
         let observed = &mut self.servers[server.index()];
-        if observed.asked_at.is_some_and(|known_at| known_at > asked_at) {
+        if observed.requested_at.is_some_and(|known_at| known_at > requested_at) {
             return false;
         }
         self.history.replace_if_newer(&TermHistory::new(status.term_starts.clone()));
         observed.status = Some(status);
-        observed.asked_at = Some(asked_at);
+        observed.requested_at = Some(requested_at);
         observed.silent_since = None;
         self.update_primary()
     }
 
-    /// Whether a status adds nothing to what is known.
+    /// Whether the last recorded status of a server already covers a status.
     pub(crate) fn is_already_known(&self, server: ServerId, status: &ServerStatus) -> bool {
         let observed = &self.servers[server.index()];
         observed.silent_since.is_none()
@@ -83,15 +83,16 @@
     pub(crate) fn record_silence(&mut self, server: ServerId, now: Instant) {
         let observed = &mut self.servers[server.index()];
         if observed.silent_since.is_none() {
-            observed.silent_since = Some(observed.asked_at.unwrap_or(self.watched_since).min(now));
+            observed.silent_since =
+                Some(observed.requested_at.unwrap_or(self.watched_since).min(now));
         }
     }
 
     /// Sets the primary to the server that leads in the newest term. Returns whether the primary or
     /// the term changed.
     ///
-    /// A leader is ignored once a majority is sealed above its term, since no write could be
-    /// acknowledged there.
+    /// A leader is ignored once a majority of the servers is sealed above its term, since none of its
+    /// writes could be acknowledged.
     fn update_primary(&mut self) -> bool {
         let before = (self.primary, self.term);
         let leading = self
@@ -134,7 +135,7 @@
         status.map(|status| status.applied()).unwrap_or_default()
     }
 
-    /// Returns the input for the admission of a write. `usable` says whether the primary may get
+    /// Returns the view from which writes are admitted. `usable` is whether the primary may get new
     /// work.
     pub(crate) fn primary_view(&self, usable: bool, now: Instant) -> PrimaryView {
         let held = self.held_until.is_some_and(|until| until > now);
--- a/crates/limits/tests/election.rs
+++ b/crates/limits/tests/election.rs
@@ -27,11 +27,11 @@
     (0..count).map(|number| Name::from(format!("h{number}"))).collect()
 }
 
-fn ballot(host: &Name, asked_at: Instant, vote: Vote) -> Ballot {
-    Ballot { host: host.clone(), asked_at, vote }
+fn ballot(host: &Name, requested_at: Instant, vote: Vote) -> Ballot {
+    Ballot { host: host.clone(), requested_at, vote }
 }
 
-/// A restarted daemon does not know the votes of its former incarnation.
+/// A restarted daemon does not know the votes of its former incarnation, which may still bind it.
 #[test]
 fn a_voter_is_bound_to_one_candidate_at_a_time_across_restarts() {
     let start = Instant::now();
@@ -45,7 +45,7 @@
     assert!(!voter.vote(&request("b", 1), true, start + ms(1_050)).is_bound);
     let later = voter.vote(&request("b", 1), true, start + ms(1_150));
     assert!(later.is_bound && later.is_granted);
-    // Other daemons don't count a daemon that is not a member by its own clock.
+    // A daemon whose membership lease has expired by its own clock does not vote.
     assert_eq!(voter.vote(&request("b", 1), false, start + ms(1_200)), Vote::default());
 }
 
@@ -109,9 +109,9 @@
         assert_eq!(granted, share_of_rate, "{old} {new}");
         assert!(!candidacy.is_coordinator(now + ms(570)), "{old} {new}");
         let late = candidacy.state(9, now + ms(570));
-        let lends_late =
+        let grants_late =
             matches!(late, ElectionState::Coordinator { .. } | ElectionState::Partial { .. });
-        assert!(!lends_late, "{old} {new}: {late:?}");
+        assert!(!grants_late, "{old} {new}: {late:?}");
     }
 }
 
@@ -215,7 +215,7 @@
     let (mut requests, mut ran, mut refused) = (0, 0, 0);
     for tick in 0..10_000 {
         let now = start + ms(tick);
-        held_quota.note_demand(now);
+        held_quota.record_demand(now);
         match held_quota.take(now) {
             TakeResult::Allowed { .. } => ran += 1,
             TakeResult::AtLimit { .. } => refused += 1,
@@ -233,7 +233,7 @@
                             lifetime: ms(500),
                         });
                     }
-                    Grant::Exhausted(wait) => held_quota.note_exhausted(now, now + wait),
+                    Grant::Exhausted(wait) => held_quota.record_exhausted(now, now + wait),
                     Grant::NotCoordinator => unreachable!(),
                 }
             }
@@ -262,7 +262,7 @@
     let vote = Vote { is_granted: true, is_bound: true, is_provisional: false };
     for voter in 0..10 {
         let host = Name::from(format!("host-{voter}"));
-        candidacy.count(Ballot { host, asked_at: now, vote: vote.clone() });
+        candidacy.count(Ballot { host, requested_at: now, vote: vote.clone() });
     }
     assert!(candidacy.has_many_votes(29, now));
     assert!(!candidacy.has_many_votes(30, now));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between wardtiller daemons.
 //!
 //! A daemon sends its requests to another daemon over one connection that it opened. Frames are length delimited by
-//! `tokio-util` and hold one `prost` [`Envelope`]. Requests carry ids, so late and reordered answers are matched to their
-//! request or dropped. `docs/PEERS.md` lists the messages.
+//! `tokio-util` and hold one `prost` [`Envelope`]. Requests carry ids, so late and reordered answers are matched to
+//! their request or dropped. `docs/PEERS.md` lists the messages.
 
 mod client;
 mod messages;
@@ -10,9 +10,9 @@
 
 pub use client::{Answers, PeerClient, PeerDisconnected};
 pub use messages::{
-    Body, ChunkAnswer, ChunkRequest, Credit, Envelope, GossipNote, GroupDemand, HeadAnswer,
-    HeadRequest, HoldAnswer, HoldRequest, HostListAnswer, HostListRequest, HostNote, Job, Point,
-    RelayAbandon, RelayCancel, RelayChunk, RelayEnd, Setting, Statement, Step, StepShape,
+    Body, ChunkAnswer, ChunkRequest, Credit, Envelope, GossipMessage, GroupDemand, HeadAnswer,
+    HeadRequest, HoldAnswer, HoldRequest, HostListAnswer, HostListEntry, HostListRequest, Job,
+    Point, RelayAbandon, RelayCancel, RelayChunk, RelayEnd, Setting, Statement, Step, StepShape,
     TermNotice, ViewAnswer, ViewRequest,
 };
 pub use server::{PeerHandler, Reply, RequesterDisconnected, serve_connection};
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -44,9 +44,9 @@
     /// The view of a group's primary.
     #[prost(message, tag = "9")]
     ViewAnswer(ViewAnswer),
-    /// The sender's versions and state; answered by those of the receiver.
+    /// The sender's versions and state; the receiver answers with its own.
     #[prost(message, tag = "10")]
-    Gossip(GossipNote),
+    Gossip(GossipMessage),
     /// Asks for the head of the configuration in force.
     #[prost(message, tag = "11")]
     HeadRequest(HeadRequest),
@@ -155,7 +155,7 @@
     /// The group.
     #[prost(string, tag = "3")]
     pub group: String,
-    /// The user, between whom capacity is shared fairly.
+    /// The user; capacity is shared fairly among users.
     #[prost(string, tag = "4")]
     pub user: String,
     /// The log point that the session must see in this group.
@@ -298,7 +298,7 @@
 
 /// The versions and state that two daemons exchange.
 #[derive(Clone, PartialEq, Message)]
-pub struct GossipNote {
+pub struct GossipMessage {
     /// The sender's host.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -392,12 +392,12 @@
     pub version: u64,
     /// The hosts.
     #[prost(message, repeated, tag = "2")]
-    pub hosts: Vec<HostNote>,
+    pub hosts: Vec<HostListEntry>,
 }
 
 /// A host of the list.
 #[derive(Clone, PartialEq, Message)]
-pub struct HostNote {
+pub struct HostListEntry {
     /// Its name.
     #[prost(string, tag = "1")]
     pub host: String,
--- a/crates/proxy/src/serve/admission.rs
+++ b/crates/proxy/src/serve/admission.rs
@@ -90,7 +90,7 @@
         let Some(limit) = account.limit else { return Ok(()) };
         let quota = self.limits.quota_of(&account.name);
         let arrived = Instant::now();
-        quota.held.borrow_mut().note_demand(arrived);
+        quota.held.borrow_mut().record_demand(arrived);
         let until = arrived + self.limits.admission_timeout();
         loop {
             let answered = quota.answered.notified();
@@ -178,7 +178,7 @@
                     }
                     Grant::Exhausted(wait) => {
                         let now = Instant::now();
-                        quota.held.borrow_mut().note_exhausted(now, now + wait);
+                        quota.held.borrow_mut().record_exhausted(now, now + wait);
                         break;
                     }
                     Grant::NotCoordinator
@@ -188,7 +188,7 @@
                     }
                     Grant::NotCoordinator => {
                         let now = Instant::now();
-                        quota.held.borrow_mut().note_exhausted(now, now + NO_COORDINATOR_PAUSE);
+                        quota.held.borrow_mut().record_exhausted(now, now + NO_COORDINATOR_PAUSE);
                         break;
                     }
                 }
