--- a/crates/daemon/src/endpoint_connection.rs
+++ b/crates/daemon/src/endpoint_connection.rs
@@ -27,7 +27,7 @@
 
 /// When a job queries the server's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Probe {
+pub(crate) enum StatusQuery {
     None,
     /// Before the job, to check what its reads can see.
     Before,
@@ -38,7 +38,7 @@
 /// How the answer to a job is handled.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunOptions {
-    pub(crate) probe: Probe,
+    pub(crate) status_query: StatusQuery,
     /// Maximum number of bytes held back until the job may be acknowledged. `None` forwards the answer
     /// at once.
     pub(crate) hold_bytes: Option<usize>,
@@ -143,11 +143,11 @@
         sink: &mut S,
     ) -> Result<JobAnswer, RunError> {
         let replayed = self.add_settings(job).map_err(RunError::NotSent)?;
-        if options.probe == Probe::Before {
+        if options.status_query == StatusQuery::Before {
             self.stream.add_query(Dialect::STATUS).map_err(RunError::NotSent)?;
         }
         let expected = self.add_steps(job).map_err(RunError::NotSent)?;
-        if options.probe == Probe::After {
+        if options.status_query == StatusQuery::After {
             self.stream.add_query(Dialect::STATUS).map_err(RunError::NotSent)?;
         }
         self.stream.flush().await.map_err(RunError::Lost)?;
@@ -166,13 +166,13 @@
             hold_bytes: options.hold_bytes,
             sink,
         };
-        if options.probe == Probe::Before {
+        if options.status_query == StatusQuery::Before {
             let status = self.read_status().await?;
             reader.answer.rejected = check_status(&status) == StatusCheck::Reject;
             reader.answer.status = Some(status);
         }
         self.read_answer(expected, &mut reader).await?;
-        if options.probe == Probe::After {
+        if options.status_query == StatusQuery::After {
             let status = self.read_status().await?;
             reader.answer.status = Some(status);
         }
--- a/crates/daemon/src/run_read.rs
+++ b/crates/daemon/src/run_read.rs
@@ -10,7 +10,7 @@
 use session::{ReadCheck, ReadRequirement, check_read};
 
 use crate::{
-    endpoint_connection::{AnswerSink, JobAnswer, Probe, RunOptions, StatusCheck},
+    endpoint_connection::{AnswerSink, JobAnswer, RunOptions, StatusCheck, StatusQuery},
     executor::{JobResult, JobRun, NO_FRESH_SERVER_RETRY_MS, PinnedConnection},
     group_state::EvidenceRequest,
     pool::PooledConnection,
@@ -191,7 +191,7 @@
             && !self.job.tracked
             && self.staleness().is_none();
         let options = RunOptions {
-            probe: Probe::Before,
+            status_query: StatusQuery::Before,
             hold_bytes: needs_evidence.then_some(self.hold_bytes()),
         };
         let started = Instant::now();
--- a/crates/daemon/src/run_write.rs
+++ b/crates/daemon/src/run_write.rs
@@ -10,7 +10,7 @@
 use session::WriteStatus;
 
 use crate::{
-    endpoint_connection::{AnswerSink, JobAnswer, Probe, RunOptions, StatusCheck},
+    endpoint_connection::{AnswerSink, JobAnswer, RunOptions, StatusCheck, StatusQuery},
     executor::{JobResult, JobRun, NO_FRESH_SERVER_RETRY_MS, PinnedConnection},
     group_state::{EvidenceRequest, WritingGuard},
 };
@@ -60,7 +60,10 @@
                 }
                 Err(refusal) => return Err(refusal),
             };
-            let options = RunOptions { probe: Probe::After, hold_bytes: Some(self.hold_bytes()) };
+            let options = RunOptions {
+                status_query: StatusQuery::After,
+                hold_bytes: Some(self.hold_bytes()),
+            };
             let accept = |_: &ServerStatus| StatusCheck::Accept;
             let answer = match self.run(&mut connection, server, false, options, accept, sink).await
             {
@@ -245,7 +248,7 @@
         let commits = self.job.may_commit;
         let hold = commits && (pin.wrote || self.job.writes);
         let options = RunOptions {
-            probe: if hold { Probe::After } else { Probe::None },
+            status_query: if hold { StatusQuery::After } else { StatusQuery::None },
             hold_bytes: hold.then_some(self.hold_bytes()),
         };
         let accept = |_: &ServerStatus| StatusCheck::Accept;
