--- a/crates/limits/src/election.rs
+++ b/crates/limits/src/election.rs
@@ -68,17 +68,20 @@
     times: ElectionTimes,
     /// Until when votes of the voter's former incarnation may bind it.
     unknown_votes_until: Instant,
-    bound: Option<Bound>,
-    supported_at: Option<Instant>,
+    bound: Option<Binding>,
+    /// When this voter last gave its share of the provisional quota to a new candidate.
+    provisional_share_given_at: Option<Instant>,
     /// The daemon that was last announced as the coordinator, and when, regardless of this voter's vote.
     announced: Option<(Name, Instant)>,
 }
 
+/// The candidate that a voter is bound to.
 #[derive(Clone, Debug)]
-struct Bound {
+struct Binding {
     request: VoteRequest,
     until: Instant,
-    supports: bool,
+    /// Whether the candidate gets the voter's share of the provisional quota.
+    gives_provisional_share: bool,
 }
 
 impl Voter {
@@ -88,7 +91,7 @@
             times,
             unknown_votes_until: now + times.vote_duration,
             bound: None,
-            supported_at: None,
+            provisional_share_given_at: None,
             announced: None,
         }
     }
@@ -102,7 +105,7 @@
         if request.is_coordinator {
             self.announced = Some((request.host.clone(), now));
         }
-        let is_other = |bound: &&Bound| {
+        let is_other = |bound: &&Binding| {
             now < bound.until
                 && (bound.request.host != request.host
                     || bound.request.incarnation != request.incarnation)
@@ -110,22 +113,27 @@
         if !is_member || self.bound.as_ref().is_some_and(|bound| is_other(&bound)) {
             return Vote::default();
         }
-        let is_same = |bound: &Bound| {
+        let is_same = |bound: &Binding| {
             bound.request.host == request.host && bound.request.incarnation == request.incarnation
         };
-        let supported = self.bound.as_ref().is_some_and(|bound| is_same(bound) && bound.supports);
-        let may_support =
-            self.supported_at.is_none_or(|at| now.duration_since(at) >= self.times.window);
-        let supports = supported || (!request.is_coordinator && may_support);
-        if supports && !supported {
-            self.supported_at = Some(now);
+        let gave_provisional_share = self
+            .bound
+            .as_ref()
+            .is_some_and(|bound| is_same(bound) && bound.gives_provisional_share);
+        let may_give_provisional_share = self
+            .provisional_share_given_at
+            .is_none_or(|at| now.duration_since(at) >= self.times.window);
+        let gives_provisional_share =
+            gave_provisional_share || (!request.is_coordinator && may_give_provisional_share);
+        if gives_provisional_share && !gave_provisional_share {
+            self.provisional_share_given_at = Some(now);
         }
         let until = now + self.times.vote_duration;
-        self.bound = Some(Bound { request: request.clone(), until, supports });
+        self.bound = Some(Binding { request: request.clone(), until, gives_provisional_share });
         Vote {
             is_granted: now >= self.unknown_votes_until,
             is_bound: true,
-            is_provisional: supports,
+            is_provisional: gives_provisional_share,
         }
     }
 
@@ -209,9 +217,10 @@
     ballots: HashMap<Name, CountedBallot>,
     term: u64,
     /// Since when the candidate has a quorum.
-    since: Option<Instant>,
+    quorum_since: Option<Instant>,
     /// Since when the candidate has enough votes to grant the whole rate.
     full_rate_since: Option<Instant>,
+    /// Until when the votes that make up the quorum are valid; `None` without a quorum.
     valid_until: Option<Instant>,
 }
 
@@ -222,13 +231,13 @@
             times,
             ballots: HashMap::new(),
             term,
-            since: None,
+            quorum_since: None,
             full_rate_since: None,
             valid_until: None,
         }
     }
 
-    /// Adds the ballot of a voter, which replaces its previous one.
+    /// Adds the ballot of a voter, replacing the voter's previous one.
     pub fn count(&mut self, ballot: Ballot) {
         let counted_for = self.times.counted_for;
         let before = self.ballots.remove(&ballot.host).filter(|before| {
@@ -239,7 +248,7 @@
         self.ballots.insert(ballot.host.clone(), CountedBallot { ballot, since });
     }
 
-    /// Computes until when the votes of these members are valid.
+    /// Counts the votes of these members: whether the candidate has a quorum, and until when.
     pub fn tally(&mut self, members: &[Name], now: Instant) {
         for counted in self.ballots.values_mut().filter(|counted| counted.ballot.vote.is_granted) {
             counted.since.get_or_insert(now);
@@ -266,13 +275,13 @@
         self.full_rate_since = has_full_rate.then(|| self.full_rate_since.unwrap_or(now));
         let requested_at = by_quorum.max(by_all);
         self.valid_until = requested_at.map(|at| at + self.times.counted_for);
-        match (self.valid_until, self.since) {
+        match (self.valid_until, self.quorum_since) {
             (Some(_), None) => {
-                self.since = Some(now);
+                self.quorum_since = Some(now);
                 self.term += 1;
             }
             // A candidate that lost its quorum starts again without saved tokens.
-            (None, Some(_)) => self.since = None,
+            (None, Some(_)) => self.quorum_since = None,
             _ => {}
         }
     }
@@ -297,12 +306,13 @@
         if let Some(since) = since.filter(|_| share > 1.0 - FULL_RATE_SHARE) {
             return ElectionState::Partial { term: self.term, since, share: share.min(1.0) };
         }
-        if self.since.is_some() {
+        if self.quorum_since.is_some() {
             return ElectionState::None;
         }
-        let supports = votes().filter(|counted| counted.ballot.vote.is_provisional).count() as f64;
-        let parts = supports / members.max(1) as f64;
-        ElectionState::Candidate { term: self.term, share: parts.min(1.0) / MAX_USES_PER_WINDOW }
+        let provisional_votes =
+            votes().filter(|counted| counted.ballot.vote.is_provisional).count() as f64;
+        let share = provisional_votes / members.max(1) as f64;
+        ElectionState::Candidate { term: self.term, share: share.min(1.0) / MAX_USES_PER_WINDOW }
     }
 
     /// Whether many of the members are bound to this candidate by a valid vote. Such a candidate should not yield: the
@@ -322,7 +332,7 @@
 
     /// Whether the candidate has a quorum.
     pub fn is_coordinator(&self, now: Instant) -> bool {
-        self.since.is_some() && self.valid_until.is_some_and(|until| now < until)
+        self.quorum_since.is_some() && self.valid_until.is_some_and(|until| now < until)
     }
 }
 
