--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -78,7 +78,8 @@
     Queued {
         /// Identifies the waiting statement.
         ticket: Ticket,
-        /// A less urgent statement that was removed to make space. It was not run and is to be refused.
+        /// A less urgent statement that was removed, because the queue is full or because it would no longer start
+        /// in time. It was not run and is to be refused.
         displaced: Option<Ticket>,
     },
     /// The statement is refused because it would not start in time. It was not run.
@@ -91,9 +92,9 @@
 /// The next change of the queue after a slot or a connection has been released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// This statement starts. Call again.
+    /// This statement starts. Call [`WorkQueue::next`] again.
     Begin(Ticket, Request),
-    /// This statement has reached its deadline. It was not run and is to be refused. Call again.
+    /// This statement has reached its deadline. It was not run and is to be refused. Call [`WorkQueue::next`] again.
     Expired(Ticket),
     /// No waiting statement can start.
     Nothing,
