--- a/crates/overload/tests/work_queue.rs
+++ b/crates/overload/tests/work_queue.rs
@@ -22,14 +22,14 @@
     Request { rank: Rank::ALL[rank], account: Name::from(account), stage, until }
 }
 
-fn alone(rank: usize, account: &str, until: Instant) -> Request {
+fn single_statement(rank: usize, account: &str, until: Instant) -> Request {
     request(rank, account, Stage::SingleStatement, until)
 }
 
 /// A queue with all slots taken by statements of 20 ms.
 fn busy_queue(now: Instant) -> WorkQueue {
     let mut queue = WorkQueue::new(CAPACITY);
-    let first = alone(1, "first", now + Duration::from_secs(9));
+    let first = single_statement(1, "first", now + Duration::from_secs(9));
     for _ in 0..100 {
         assert_eq!(queue.offer(first.clone(), now), OfferResult::Begin);
         queue.on_finished(&first, Some(Duration::from_millis(20)), now);
@@ -48,9 +48,9 @@
     }
 }
 
-/// Finishes a running statement and returns the one that starts next.
-fn next_of(queue: &mut WorkQueue, now: Instant) -> Ticket {
-    queue.on_finished(&alone(1, "first", now), None, now);
+/// Finishes a running statement and returns the waiting one that starts in its place.
+fn start_next(queue: &mut WorkQueue, now: Instant) -> Ticket {
+    queue.on_finished(&single_statement(1, "first", now), None, now);
     match queue.next(now) {
         Next::Begin(ticket, _) => ticket,
         other => panic!("expected one to start: {other:?}"),
@@ -62,11 +62,11 @@
     let now = Instant::now();
     let until = now + Duration::from_secs(5);
     let mut queue = busy_queue(now);
-    let later = wait(&mut queue, alone(2, "a", until), now);
+    let later = wait(&mut queue, single_statement(2, "a", until), now);
     let opening = wait(&mut queue, request(1, "b", Stage::OpensTransaction, until), now);
-    let urgent = wait(&mut queue, alone(0, "c", until), now);
+    let urgent = wait(&mut queue, single_statement(0, "c", until), now);
     let continuing = wait(&mut queue, request(1, "d", Stage::InTransaction, until), now);
-    let order: Vec<Ticket> = (0..4).map(|_| next_of(&mut queue, now)).collect();
+    let order: Vec<Ticket> = (0..4).map(|_| start_next(&mut queue, now)).collect();
     assert_eq!(order, [continuing, urgent, opening, later]);
 }
 
@@ -74,10 +74,12 @@
 fn of_one_account_the_earliest_deadline_goes_first() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let relaxed = wait(&mut queue, alone(1, "a", now + Duration::from_secs(5)), now);
-    let hurried = wait(&mut queue, alone(1, "a", now + Duration::from_secs(1)), now);
-    assert_eq!(next_of(&mut queue, now), hurried);
-    assert_eq!(next_of(&mut queue, now), relaxed);
+    let late_deadline =
+        wait(&mut queue, single_statement(1, "a", now + Duration::from_secs(5)), now);
+    let urgent_deadline =
+        wait(&mut queue, single_statement(1, "a", now + Duration::from_secs(1)), now);
+    assert_eq!(start_next(&mut queue, now), urgent_deadline);
+    assert_eq!(start_next(&mut queue, now), late_deadline);
 }
 
 #[test]
@@ -85,15 +87,20 @@
     let now = Instant::now();
     let mut queue = busy_queue(now);
     for account in 0..60 {
-        wait(&mut queue, alone(1, &account.to_string(), now + Duration::from_secs(5)), now);
+        wait(
+            &mut queue,
+            single_statement(1, &account.to_string(), now + Duration::from_secs(5)),
+            now,
+        );
     }
-    // 60 statements of 20 ms in six slots start before the second one of any account.
+    // 60 waiting statements of 20 ms in six slots start before a second statement of any account.
     let soon = now + Duration::from_millis(100);
-    let OfferResult::Refused { retry_after } = queue.offer(alone(1, "0", soon), now) else {
+    let OfferResult::Refused { retry_after } = queue.offer(single_statement(1, "0", soon), now)
+    else {
         panic!("it can't start in time");
     };
     assert!((180..=230).contains(&retry_after.as_millis()), "{retry_after:?}");
-    wait(&mut queue, alone(0, "urgent", soon), now);
+    wait(&mut queue, single_statement(0, "urgent", soon), now);
 }
 
 #[test]
@@ -104,14 +111,16 @@
     let mut last = None;
     let mut refused = 0;
     for account in 0..300 {
-        match queue.offer(alone(2, &account.to_string(), until), now) {
+        match queue.offer(single_statement(2, &account.to_string(), until), now) {
             OfferResult::Queued { ticket, .. } => last = Some(ticket),
             OfferResult::Refused { .. } => refused += 1,
             OfferResult::Begin => panic!("no slot is free"),
         }
     }
     assert!(refused > 0, "the queue has a bound");
-    let OfferResult::Queued { displaced, .. } = queue.offer(alone(0, "urgent", until), now) else {
+    let OfferResult::Queued { displaced, .. } =
+        queue.offer(single_statement(0, "urgent", until), now)
+    else {
         panic!("the more urgent one must be queued");
     };
     assert_eq!(displaced, last);
@@ -122,13 +131,14 @@
 fn withdrawn_and_expired_statements_never_start() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let gone = wait(&mut queue, alone(1, "a", now + Duration::from_secs(1)), now);
-    let late = wait(&mut queue, alone(1, "b", now + Duration::from_millis(100)), now);
-    assert!(queue.withdraw(gone));
-    assert!(!queue.withdraw(gone));
-    queue.on_finished(&alone(1, "first", now), None, now);
+    let withdrawn = wait(&mut queue, single_statement(1, "a", now + Duration::from_secs(1)), now);
+    let expiring =
+        wait(&mut queue, single_statement(1, "b", now + Duration::from_millis(100)), now);
+    assert!(queue.withdraw(withdrawn));
+    assert!(!queue.withdraw(withdrawn));
+    queue.on_finished(&single_statement(1, "first", now), None, now);
     let then = now + Duration::from_millis(200);
-    assert_eq!(queue.next(then), Next::Expired(late));
+    assert_eq!(queue.next(then), Next::Expired(expiring));
     assert_eq!(queue.next(then), Next::Nothing);
 }
 
@@ -151,7 +161,7 @@
     assert!(opened.values().all(|count| *count <= CAPACITY.connections.div_ceil(4)), "{opened:?}");
     assert!(opened.values().sum::<u32>() >= CAPACITY.connections / 2, "{opened:?}");
     for _ in 0..SLOTS {
-        assert_eq!(queue.offer(alone(2, "d", until), now), OfferResult::Begin);
+        assert_eq!(queue.offer(single_statement(2, "d", until), now), OfferResult::Begin);
     }
 }
 
@@ -160,9 +170,9 @@
 fn a_hanging_server_refuses_on_arrival() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    wait(&mut queue, alone(1, "a", now + Duration::from_millis(140)), now);
+    wait(&mut queue, single_statement(1, "a", now + Duration::from_millis(140)), now);
     let then = now + Duration::from_millis(170);
-    let offered = queue.offer(alone(1, "b", then + Duration::from_millis(140)), then);
+    let offered = queue.offer(single_statement(1, "b", then + Duration::from_millis(140)), then);
     assert!(matches!(offered, OfferResult::Refused { .. }), "{offered:?}");
 }
 
@@ -177,7 +187,7 @@
     may_wait: Duration,
 }
 
-/// What happened to the statements of one rank or account.
+/// The results of the statements of one rank or account.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     offered: u32,
@@ -238,7 +248,11 @@
             }
             let account = &load.accounts[rng.random_range(0..load.accounts.len())];
             let work = load.work.mul_f64(rng.random_range(0.5..1.5) * slowdown);
-            arrivals.push((at, alone(load.rank, account, start + at + load.may_wait), work));
+            arrivals.push((
+                at,
+                single_statement(load.rank, account, start + at + load.may_wait),
+                work,
+            ));
         }
     }
     arrivals.sort_by_key(|(at, ..)| *at);
@@ -330,7 +344,7 @@
 
 const DURATION: Duration = Duration::from_secs(20);
 
-/// From 1 to 4 times the load that fits the slots, throughput stays the same and the most urgent rank is unaffected.
+/// Overload of up to four times the capacity must not lower the throughput or affect the most urgent rank.
 #[test]
 fn throughput_stays_at_its_maximum_under_overload() {
     let at = |load_factor| simulate(&typical_load(load_factor), DURATION, 1.0, 11);
