--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BrokenRule {
-    Nothing,
+    None,
     /// A candidate grants quota as if it had a quorum.
     GrantsWithoutQuorum,
     /// A partial coordinator grants the whole rate.
@@ -69,7 +69,7 @@
     /// Callers use the held quota in one of this many steps: rarely, so that it is held for a while, or so often that
     /// a coordinator grants all it may.
     use_interval: u32,
-    /// The larger, the longer faults last.
+    /// The range of the random number that selects an event in each step. A larger range makes faults rarer and longer.
     fault_interval: u32,
 }
 
@@ -123,7 +123,7 @@
 
     /// Injects a fault or ends one, at random.
     fn inject_fault(&mut self) {
-        let one = self.random.random_range(0..DAEMONS);
+        let index = self.random.random_range(0..DAEMONS);
         match self.random.random_range(0..self.fault_interval) {
             0 => {
                 let cut: u8 = self.random.random_range(1..1 << (DAEMONS - 1));
@@ -132,10 +132,10 @@
                 }
             }
             1 | 2 => self.daemons.iter_mut().for_each(|daemon| daemon.side = 0),
-            3 | 6 | 7 => self.daemons[one] = self.start(one),
+            3 | 6 | 7 => self.daemons[index] = self.start(index),
             4 => {
-                let lasts = Duration::from_millis(self.random.random_range(50..1_500));
-                self.daemons[one].frozen_until = self.now + lasts;
+                let duration = Duration::from_millis(self.random.random_range(50..1_500));
+                self.daemons[index].frozen_until = self.now + duration;
             }
             5 if self.random.random_range(0..4) == 0 => {
                 for number in 0..DAEMONS {
@@ -175,7 +175,7 @@
                 voter.candidacy = None;
             }
             let ballot = Ballot { host: voter.host.clone(), requested_at: now, vote };
-            // The vote may be lost on its way, but the voter is bound.
+            // The answer may be lost although the voter is bound.
             let is_lost = self.random.random_range(0..8) == 0;
             if let Some(candidacy) = self.daemons[number].candidacy.as_mut().filter(|_| !is_lost) {
                 candidacy.count(ballot);
@@ -254,7 +254,7 @@
         self.used.len() as f64 > RULE.bound(&self.limit)
     }
 
-    /// Runs one event sequence; `true` if a window exceeds the bound.
+    /// Runs one event sequence. Returns whether a window exceeded the bound.
     fn run(&mut self) -> bool {
         for step in 0..STEPS {
             self.now += STEP;
@@ -280,7 +280,7 @@
 #[test]
 fn no_window_exceeds_its_bound() {
     for seed in 0..SEQUENCES {
-        assert!(!World::new(seed, BrokenRule::Nothing).run(), "seed {seed}");
+        assert!(!World::new(seed, BrokenRule::None).run(), "seed {seed}");
     }
 }
 
