--- a/crates/wire/src/endpoint_stream.rs
+++ b/crates/wire/src/endpoint_stream.rs
@@ -80,8 +80,8 @@
 
 /// Returns a field of an error response, or an empty text if the field is missing.
 fn error_field(error: &ErrorResponse, field: u8) -> String {
-    let found = error.fields.iter().find(|(key, _)| *key == field);
-    found.map(|(_, value)| value.clone()).unwrap_or_default()
+    let entry = error.fields.iter().find(|(key, _)| *key == field);
+    entry.map(|(_, value)| value.clone()).unwrap_or_default()
 }
 
 impl From<&ErrorResponse> for EndpointError {
