--- a/crates/wardtiller/src/load/caller.rs
+++ b/crates/wardtiller/src/load/caller.rs
@@ -313,8 +313,8 @@
         }
         let sql =
             format!("SELECT coalesce(max(seq), 0) FROM orders WHERE caller = {}", self.number);
-        let found = match self.run_measured(RequestClass::OwnRead, &sql).await {
-            Ok(found) => found,
+        let rows = match self.run_measured(RequestClass::OwnRead, &sql).await {
+            Ok(rows) => rows,
             Err(failure) if failure.reason == "write_lost" => {
                 self.context.sessions_with_lost_writes.fetch_add(1, Ordering::Relaxed);
                 self.token.clear();
@@ -324,7 +324,7 @@
             Err(_) => return,
         };
         self.sample_served_by("own").await;
-        let found: u64 = found.first().and_then(|found| found.parse().ok()).unwrap_or(0);
+        let found: u64 = rows.first().and_then(|row| row.parse().ok()).unwrap_or(0);
         self.context.own_reads_checked.fetch_add(1, Ordering::Relaxed);
         if found < self.acknowledged {
             let observation = format!(
