--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Returns a version that changes whenever this daemon may own other groups than before.
+    /// Returns a version that changes whenever the set of groups that this daemon owns may have changed.
     pub(crate) fn ownership_version(&self) -> (u64, u64) {
         let mut cache = self.owner_cache.lock();
         self.refresh_owners(&mut cache);
