--- a/crates/overload/src/concurrency.rs
+++ b/crates/overload/src/concurrency.rs
@@ -27,8 +27,8 @@
 /// A gradient limit on the statements inside a server: it falls when the service time rises, since statements that
 /// queue inside the server are not ordered by priority.
 ///
-/// The limit never falls below the daemon's share of the server's slots, since a slow statement looks the same as a
-/// queued one.
+/// The limit never falls below the daemon's share of the server's slots, since a slow statement can't be distinguished
+/// from a queued one.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     slots: u32,
