--- a/crates/overload/src/hold.rs
+++ b/crates/overload/src/hold.rs
@@ -124,7 +124,7 @@
         self.observed_at = now;
     }
 
-    /// Whether an outage detected now is this one.
+    /// Whether an outage of this kind that is detected at `now` is the same outage.
     pub fn is_same(&self, outage: Outage, now: Instant) -> bool {
         let unobserved = now.saturating_duration_since(self.observed_at);
         self.outage == outage && unobserved < SAME_OUTAGE_WITHIN
