--- a/crates/overload/src/work_queue.rs
+++ b/crates/overload/src/work_queue.rs
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// What a statement needs in addition to a slot.
+/// What a statement needs in addition to a slot. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// A connection, which the statement releases together with its slot.
-    SingleStatement,
+    Alone,
     /// A connection, which is kept until the end of the transaction that the statement begins.
-    OpensTransaction,
+    Opens,
     /// Nothing, since its open transaction holds a connection.
-    InTransaction,
+    Continues,
 }
 
 /// A statement to be run.
@@ -236,11 +236,11 @@
 
     /// Records that a statement or its transaction has released its connection.
     pub fn on_released(&mut self, request: &Request) {
-        if request.stage == Stage::InTransaction {
+        if request.stage == Stage::Continues {
             return;
         }
         self.connections_in_use = self.connections_in_use.saturating_sub(1);
-        if request.stage == Stage::OpensTransaction
+        if request.stage == Stage::Opens
             && let Some(count) = self.transactions.get_mut(&request.account)
         {
             *count -= 1;
@@ -295,7 +295,7 @@
     fn order_of(&mut self, request: &Request, cost_us: u64, now: Instant) -> Order {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let continues = request.stage == Stage::InTransaction;
+        let continues = request.stage == Stage::Continues;
         let slots = self.limit.slots();
         let is_heavy =
             request.has_account() && self.demand.add(&request.account, cost_us, slots, now);
@@ -314,9 +314,9 @@
             return false;
         }
         match request.stage {
-            Stage::InTransaction => true,
-            Stage::SingleStatement => self.connections_in_use < self.connections,
-            Stage::OpensTransaction => {
+            Stage::Continues => true,
+            Stage::Alone => self.connections_in_use < self.connections,
+            Stage::Opens => {
                 self.connections_in_use < self.connections && self.may_open_transaction(request)
             }
         }
@@ -364,9 +364,9 @@
         self.started_us[waiter.order.effective_rank] += waiter.cost_us as f64;
         self.fair_queues[waiter.request.rank.index()].on_begin(waiter.order.start_tag);
         match waiter.request.stage {
-            Stage::InTransaction => {}
-            Stage::SingleStatement => self.connections_in_use += 1,
-            Stage::OpensTransaction => {
+            Stage::Continues => {}
+            Stage::Alone => self.connections_in_use += 1,
+            Stage::Opens => {
                 self.connections_in_use += 1;
                 *self.transactions.entry(waiter.request.account.clone()).or_default() += 1;
             }
--- a/crates/overload/tests/work_queue.rs
+++ b/crates/overload/tests/work_queue.rs
@@ -23,7 +23,7 @@
 }
 
 fn single_statement(rank: usize, account: &str, until: Instant) -> Request {
-    request(rank, account, Stage::SingleStatement, until)
+    request(rank, account, Stage::Alone, until)
 }
 
 /// A queue with all slots taken by statements of 20 ms.
@@ -63,9 +63,9 @@
     let until = now + Duration::from_secs(5);
     let mut queue = busy_queue(now);
     let later = wait(&mut queue, single_statement(2, "a", until), now);
-    let opening = wait(&mut queue, request(1, "b", Stage::OpensTransaction, until), now);
+    let opening = wait(&mut queue, request(1, "b", Stage::Opens, until), now);
     let urgent = wait(&mut queue, single_statement(0, "c", until), now);
-    let continuing = wait(&mut queue, request(1, "d", Stage::InTransaction, until), now);
+    let continuing = wait(&mut queue, request(1, "d", Stage::Continues, until), now);
     let order: Vec<Ticket> = (0..4).map(|_| start_next(&mut queue, now)).collect();
     assert_eq!(order, [continuing, urgent, opening, later]);
 }
@@ -151,7 +151,7 @@
     let mut opened: HashMap<&str, u32> = HashMap::new();
     for _ in 0..40 {
         for account in ["a", "b", "c"] {
-            let opening = request(1, account, Stage::OpensTransaction, until);
+            let opening = request(1, account, Stage::Opens, until);
             if queue.offer(opening.clone(), now) == OfferResult::Begin {
                 queue.on_finished(&opening, None, now);
                 *opened.entry(account).or_default() += 1;
@@ -420,11 +420,7 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let stage = prop_oneof![
-        Just(Stage::SingleStatement),
-        Just(Stage::OpensTransaction),
-        Just(Stage::InTransaction)
-    ];
+    let stage = prop_oneof![Just(Stage::Alone), Just(Stage::Opens), Just(Stage::Continues)];
     let arrive =
         (0..4_usize, 0..5_u8, stage, 0..400_u64).prop_map(|(rank, account, stage, waits_ms)| {
             Step::Arrive { rank, account, stage, waits_ms }
@@ -448,7 +444,7 @@
         let mut now = Instant::now();
         let mut inside: Vec<Request> = Vec::new();
         let mut waiting: HashMap<Ticket, Stage> = HashMap::new();
-        let holds = |stage: Stage| stage != Stage::InTransaction;
+        let holds = |stage: Stage| stage != Stage::Continues;
         for step in steps {
             match step {
                 Step::Arrive { rank, account, stage, waits_ms } => {
@@ -460,12 +456,12 @@
                     match queue.offer(request.clone(), now) {
                         OfferResult::Begin => inside.push(request),
                         OfferResult::Queued { ticket, displaced } => {
-                            prop_assert!(!(stage == Stage::SingleStatement && has_slot && has_connection));
+                            prop_assert!(!(stage == Stage::Alone && has_slot && has_connection));
                             waiting.insert(ticket, stage);
                             displaced.map(|ticket| waiting.remove(&ticket));
                         }
                         OfferResult::Refused { retry_after } => {
-                            prop_assert!(!(stage == Stage::SingleStatement && has_slot && has_connection));
+                            prop_assert!(!(stage == Stage::Alone && has_slot && has_connection));
                             prop_assert!(retry_after > Duration::ZERO);
                         }
                     }
@@ -502,9 +498,9 @@
             prop_assert_eq!(queue.waiting(), waiting.len());
             let has_slot = (inside.len() as u32) < queue.limit();
             let able = |stage: &Stage| match stage {
-                Stage::InTransaction => true,
-                Stage::SingleStatement => held < capacity.connections,
-                Stage::OpensTransaction => false,
+                Stage::Continues => true,
+                Stage::Alone => held < capacity.connections,
+                Stage::Opens => false,
             };
             prop_assert!(!has_slot || !waiting.values().any(able));
         }
--- a/crates/proxy/src/serve/queued_acquire.rs
+++ b/crates/proxy/src/serve/queued_acquire.rs
@@ -137,8 +137,7 @@
 }
 
 fn request_for(request: &ConnectionRequest, principal: &Principal, until: Instant) -> Request {
-    let stage =
-        if request.opens_transaction { Stage::OpensTransaction } else { Stage::SingleStatement };
+    let stage = if request.opens_transaction { Stage::Opens } else { Stage::Alone };
     let account = principal.account_name().into();
     Request { rank: request.rank(), account, stage, until }
 }
--- a/crates/proxy/src/serve/server_queue.rs
+++ b/crates/proxy/src/serve/server_queue.rs
@@ -194,7 +194,7 @@
 
     /// Waits until the next statement of the transaction may run.
     pub async fn await_next_statement(&self, until: Instant) -> PermitResult {
-        let request = Request { stage: Stage::InTransaction, until, ..self.request.clone() };
+        let request = Request { stage: Stage::Continues, until, ..self.request.clone() };
         self.queue.await_permit(request).await
     }
 }
--- a/crates/proxy/tests/server_queue.rs
+++ b/crates/proxy/tests/server_queue.rs
@@ -28,7 +28,7 @@
 }
 
 async fn begin(queue: &Rc<ServerQueue>) -> QueuePermit {
-    queue.await_permit(request("first", Stage::SingleStatement)).await.expect("the server is free")
+    queue.await_permit(request("first", Stage::Alone)).await.expect("the server is free")
 }
 
 /// Starts a statement that has to wait, and returns when it does.
@@ -38,9 +38,10 @@
 ) -> JoinHandle<Result<QueuePermit, QueueRefusal>> {
     let before = queue.outstanding();
     let waiting_queue = queue.clone();
-    let waiter = spawn_local(async move {
-        waiting_queue.await_permit(request(account, Stage::SingleStatement)).await
-    });
+    let waiter =
+        spawn_local(
+            async move { waiting_queue.await_permit(request(account, Stage::Alone)).await },
+        );
     while queue.outstanding() == before {
         yield_now().await;
     }
@@ -101,10 +102,8 @@
     run(async {
         let queue =
             ServerQueue::new(Name::from("s1"), Capacity { slots: 1, connections: 4, owners: 1 });
-        let mut opened = queue
-            .await_permit(request("a", Stage::OpensTransaction))
-            .await
-            .expect("the server is free");
+        let mut opened =
+            queue.await_permit(request("a", Stage::Opens)).await.expect("the server is free");
         opened.release_slot(true);
         let other = begin(&queue).await;
         let _second = begin(&queue).await;
